--- a/crates/decisions/src/dispatch.rs
+++ b/crates/decisions/src/dispatch.rs
@@ -29,42 +29,44 @@
 use upstream::{Running, Upstream};
 use urgency::Waiting;
 
-pub use job::{Job, Openness, Outcome, Placed, Places, Standing, Why};
+pub use job::{
+    Assignment, ChoiceDetails, Job, Outcome, ReplicaCounts, ReplicaUsage, ServiceAvailability,
+};
 pub use upstream::Replica;
-pub use urgency::{Class, Contender};
+pub use urgency::{Competitor, PriorityClass};
 
 /// Number of a request at this instance.
 pub type JobId = u64;
 
 /// The waiting requests and the replicas of one instance.
 #[derive(Debug, Default)]
-pub struct Dispatch {
+pub struct Dispatcher {
     upstreams: Vec<Upstream>,
     waiting: Vec<Waiting>,
     /// What is learned of each service's requests.
     sizes: Vec<(ServiceId, Sizes)>,
     /// What waits at the other instances of the zone.
-    contenders: Vec<Contender>,
+    contenders: Vec<Competitor>,
     /// This instance, by a number that all give it alike.
     key: u32,
     /// The instances of this zone with this one, while they are known.
     members: Option<Vec<Member>>,
 }
 
-impl Dispatch {
+impl Dispatcher {
     /// Nothing waits, no replica is known.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Gives the instance the number by which the others know it.
-    pub fn with_key(mut self, key: u32) -> Self {
+    pub fn with_address(mut self, key: u32) -> Self {
         self.key = key;
         self
     }
 
     /// Takes the published replicas; what was learned of those that stay is kept.
-    pub fn set_replicas(&mut self, now: Instant, replicas: &[Replica]) {
+    pub fn update_replicas(&mut self, now: Instant, replicas: &[Replica]) {
         let old = std::mem::take(&mut self.upstreams);
         let ids: Vec<UpstreamId> = old.iter().map(|u| u.replica.id.clone()).collect();
         let mut old: Vec<Option<Upstream>> = old.into_iter().map(Some).collect();
@@ -86,7 +88,7 @@
 
     /// Takes the instances of this zone, with this one and the silent ones; `None` while they are not
     /// known, or this one ends.
-    pub fn set_members(&mut self, now: Instant, members: Option<Vec<Member>>) {
+    pub fn update_members(&mut self, now: Instant, members: Option<Vec<Member>>) {
         if self.members == members {
             return;
         }
@@ -108,7 +110,7 @@
     }
 
     /// Takes what the other instances have at a replica.
-    pub fn set_elsewhere(&mut self, upstream: &UpstreamId, running: u32, prompt: f64) {
+    pub fn update_remote_load(&mut self, upstream: &UpstreamId, running: u32, prompt: f64) {
         if let Some(u) = self.find(upstream) {
             u.elsewhere = running;
             u.prompt_elsewhere = prompt;
@@ -116,13 +118,13 @@
     }
 
     /// Takes what waits at the other instances of the zone.
-    pub fn set_contenders(&mut self, contenders: Vec<Contender>) {
+    pub fn update_competitors(&mut self, contenders: Vec<Competitor>) {
         self.contenders = contenders;
     }
 
     /// The most urgent class that waits here, by service.
-    pub fn urgent(&self, now: Instant) -> Vec<(ServiceId, Class)> {
-        let mut urgent: Vec<(ServiceId, Class)> = Vec::new();
+    pub fn highest_waiting_priorities(&self, now: Instant) -> Vec<(ServiceId, PriorityClass)> {
+        let mut urgent: Vec<(ServiceId, PriorityClass)> = Vec::new();
         for w in &self.waiting {
             let class = w.class(now);
             match urgent.binary_search_by(|(s, _)| s.cmp(&w.job.service)) {
@@ -134,14 +136,14 @@
     }
 
     /// Takes a peer's word on how fast a replica is.
-    pub fn hint_step(&mut self, upstream: &UpstreamId, step_ms: f64) {
+    pub fn on_peer_step_time(&mut self, upstream: &UpstreamId, step_ms: f64) {
         if let Some(u) = self.find(upstream) {
             u.pace.hint_step_ms(step_ms);
         }
     }
 
     /// Replicas that could not be reached just now.
-    pub fn unreachable(&self, now: Instant) -> impl Iterator<Item = &UpstreamId> {
+    pub fn unreachable_replicas(&self, now: Instant) -> impl Iterator<Item = &UpstreamId> {
         self.upstreams
             .iter()
             .filter(move |u| u.missed > 0 && u.shunned(now))
@@ -149,15 +151,15 @@
     }
 
     /// Takes a peer's word that a replica could not be reached.
-    pub fn hint_unreachable(&mut self, now: Instant, upstream: &UpstreamId) {
+    pub fn on_peer_unreachable(&mut self, now: Instant, upstream: &UpstreamId) {
         if let Some(u) = self.find(upstream) {
             u.hint_unreachable(now);
         }
     }
 
     /// Places at each replica.
-    pub fn places(&self) -> impl Iterator<Item = Places<'_>> {
-        self.upstreams.iter().map(|u| Places {
+    pub fn replica_usage(&self) -> impl Iterator<Item = ReplicaUsage<'_>> {
+        self.upstreams.iter().map(|u| ReplicaUsage {
             upstream: &u.replica.id,
             own: u.running.len() as u32,
             elsewhere: u.elsewhere,
@@ -166,8 +168,8 @@
     }
 
     /// How many replicas may get how much now.
-    pub fn openness(&self, now: Instant) -> Openness {
-        let mut openness = Openness::default();
+    pub fn replica_counts(&self, now: Instant) -> ReplicaCounts {
+        let mut openness = ReplicaCounts::default();
         for u in &self.upstreams {
             let count = match (u.replica.usable, u.is_cold(now), u.is_closed(now)) {
                 (false, _, _) => &mut openness.unusable,
@@ -190,7 +192,7 @@
     }
 
     /// By how many halves of a tier a request stands back for its size, beside those of its service.
-    pub fn setback(&self, service: &ServiceId, prompt: f64, output: f64) -> u32 {
+    pub fn size_demotion(&self, service: &ServiceId, prompt: f64, output: f64) -> u32 {
         self.learned(service)
             .map_or(0, |s| s.setback(s.size(prompt, output)))
     }
@@ -207,23 +209,23 @@
     }
 
     /// Takes a request out whose caller went away.
-    pub fn withdraw(&mut self, job: JobId) {
+    pub fn cancel(&mut self, job: JobId) {
         self.waiting.retain(|w| w.job.id != job);
     }
 
     /// Number of waiting requests.
-    pub fn waiting(&self) -> usize {
+    pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
     /// Places as many waiting requests as there is room for.
-    pub fn place(&mut self, now: Instant) -> Vec<Placed> {
-        self.place_warm(now, |_| false)
+    pub fn assign(&mut self, now: Instant) -> Vec<Assignment> {
+        self.assign_preferring_connected(now, |_| false)
     }
 
     /// Places as many waiting requests as there is room for; `warm` tells to which replicas a
     /// connection is open already.
-    pub fn place_warm<W>(&mut self, now: Instant, warm: W) -> Vec<Placed>
+    pub fn assign_preferring_connected<W>(&mut self, now: Instant, warm: W) -> Vec<Assignment>
     where
         W: Fn(&UpstreamId) -> bool,
     {
@@ -263,7 +265,13 @@
     /// Load pattern: streams of many seconds that come to an instance which ends in a few. Taken all
     /// the same, they hold a place until the end and are cut, though another instance could serve
     /// them whole.
-    pub fn could_end(&self, left: Duration, service: &ServiceId, prompt: f64, output: f64) -> bool {
+    pub fn can_finish_within(
+        &self,
+        left: Duration,
+        service: &ServiceId,
+        prompt: f64,
+        output: f64,
+    ) -> bool {
         let reading = self.reading(service);
         let ends: Vec<bool> = self
             .upstreams
@@ -275,8 +283,13 @@
     }
 
     /// How the replicas of a service stand now for a request that may be served in `regions`.
-    pub fn standing(&self, now: Instant, service: &ServiceId, regions: &Regions) -> Standing {
-        let mut standing = Standing::default();
+    pub fn availability(
+        &self,
+        now: Instant,
+        service: &ServiceId,
+        regions: &Regions,
+    ) -> ServiceAvailability {
+        let mut standing = ServiceAvailability::default();
         let usable = self
             .upstreams
             .iter()
@@ -299,7 +312,7 @@
     }
 
     /// Takes out the requests whose time to wait is over.
-    pub fn give_up(&mut self, now: Instant) -> Vec<JobId> {
+    pub fn take_timed_out(&mut self, now: Instant) -> Vec<JobId> {
         let mut gone = Vec::new();
         self.waiting.retain(|w| {
             let over = now >= w.job.give_up;
@@ -312,7 +325,7 @@
     }
 
     /// Notes that the replica has begun to answer.
-    pub fn on_first(&mut self, now: Instant, upstream: &UpstreamId, job: JobId) {
+    pub fn on_first_event(&mut self, now: Instant, upstream: &UpstreamId, job: JobId) {
         let Some(u) = self.find(upstream) else {
             return;
         };
@@ -370,13 +383,13 @@
     }
 
     /// Whether the replica has brought nothing for so long that it is likely dead.
-    pub fn is_silent(&self, now: Instant, upstream: &UpstreamId) -> bool {
+    pub fn is_unresponsive(&self, now: Instant, upstream: &UpstreamId) -> bool {
         self.upstreams
             .binary_search_by(|u| u.replica.id.cmp(upstream))
             .is_ok_and(|at| self.upstreams[at].silent(now))
     }
 
-    fn start(&mut self, now: Instant, job: &Job, index: usize, why: Why) -> Placed {
+    fn start(&mut self, now: Instant, job: &Job, index: usize, why: ChoiceDetails) -> Assignment {
         let u = &mut self.upstreams[index];
         let turn = if u.replica.engine {
             u.longest_turn(job)
@@ -393,7 +406,7 @@
             undelayed,
             turn,
         });
-        Placed {
+        Assignment {
             job: job.id,
             upstream: u.replica.id.clone(),
             why,
--- a/crates/decisions/src/dispatch/choice.rs
+++ b/crates/decisions/src/dispatch/choice.rs
@@ -9,7 +9,7 @@
 use super::size::Reading;
 use super::upstream::Upstream;
 use super::urgency::{self, Waiting};
-use super::{Dispatch, Job, Why};
+use super::{ChoiceDetails, Dispatcher, Job};
 use crate::id::{ServiceId, UpstreamId};
 
 /// What a new connection costs, counted as time. Users pay for each, and sixty instances that spread
@@ -24,7 +24,7 @@
 /// come free and would send there at once; of a few picked at random the best is nearly as good.
 const FAR_CHOICES: u64 = 3;
 
-impl Dispatch {
+impl Dispatcher {
     /// The replicas that can take one more request now. When all are full, which is when most
     /// requests wait, nothing else is looked at.
     pub(super) fn open(&mut self, now: Instant) -> Vec<usize> {
@@ -54,7 +54,7 @@
         w: &Waiting,
         candidates: C,
         warm: &W,
-    ) -> Option<(usize, Why)>
+    ) -> Option<(usize, ChoiceDetails)>
     where
         C: Iterator<Item = usize>,
         W: Fn(&UpstreamId) -> bool,
@@ -64,7 +64,7 @@
         let ends_elsewhere = LazyCell::new(|| self.ends_somewhere(now, job, &reading));
         let usual = self.usual_failing(now, &job.service);
         let far = self.upstreams.iter().filter(|u| is_far(u, job)).count() as u64;
-        let mut best: Option<(usize, Why)> = None;
+        let mut best: Option<(usize, ChoiceDetails)> = None;
         let mut with_room = 0;
         for index in candidates {
             let u = &self.upstreams[index];
@@ -81,7 +81,7 @@
             let opening_ms = if warm(&u.replica.id) { 0.0 } else { OPENING_MS };
             let cost_ms = u.cost_ms(now, job, &reading, usual) + opening_ms;
             if best.is_none_or(|(_, least)| cost_ms < least.cost_ms) {
-                let why = Why {
+                let why = ChoiceDetails {
                     cost_ms,
                     with_room,
                     own: u.running.len() as u32,
@@ -91,7 +91,7 @@
                 best = Some((index, why));
             }
         }
-        best.map(|(index, why)| (index, Why { with_room, ..why }))
+        best.map(|(index, why)| (index, ChoiceDetails { with_room, ..why }))
     }
 
     /// Whether some replica that takes work would end the answer in time.
--- a/crates/decisions/src/dispatch/job.rs
+++ b/crates/decisions/src/dispatch/job.rs
@@ -41,18 +41,18 @@
 
 /// A request and the replica that it goes to.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Placed {
+pub struct Assignment {
     /// The request.
     pub job: JobId,
     /// The replica.
     pub upstream: UpstreamId,
     /// What decided for the replica.
-    pub why: Why,
+    pub why: ChoiceDetails,
 }
 
 /// What decided for a replica, for those who ask later.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Why {
+pub struct ChoiceDetails {
     /// What the place was reckoned to cost, in milliseconds; the least of those with room.
     pub cost_ms: f64,
     /// Replicas that had room.
@@ -67,7 +67,7 @@
 
 /// Places at a replica.
 #[derive(Debug, Clone, Copy)]
-pub struct Places<'a> {
+pub struct ReplicaUsage<'a> {
     /// The replica.
     pub upstream: &'a UpstreamId,
     /// Own requests that stand there.
@@ -80,7 +80,7 @@
 
 /// How many replicas may get how much.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Openness {
+pub struct ReplicaCounts {
     /// As many requests as they have room for.
     pub open: u32,
     /// Cold ones that are reached through this instance, at their pace.
@@ -93,7 +93,7 @@
 
 /// How the replicas of a service stand, for those who ask why a request got no place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Standing {
+pub struct ServiceAvailability {
     /// Replicas that may get work.
     pub usable: u32,
     /// Those of them that stand in a region where the request may not be served.
--- a/crates/decisions/src/dispatch/urgency.rs
+++ b/crates/decisions/src/dispatch/urgency.rs
@@ -35,7 +35,7 @@
 const OWN_MS: u64 = 200;
 
 /// Urgency of a request, the lowest first: its organisation's rank, and its tier in halves.
-pub type Class = (u32, u32);
+pub type PriorityClass = (u32, u32);
 
 /// A request that waits, and by how many halves of a tier it is set back for its size.
 #[derive(Debug)]
@@ -46,7 +46,7 @@
 
 impl Waiting {
     /// Its class now; it sinks once the request can't be on time any more.
-    pub(super) fn class(&self, now: Instant) -> Class {
+    pub(super) fn class(&self, now: Instant) -> PriorityClass {
         let job = &self.job;
         let late = LATE * u32::from(now + FIRST_EVENT >= job.due);
         (job.rank.0, job.rank.1 * 2 + self.setback + late)
@@ -59,13 +59,13 @@
 
 /// Another instance of the zone at which requests for a service wait.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Contender {
+pub struct Competitor {
     /// The service.
     pub service: ServiceId,
     /// The instance, by a number that all give it alike.
     pub key: u32,
     /// The most urgent class that waits there.
-    pub class: Class,
+    pub class: PriorityClass,
 }
 
 /// How long a free place must have been free before this instance's request may take it; `None` if
@@ -76,7 +76,7 @@
     now: Instant,
     w: &Waiting,
     own_key: u32,
-    contenders: &[Contender],
+    contenders: &[Competitor],
     replica: &UpstreamId,
     news: Duration,
 ) -> Option<Duration> {
--- a/crates/decisions/tests/dispatch.rs
+++ b/crates/decisions/tests/dispatch.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::cold::Bearable;
-use kingcupfield_decisions::dispatch::{Contender, Dispatch, Job, JobId, Outcome, Replica};
+use kingcupfield_decisions::dispatch::{Competitor, Dispatcher, Job, JobId, Outcome, Replica};
 use kingcupfield_decisions::regions::Regions;
 use tokio::time::Instant;
 use yare::parameterized;
@@ -47,17 +47,17 @@
     }
 }
 
-fn learn_step(dispatch: &mut Dispatch, now: Instant, id: &str, step_ms: u64) {
+fn learn_step(dispatch: &mut Dispatcher, now: Instant, id: &str, step_ms: u64) {
     for _ in 0..10 {
         dispatch.on_events(now, &id.into(), 1, Duration::from_millis(step_ms * 2));
     }
 }
 
-fn fill(dispatch: &mut Dispatch, now: Instant, requests: u64) {
+fn fill(dispatch: &mut Dispatcher, now: Instant, requests: u64) {
     for id in 0..requests {
         dispatch.enqueue(job(1000 + id, 0, now));
     }
-    dispatch.place(now);
+    dispatch.assign(now);
 }
 
 struct Order {
@@ -78,8 +78,8 @@
 )]
 fn places_go_in_the_right_order(case: Order) {
     let now = Instant::now();
-    let mut dispatch = Dispatch::new();
-    dispatch.set_replicas(Instant::now(), &[replica("a", 0)]);
+    let mut dispatch = Dispatcher::new();
+    dispatch.update_replicas(Instant::now(), &[replica("a", 0)]);
     fill(&mut dispatch, now, u64::from(SLOTS) + 1);
     for (id, (tier, late)) in case.waiting.iter().enumerate() {
         let mut job = job(id as JobId, *tier, now + Duration::from_millis(id as u64));
@@ -92,7 +92,7 @@
     for ended in 0..case.expected.len() as u64 {
         let later = now + Duration::from_millis(10 + ended);
         dispatch.on_end(later, &"a".into(), 1000 + ended, Outcome::Served);
-        order.extend(dispatch.place(later).into_iter().map(|p| p.job));
+        order.extend(dispatch.assign(later).into_iter().map(|p| p.job));
     }
     assert_eq!(order, case.expected);
 }
@@ -119,17 +119,17 @@
 )]
 fn a_request_goes_where_it_is_served_best(case: Choice) {
     let now = Instant::now();
-    let mut dispatch = Dispatch::new();
-    dispatch.set_replicas(Instant::now(), &[replica("a", 0), replica("b", 0)]);
+    let mut dispatch = Dispatcher::new();
+    dispatch.update_replicas(Instant::now(), &[replica("a", 0), replica("b", 0)]);
     for (at, id) in ["a", "b"].into_iter().enumerate() {
         learn_step(&mut dispatch, now, id, case.steps[at]);
-        dispatch.set_elsewhere(&id.into(), case.elsewhere[at], 0.0);
+        dispatch.update_remote_load(&id.into(), case.elsewhere[at], 0.0);
     }
     let mut job = job(1, 0, now);
     job.prompt = case.prompt;
     job.output = case.output;
     dispatch.enqueue(job);
-    let placed = dispatch.place(now);
+    let placed = dispatch.assign(now);
     assert_eq!(&*placed[0].upstream, case.expected);
 }
 
@@ -139,20 +139,20 @@
 #[test]
 fn an_unreachable_replica_is_tried_by_one_at_a_time() {
     let now = Instant::now();
-    let mut dispatch = Dispatch::new();
-    dispatch.set_replicas(Instant::now(), &[replica("a", 0), replica("b", 0)]);
+    let mut dispatch = Dispatcher::new();
+    dispatch.update_replicas(Instant::now(), &[replica("a", 0), replica("b", 0)]);
     // The other one works and is full, so that nobody is spared by trying the failed one early.
-    dispatch.set_elsewhere(&"b".into(), SLOTS + 1, 0.0);
+    dispatch.update_remote_load(&"b".into(), SLOTS + 1, 0.0);
     dispatch.enqueue(job(1, 0, now));
-    assert_eq!(dispatch.place(now).len(), 1);
+    assert_eq!(dispatch.assign(now).len(), 1);
     dispatch.on_end(now, &"a".into(), 1, Outcome::Unreachable);
     dispatch.enqueue(job(2, 0, now));
     dispatch.enqueue(job(3, 0, now));
-    assert!(dispatch.place(now + Duration::from_millis(500)).is_empty());
+    assert!(dispatch.assign(now + Duration::from_millis(500)).is_empty());
     let later = now + Duration::from_millis(1100);
-    assert_eq!(dispatch.place(later).len(), 1);
-    dispatch.on_first(later, &"a".into(), 2);
-    assert_eq!(dispatch.place(later).len(), 1);
+    assert_eq!(dispatch.assign(later).len(), 1);
+    dispatch.on_first_event(later, &"a".into(), 2);
+    assert_eq!(dispatch.assign(later).len(), 1);
 }
 
 /// A replica takes requests and answers none. Its requests can't be told from slow ones at first;
@@ -160,14 +160,14 @@
 #[test]
 fn a_silent_replica_gets_no_more_work() {
     let now = Instant::now();
-    let mut dispatch = Dispatch::new();
-    dispatch.set_replicas(Instant::now(), &[replica("a", 0), replica("b", 120)]);
+    let mut dispatch = Dispatcher::new();
+    dispatch.update_replicas(Instant::now(), &[replica("a", 0), replica("b", 120)]);
     dispatch.enqueue(job(1, 0, now));
-    assert_eq!(&*dispatch.place(now)[0].upstream, "a");
+    assert_eq!(&*dispatch.assign(now)[0].upstream, "a");
     let later = now + Duration::from_secs(2);
-    assert!(dispatch.is_silent(later, &"a".into()));
+    assert!(dispatch.is_unresponsive(later, &"a".into()));
     dispatch.enqueue(job(2, 0, later));
-    assert_eq!(&*dispatch.place(later)[0].upstream, "b");
+    assert_eq!(&*dispatch.assign(later)[0].upstream, "b");
 }
 
 /// All slots of a replica are taken by other instances' requests, and one of ours stands behind them.
@@ -177,27 +177,27 @@
 #[test]
 fn a_request_behind_others_is_no_sign_of_silence() {
     let now = Instant::now();
-    let mut dispatch = Dispatch::new();
-    dispatch.set_replicas(Instant::now(), &[replica("a", 0)]);
-    dispatch.set_elsewhere(&"a".into(), SLOTS, 0.0);
+    let mut dispatch = Dispatcher::new();
+    dispatch.update_replicas(Instant::now(), &[replica("a", 0)]);
+    dispatch.update_remote_load(&"a".into(), SLOTS, 0.0);
     dispatch.enqueue(job(1, 0, now));
-    assert_eq!(dispatch.place(now).len(), 1);
+    assert_eq!(dispatch.assign(now).len(), 1);
     let id = "a".into();
-    assert!(!dispatch.is_silent(now + Duration::from_millis(1500), &id));
-    assert!(dispatch.is_silent(now + Duration::from_secs(4), &id));
+    assert!(!dispatch.is_unresponsive(now + Duration::from_millis(1500), &id));
+    assert!(dispatch.is_unresponsive(now + Duration::from_secs(4), &id));
 }
 
 /// A replica that is leaving finishes what it has and gets nothing new, though its entry is there.
 #[test]
 fn a_leaving_replica_gets_nothing_new() {
     let now = Instant::now();
-    let mut dispatch = Dispatch::new();
+    let mut dispatch = Dispatcher::new();
     let mut leaving = replica("a", 0);
     leaving.usable = false;
-    dispatch.set_replicas(Instant::now(), &[leaving]);
+    dispatch.update_replicas(Instant::now(), &[leaving]);
     dispatch.enqueue(job(1, 0, now));
-    assert!(dispatch.place(now).is_empty());
-    assert_eq!(dispatch.give_up(now + Duration::from_secs(4)), [1]);
+    assert!(dispatch.assign(now).is_empty());
+    assert_eq!(dispatch.take_timed_out(now + Duration::from_secs(4)), [1]);
 }
 
 /// A replica is killed and starts again under its name. What was learned and counted of its former
@@ -205,35 +205,35 @@
 #[test]
 fn a_new_life_starts_without_load() {
     let now = Instant::now();
-    let mut dispatch = Dispatch::new();
-    dispatch.set_replicas(Instant::now(), &[replica("a", 0)]);
+    let mut dispatch = Dispatcher::new();
+    dispatch.update_replicas(Instant::now(), &[replica("a", 0)]);
     fill(&mut dispatch, now, 20);
     let mut again = replica("a", 0);
     again.born = 2;
-    dispatch.set_replicas(Instant::now(), &[again]);
-    assert_eq!(dispatch.place(now).len(), SLOTS as usize + 1);
+    dispatch.update_replicas(Instant::now(), &[again]);
+    assert_eq!(dispatch.assign(now).len(), SLOTS as usize + 1);
 }
 
 const DRAFTING: &str = "drafting";
 
 /// An instance of a zone at which one request waits before a full replica.
-fn waiting(key: u32, tier: u32, now: Instant, news: Duration) -> Dispatch {
-    let mut dispatch = Dispatch::new().with_key(key);
-    dispatch.set_replicas(
+fn waiting(key: u32, tier: u32, now: Instant, news: Duration) -> Dispatcher {
+    let mut dispatch = Dispatcher::new().with_address(key);
+    dispatch.update_replicas(
         Instant::now(),
         &[Replica {
             news,
             ..replica("a", 0)
         }],
     );
-    dispatch.set_elsewhere(&"a".into(), SLOTS + 1, 0.0);
+    dispatch.update_remote_load(&"a".into(), SLOTS + 1, 0.0);
     dispatch.enqueue(job(1, tier, now));
-    assert!(dispatch.place(now).is_empty());
+    assert!(dispatch.assign(now).is_empty());
     dispatch
 }
 
-fn contender(key: u32, tier: u32) -> Contender {
-    Contender {
+fn contender(key: u32, tier: u32) -> Competitor {
+    Competitor {
         service: DRAFTING.into(),
         key,
         class: (1, tier * 2),
@@ -251,12 +251,12 @@
     for key in keys.clone() {
         let mut dispatch = waiting(key, 0, now, Duration::ZERO);
         let others = keys.clone().filter(|k| *k != key);
-        dispatch.set_contenders(others.map(|k| contender(k, 0)).collect());
-        dispatch.set_elsewhere(&"a".into(), SLOTS, 0.0);
-        takers += dispatch.place(now).len();
+        dispatch.update_competitors(others.map(|k| contender(k, 0)).collect());
+        dispatch.update_remote_load(&"a".into(), SLOTS, 0.0);
+        takers += dispatch.assign(now).len();
         // Whoever should have taken it may be gone: a moment later it is anybody's.
-        if dispatch.waiting() == 1 {
-            assert_eq!(dispatch.place(now + Duration::from_millis(20)).len(), 1);
+        if dispatch.waiting_count() == 1 {
+            assert_eq!(dispatch.assign(now + Duration::from_millis(20)).len(), 1);
         }
     }
     assert_eq!(takers, 1);
@@ -282,16 +282,16 @@
     let mut taken = 0;
     for salt in 0..100 {
         let mut dispatch = waiting(1, 0, now, Duration::ZERO);
-        dispatch.withdraw(1);
+        dispatch.cancel(1);
         dispatch.enqueue(Job {
             salt: salt * 10,
             ..job(2, case.own, now)
         });
-        dispatch.set_contenders(vec![contender(2, case.other)]);
-        dispatch.set_elsewhere(&"a".into(), 0, 0.0);
-        dispatch.place(now);
-        dispatch.place(now + Duration::from_millis(20));
-        taken += 1 - dispatch.waiting();
+        dispatch.update_competitors(vec![contender(2, case.other)]);
+        dispatch.update_remote_load(&"a".into(), 0, 0.0);
+        dispatch.assign(now);
+        dispatch.assign(now + Duration::from_millis(20));
+        taken += 1 - dispatch.waiting_count();
     }
     // A fifth of the time a request goes by its own instance's queue, so that nothing starves.
     assert_eq!(taken > 60, case.takes, "{taken} of 100");
@@ -304,10 +304,10 @@
 fn a_place_in_another_zone_is_left_to_that_zone_first() {
     let now = Instant::now();
     let mut dispatch = waiting(1, 0, now, Duration::from_millis(100));
-    dispatch.set_elsewhere(&"a".into(), SLOTS, 0.0);
-    assert!(dispatch.place(now).is_empty());
-    assert!(dispatch.place(now + Duration::from_millis(90)).is_empty());
-    assert_eq!(dispatch.place(now + Duration::from_millis(110)).len(), 1);
+    dispatch.update_remote_load(&"a".into(), SLOTS, 0.0);
+    assert!(dispatch.assign(now).is_empty());
+    assert!(dispatch.assign(now + Duration::from_millis(90)).is_empty());
+    assert_eq!(dispatch.assign(now + Duration::from_millis(110)).len(), 1);
 }
 
 struct Return {
@@ -326,18 +326,18 @@
 )]
 fn a_failed_replica_is_tried_sooner_when_there_is_no_other(case: Return) {
     let now = Instant::now();
-    let mut dispatch = Dispatch::new();
+    let mut dispatch = Dispatcher::new();
     let mut replicas = vec![replica("a", 0)];
     if case.other {
         replicas.push(replica("b", 200));
     }
-    dispatch.set_replicas(Instant::now(), &replicas);
+    dispatch.update_replicas(Instant::now(), &replicas);
     let id = "a".into();
     for n in 0..4 {
         dispatch.on_end(now, &id, n, Outcome::Unreachable);
     }
     dispatch.enqueue(job(9, 0, now));
-    let placed = dispatch.place(now + Duration::from_millis(600));
+    let placed = dispatch.assign(now + Duration::from_millis(600));
     let at: Vec<&str> = placed.iter().map(|p| &*p.upstream).collect();
     assert_eq!(at == ["a"], case.tried, "{at:?}");
     assert_eq!(at == ["b"], case.other, "{at:?}");
@@ -363,8 +363,8 @@
 )]
 fn short_requests_go_before_long_ones(case: Sizes) {
     let now = Instant::now();
-    let mut dispatch = Dispatch::new();
-    dispatch.set_replicas(Instant::now(), &[replica("a", 0)]);
+    let mut dispatch = Dispatcher::new();
+    dispatch.update_replicas(Instant::now(), &[replica("a", 0)]);
     fill(&mut dispatch, now, u64::from(SLOTS) + 1);
     for (id, (tier, prompt, output)) in case.waiting.iter().enumerate() {
         let mut job = job(id as JobId, *tier, now + Duration::from_millis(id as u64));
@@ -375,7 +375,7 @@
     for ended in 0..case.expected.len() as u64 {
         let later = now + Duration::from_millis(10 + ended);
         dispatch.on_end(later, &"a".into(), 1000 + ended, Outcome::Served);
-        order.extend(dispatch.place(later).into_iter().map(|p| p.job));
+        order.extend(dispatch.assign(later).into_iter().map(|p| p.job));
     }
     assert_eq!(order, case.expected);
 }
@@ -399,8 +399,8 @@
 )]
 fn the_reading_of_prompts_is_learned(engine: Engine) {
     let now = Instant::now();
-    let mut dispatch = Dispatch::new();
-    dispatch.set_replicas(Instant::now(), &[replica("a", 0)]);
+    let mut dispatch = Dispatcher::new();
+    dispatch.update_replicas(Instant::now(), &[replica("a", 0)]);
     for _ in 0..10 {
         let gap = Duration::from_secs_f64(engine.step * 2.0 / 1e3);
         dispatch.on_events(now, &"a".into(), 1, gap);
@@ -413,15 +413,17 @@
         let unseen = if id % 8 == 0 { 300.0 } else { 0.0 };
         let first_ms = engine.first + job.prompt / engine.reads + unseen;
         dispatch.enqueue(job);
-        assert_eq!(dispatch.place(at).len(), 1);
+        assert_eq!(dispatch.assign(at).len(), 1);
         at += Duration::from_secs_f64(first_ms / 1e3);
-        dispatch.on_first(at, &"a".into(), id);
+        dispatch.on_first_event(at, &"a".into(), id);
         dispatch.on_end(at, &"a".into(), id, Outcome::Served);
     }
     let mut job = job(100, 0, at);
     job.prompt = 4000.0;
     dispatch.enqueue(job);
-    let cost_ms = dispatch.place_warm(at, |_| true)[0].why.cost_ms;
+    let cost_ms = dispatch.assign_preferring_connected(at, |_| true)[0]
+        .why
+        .cost_ms;
     let expected = engine.first + 4000.0 / engine.reads;
     let off = (cost_ms - expected).abs() / expected;
     assert!(
@@ -448,20 +450,20 @@
 )]
 fn a_long_answer_is_not_begun_where_it_cannot_end(case: Long) {
     let now = Instant::now();
-    let mut dispatch = Dispatch::new();
-    dispatch.set_replicas(Instant::now(), &[replica("fast", 0), replica("slow", 0)]);
+    let mut dispatch = Dispatcher::new();
+    dispatch.update_replicas(Instant::now(), &[replica("fast", 0), replica("slow", 0)]);
     learn_step(&mut dispatch, now, "fast", 5);
     learn_step(&mut dispatch, now, "slow", 23);
     let later = now + Duration::from_secs(2);
     if case.fast_is_dead {
-        dispatch.hint_unreachable(later, &"fast".into());
+        dispatch.on_peer_unreachable(later, &"fast".into());
     } else {
-        dispatch.set_elsewhere(&"fast".into(), SLOTS + 1, 0.0);
+        dispatch.update_remote_load(&"fast".into(), SLOTS + 1, 0.0);
     }
     let mut long = job(1, 0, later);
     long.output = case.output;
     dispatch.enqueue(long);
-    let placed = dispatch.place(later);
+    let placed = dispatch.assign(later);
     let at = placed.first().map(|p| p.upstream.to_string());
     assert_eq!(at.as_deref(), case.expected);
 }
@@ -472,8 +474,8 @@
 #[test]
 fn nothing_is_learned_from_prompts_of_unknown_length() {
     let now = Instant::now();
-    let mut dispatch = Dispatch::new();
-    dispatch.set_replicas(Instant::now(), &[replica("a", 0)]);
+    let mut dispatch = Dispatcher::new();
+    dispatch.update_replicas(Instant::now(), &[replica("a", 0)]);
     learn_step(&mut dispatch, now, "a", 5);
     for id in 0..32 {
         let mut job = job(id, 0, now);
@@ -481,10 +483,10 @@
         dispatch.enqueue(job);
         let at = now + Duration::from_millis(id);
         assert!(
-            dispatch.place(at)[0].why.cost_ms.is_finite(),
+            dispatch.assign(at)[0].why.cost_ms.is_finite(),
             "request {id}"
         );
-        dispatch.on_first(at, &"a".into(), id);
+        dispatch.on_first_event(at, &"a".into(), id);
         dispatch.on_end(at, &"a".into(), id, Outcome::Served);
     }
 }
@@ -509,22 +511,22 @@
 )]
 fn an_answer_is_begun_where_a_replica_can_end_it(case: Ends) {
     let now = Instant::now();
-    let mut dispatch = Dispatch::new();
-    dispatch.set_replicas(Instant::now(), &[replica("a", 0), replica("b", 0)]);
+    let mut dispatch = Dispatcher::new();
+    dispatch.update_replicas(Instant::now(), &[replica("a", 0), replica("b", 0)]);
     learn_step(&mut dispatch, now, "a", case.steps[0]);
     learn_step(&mut dispatch, now, "b", case.steps[1]);
-    let ends = dispatch.could_end(case.left, &"drafting".into(), 1000.0, case.output);
+    let ends = dispatch.can_finish_within(case.left, &"drafting".into(), 1000.0, case.output);
     assert_eq!(ends, case.expected);
 }
 
 /// The replicas `home` in the region north and `away` in the region south.
-fn two_regions() -> Dispatch {
-    let mut dispatch = Dispatch::new();
+fn two_regions() -> Dispatcher {
+    let mut dispatch = Dispatcher::new();
     let away = Replica {
         region: "south".into(),
         ..replica("away", 60)
     };
-    dispatch.set_replicas(Instant::now(), &[away, replica("home", 0)]);
+    dispatch.update_replicas(Instant::now(), &[away, replica("home", 0)]);
     dispatch
 }
 
@@ -537,7 +539,7 @@
 
 struct Home {
     /// What befalls the replica in the region to which the request is bound.
-    befalls: fn(&mut Dispatch, Instant),
+    befalls: fn(&mut Dispatcher, Instant),
     /// Whether the request gets a place there all the same.
     placed: bool,
 }
@@ -545,17 +547,17 @@
 /// A request that is bound to a region goes to no other one, whatever happens at home.
 #[parameterized(
     nothing = { Home { befalls: |_, _| (), placed: true } },
-    full = { Home { befalls: |d, _| d.set_elsewhere(&"home".into(), SLOTS + 1, 0.0), placed: false } },
+    full = { Home { befalls: |d, _| d.update_remote_load(&"home".into(), SLOTS + 1, 0.0), placed: false } },
     unreachable = { Home { befalls: |d, now| d.on_end(now, &"home".into(), 1, Outcome::Unreachable), placed: false } },
-    gone = { Home { befalls: |d, _| d.set_replicas(Instant::now(), &[Replica { region: "south".into(), ..replica("away", 60) }]), placed: false } },
-    leaving = { Home { befalls: |d, _| d.set_replicas(Instant::now(), &[Replica { usable: false, ..replica("home", 0) }, Replica { region: "south".into(), ..replica("away", 60) }]), placed: false } },
+    gone = { Home { befalls: |d, _| d.update_replicas(Instant::now(), &[Replica { region: "south".into(), ..replica("away", 60) }]), placed: false } },
+    leaving = { Home { befalls: |d, _| d.update_replicas(Instant::now(), &[Replica { usable: false, ..replica("home", 0) }, Replica { region: "south".into(), ..replica("away", 60) }]), placed: false } },
 )]
 fn a_request_stays_in_its_regions(case: Home) {
     let now = Instant::now();
     let mut dispatch = two_regions();
     (case.befalls)(&mut dispatch, now);
     dispatch.enqueue(bound_to("north", now));
-    let placed = dispatch.place(now);
+    let placed = dispatch.assign(now);
     let homes: Vec<&str> = placed.iter().map(|p| &*p.upstream).collect();
     assert_eq!(homes, if case.placed { vec!["home"] } else { vec![] });
 }
@@ -570,7 +572,7 @@
         dispatch.on_end(now, &"home".into(), n, Outcome::Unreachable);
     }
     dispatch.enqueue(bound_to("north", now));
-    let placed = dispatch.place(now + Duration::from_millis(600));
+    let placed = dispatch.assign(now + Duration::from_millis(600));
     assert_eq!(placed.len(), 1);
 }
 
@@ -579,8 +581,9 @@
 fn the_standing_of_a_bound_request_tells_the_replicas_of_other_regions() {
     let now = Instant::now();
     let mut dispatch = two_regions();
-    dispatch.set_elsewhere(&"home".into(), SLOTS + 1, 0.0);
-    let standing = dispatch.standing(now, &"drafting".into(), &Regions::named(["north".into()]));
+    dispatch.update_remote_load(&"home".into(), SLOTS + 1, 0.0);
+    let standing =
+        dispatch.availability(now, &"drafting".into(), &Regions::named(["north".into()]));
     assert_eq!(
         (standing.usable, standing.not_allowed, standing.full),
         (2, 1, 1)
@@ -594,16 +597,16 @@
 };
 
 /// A replica of the zone of `members` that is cold for three seconds, as the instance `key` sees it.
-fn cold(now: Instant, key: u32, members: Option<Vec<u32>>) -> Dispatch {
-    let mut dispatch = Dispatch::new().with_key(key);
-    dispatch.set_members(now, members);
+fn cold(now: Instant, key: u32, members: Option<Vec<u32>>) -> Dispatcher {
+    let mut dispatch = Dispatcher::new().with_address(key);
+    dispatch.update_members(now, members);
     let cold = Replica {
         slots: 100,
         cold_until: Some(now + Duration::from_secs(3)),
         bearable: Some(BEARABLE),
         ..replica("a", 0)
     };
-    dispatch.set_replicas(now, &[cold]);
+    dispatch.update_replicas(now, &[cold]);
     dispatch
 }
 
@@ -613,7 +616,7 @@
 fn a_cold_replica_gets_what_it_bears_from_a_whole_zone() {
     let now = Instant::now();
     let members: Vec<u32> = (1..=13).collect();
-    let mut zone: Vec<Dispatch> = members
+    let mut zone: Vec<Dispatcher> = members
         .iter()
         .map(|key| cold(now, *key, Some(members.clone())))
         .collect();
@@ -624,7 +627,7 @@
             let mut urgent = job(ms, 0, at);
             urgent.give_up = at + Duration::from_secs(9);
             dispatch.enqueue(urgent);
-            for placed in dispatch.place(at) {
+            for placed in dispatch.assign(at) {
                 given[(ms / 1000) as usize] += 1;
                 dispatch.on_end(at, &placed.upstream, placed.job, Outcome::Served);
             }
@@ -654,10 +657,10 @@
         bearable: Some(BEARABLE),
         ..replica("a", 0)
     };
-    dispatch.set_replicas(now, &[Replica { born: 2, ..away }]);
+    dispatch.update_replicas(now, &[Replica { born: 2, ..away }]);
     dispatch.enqueue(job(1, 0, now));
-    assert!(dispatch.place(now + Duration::from_secs(2)).is_empty());
-    let standing = dispatch.standing(now, &"drafting".into(), &Regions::all());
+    assert!(dispatch.assign(now + Duration::from_secs(2)).is_empty());
+    let standing = dispatch.availability(now, &"drafting".into(), &Regions::all());
     assert_eq!((standing.closed, standing.left_alone), (1, 0));
-    assert_eq!(dispatch.place(now + Duration::from_secs(3)).len(), 1);
+    assert_eq!(dispatch.assign(now + Duration::from_secs(3)).len(), 1);
 }
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -67,7 +67,7 @@
     let left = left.saturating_sub(REST);
     let prompt = f64::from(call.prompt_tokens.unwrap_or(0));
     let dispatch = node.dispatch.borrow();
-    dispatch.could_end(left, service, prompt, call.output())
+    dispatch.can_finish_within(left, service, prompt, call.output())
 }
 
 /// Finds the route and the organisation of a request in the table.
@@ -197,6 +197,6 @@
     let setback = node
         .dispatch
         .borrow()
-        .setback(service, prompt, call.output());
+        .size_demotion(service, prompt, call.output());
     route.rank * 2 + setback
 }
--- a/crates/entry/src/credit.rs
+++ b/crates/entry/src/credit.rs
@@ -137,7 +137,7 @@
     let members = Some(members).filter(|_| known);
     node.dispatch
         .borrow_mut()
-        .set_members(Instant::now(), members);
+        .update_members(Instant::now(), members);
     let slept = node.clock.suspended();
     roster.mints_since = roster.mints_since.map(|at| at + slept);
     let mut ledger = node.ledger.borrow_mut();
--- a/crates/entry/src/gossip/own.rs
+++ b/crates/entry/src/gossip/own.rs
@@ -2,7 +2,7 @@
 
 use std::net::Ipv4Addr;
 
-use kingcupfield_decisions::dispatch::Class;
+use kingcupfield_decisions::dispatch::PriorityClass;
 use kingcupfield_decisions::elsewhere::Load;
 use kingcupfield_decisions::id::{ShortName, short_name};
 use tokio::time::Instant;
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(super) struct News {
     pub(super) loads: Vec<Load>,
-    pub(super) waiting: Vec<(ShortName, Class)>,
+    pub(super) waiting: Vec<(ShortName, PriorityClass)>,
     pub(super) upto: u64,
     pub(super) zone_size: u16,
     pub(super) leaving: bool,
@@ -32,7 +32,10 @@
 pub(super) fn own_unreachable(node: &Node) -> Vec<ShortName> {
     let now = Instant::now();
     let dispatch = node.dispatch.borrow();
-    dispatch.unreachable(now).map(|id| short_name(id)).collect()
+    dispatch
+        .unreachable_replicas(now)
+        .map(|id| short_name(id))
+        .collect()
 }
 
 fn own_loads(node: &Node) -> Vec<Load> {
@@ -48,8 +51,11 @@
         .collect()
 }
 
-fn own_waiting(node: &Node) -> Vec<(ShortName, Class)> {
-    let urgent = node.dispatch.borrow().urgent(Instant::now());
+fn own_waiting(node: &Node) -> Vec<(ShortName, PriorityClass)> {
+    let urgent = node
+        .dispatch
+        .borrow()
+        .highest_waiting_priorities(Instant::now());
     let short = urgent
         .into_iter()
         .map(|(service, class)| (short_name(&service), class));
--- a/crates/entry/src/hearing.rs
+++ b/crates/entry/src/hearing.rs
@@ -138,7 +138,7 @@
     let now = Instant::now();
     for name in unreachable {
         if let Some(id) = node.replica_by_short_name(*name) {
-            node.dispatch.borrow_mut().hint_unreachable(now, &id);
+            node.dispatch.borrow_mut().on_peer_unreachable(now, &id);
         }
     }
 }
@@ -147,7 +147,7 @@
     for (name, us) in steps {
         if let Some(id) = node.replica_by_short_name(*name) {
             let step_ms = f64::from(*us) / 1000.0;
-            node.dispatch.borrow_mut().hint_step(&id, step_ms);
+            node.dispatch.borrow_mut().on_peer_step_time(&id, step_ms);
         }
     }
 }
--- a/crates/entry/src/life.rs
+++ b/crates/entry/src/life.rs
@@ -110,7 +110,7 @@
 /// alone for a while.
 async fn watch_waiting(node: Rc<Node>) {
     loop {
-        if node.dispatch.borrow().waiting() == 0 {
+        if node.dispatch.borrow().waiting_count() == 0 {
             node.waiting.notified().await;
         }
         sleep(WAITING_TICK).await;
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -143,7 +143,7 @@
         let peers = node.peers.borrow();
         let dispatch = node.dispatch.borrow();
         self.table_version.set(node.table_version() as f64);
-        self.waiting.set(dispatch.waiting() as f64);
+        self.waiting.set(dispatch.waiting_count() as f64);
         for (of, count) in [
             ("connections", *node.connections.borrow()),
             ("requests", node.active.get()),
@@ -158,7 +158,7 @@
         let known = peers.all().len() as f64;
         self.peers.with_label_values(&["heard"]).set(heard);
         self.peers.with_label_values(&["silent"]).set(known - heard);
-        let openness = dispatch.openness(now);
+        let openness = dispatch.replica_counts(now);
         for (state, count) in [
             ("open", openness.open),
             ("cold_kept", openness.cold_kept),
@@ -170,7 +170,7 @@
                 .set(f64::from(count));
         }
         self.replicas.reset();
-        for held in dispatch.places().take(MOST_REPLICAS) {
+        for held in dispatch.replica_usage().take(MOST_REPLICAS) {
             let set = |whose: &str, places: u32| {
                 let labels = [&**held.upstream, whose];
                 self.replicas
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::credit::{Ledger, Number, Verdict as CreditVerdict};
-use kingcupfield_decisions::dispatch::{Dispatch, JobId};
+use kingcupfield_decisions::dispatch::{Dispatcher, JobId};
 use kingcupfield_decisions::emptied::EmptiedZones;
 use kingcupfield_decisions::id::{ServiceId, ShortName, UpstreamId, short_name};
 use kingcupfield_decisions::known::Known;
@@ -82,7 +82,7 @@
     /// Zones whose replicas get nothing new.
     pub emptied: RefCell<EmptiedZones>,
     /// Waiting requests and the load of replicas.
-    pub dispatch: RefCell<Dispatch>,
+    pub dispatch: RefCell<Dispatcher>,
     /// Wakes the reader of the directory.
     pub reread: Notify,
     /// Instances that are to be told everything at once.
@@ -154,7 +154,7 @@
                 Peers::new(now, cfg.address(), cfg.has_other_contacts())
                     .with_zones(credit::zones(&cfg)),
             ),
-            dispatch: RefCell::new(Dispatch::new().with_key(cfg.address().to_bits())),
+            dispatch: RefCell::new(Dispatcher::new().with_address(cfg.address().to_bits())),
             emptied: RefCell::new(EmptiedZones::new()),
             reread: Notify::new(),
             greet: RefCell::new(Vec::new()),
--- a/crates/entry/src/node/places.rs
+++ b/crates/entry/src/node/places.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcupfield_decisions::dispatch::{Job, JobId, Outcome, Why};
+use kingcupfield_decisions::dispatch::{ChoiceDetails, Job, JobId, Outcome};
 use kingcupfield_decisions::id::UpstreamId;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -17,7 +17,7 @@
     GivenUp,
 }
 
-pub(super) type Verdict = Result<(UpstreamId, Why), NoPlace>;
+pub(super) type Verdict = Result<(UpstreamId, ChoiceDetails), NoPlace>;
 
 /// Takes a waiting request out again when its caller goes away.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
             .waiters
             .borrow_mut()
             .retain(|(id, _)| *id != self.job);
-        self.node.dispatch.borrow_mut().withdraw(self.job);
+        self.node.dispatch.borrow_mut().cancel(self.job);
         // A place that was given but not taken would stay occupied for good.
         if let Ok(Ok((upstream, _))) = self.rx.try_recv() {
             self.node.end(&upstream, self.job, Outcome::Unknown);
@@ -49,7 +49,7 @@
     /// The replica.
     pub upstream: UpstreamId,
     /// What decided for it.
-    pub why: Why,
+    pub why: ChoiceDetails,
     job: JobId,
     ended: bool,
 }
@@ -58,7 +58,7 @@
     /// Notes that the replica has begun to answer.
     pub fn on_first(&self) {
         let mut dispatch = self.node.dispatch.borrow_mut();
-        dispatch.on_first(Instant::now(), &self.upstream, self.job);
+        dispatch.on_first_event(Instant::now(), &self.upstream, self.job);
         self.node.changed.notify_one();
     }
 
@@ -73,7 +73,7 @@
         self.node
             .dispatch
             .borrow()
-            .is_silent(Instant::now(), &self.upstream)
+            .is_unresponsive(Instant::now(), &self.upstream)
     }
 
     /// Frees the place.
@@ -124,7 +124,10 @@
         let now = Instant::now();
         loop {
             let warm = |id: &UpstreamId| self.target(id).is_some_and(|t| t.pool.is_warm(now));
-            let placed = self.dispatch.borrow_mut().place_warm(now, warm);
+            let placed = self
+                .dispatch
+                .borrow_mut()
+                .assign_preferring_connected(now, warm);
             if !placed.is_empty() {
                 self.changed.notify_one();
             }
@@ -146,7 +149,7 @@
 
     /// Gives up the waiting requests whose time is over.
     pub fn give_up(&self) {
-        let gone = self.dispatch.borrow_mut().give_up(Instant::now());
+        let gone = self.dispatch.borrow_mut().take_timed_out(Instant::now());
         for job in gone {
             self.tell(job, Err(NoPlace::GivenUp));
         }
--- a/crates/entry/src/node/replicas.rs
+++ b/crates/entry/src/node/replicas.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcupfield_decisions::dispatch::{Class, Contender, Replica};
+use kingcupfield_decisions::dispatch::{Competitor, PriorityClass, Replica};
 use kingcupfield_decisions::elsewhere::Sum;
 use kingcupfield_decisions::id::{RegionId, ShortName, UpstreamId, ZoneId, short_name};
 use tokio::time::Instant;
@@ -92,7 +92,7 @@
             .map(|t| self.replica(&t.published))
             .collect();
         let now = Instant::now();
-        self.dispatch.borrow_mut().set_replicas(now, &replicas);
+        self.dispatch.borrow_mut().update_replicas(now, &replicas);
     }
 
     /// The replica that peers mean by a short name.
@@ -107,26 +107,26 @@
         if let Some(id) = self.replica_by_short_name(name) {
             let prompt = sum.prompt as f64;
             let mut dispatch = self.dispatch.borrow_mut();
-            dispatch.set_elsewhere(&id, sum.running, prompt);
+            dispatch.update_remote_load(&id, sum.running, prompt);
         }
     }
 
     /// Takes what waits at the other instances of the zone.
     pub fn set_contenders<I>(&self, waiting: I)
     where
-        I: Iterator<Item = (Ipv4Addr, ShortName, Class)>,
+        I: Iterator<Item = (Ipv4Addr, ShortName, PriorityClass)>,
     {
         let services = self.services.borrow();
         let contenders = waiting.filter_map(|(address, service, class)| {
             let found = services.binary_search_by(|(short, _)| short.cmp(&service));
-            Some(Contender {
+            Some(Competitor {
                 service: services[found.ok()?].1.clone(),
                 key: address.to_bits(),
                 class,
             })
         });
         let contenders = contenders.collect();
-        self.dispatch.borrow_mut().set_contenders(contenders);
+        self.dispatch.borrow_mut().update_competitors(contenders);
     }
 
     /// A replica by its name.
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::credit::Distance;
-use kingcupfield_decisions::dispatch::Class;
+use kingcupfield_decisions::dispatch::PriorityClass;
 use kingcupfield_decisions::elsewhere::{Elsewhere, Sum};
 use kingcupfield_decisions::id::ShortName;
 use kingcupfield_decisions::known::Revision;
@@ -343,7 +343,7 @@
         &self,
         now: Instant,
         zone: ShortName,
-    ) -> impl Iterator<Item = (Ipv4Addr, ShortName, Class)> {
+    ) -> impl Iterator<Item = (Ipv4Addr, ShortName, PriorityClass)> {
         let near = move |p: &&Peer| p.is_fresh(now) && p.digest.zone == zone;
         self.others.iter().filter(near).flat_map(|p| {
             let waiting = p.digest.waiting.iter();
--- a/crates/entry/src/peers/digest.rs
+++ b/crates/entry/src/peers/digest.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 
 use kingcupfield_decisions::credit;
-use kingcupfield_decisions::dispatch::Class;
+use kingcupfield_decisions::dispatch::PriorityClass;
 use kingcupfield_decisions::elsewhere::Load;
 use kingcupfield_decisions::id::ShortName;
 use kingcupfield_decisions::known::Revision;
@@ -54,7 +54,7 @@
     /// Its load at replicas; those that are missing have none.
     pub loads: Vec<Load>,
     /// The most urgent class that waits there, by service; none where nothing waits.
-    pub waiting: Vec<(ShortName, Class)>,
+    pub waiting: Vec<(ShortName, PriorityClass)>,
     /// Microseconds a step that it has learned of replicas; not in every message.
     pub steps: Vec<(ShortName, u32)>,
     /// How many instances of its zone it knows, with itself and the silent ones.
--- a/crates/entry/src/request/refusing.rs
+++ b/crates/entry/src/request/refusing.rs
@@ -71,7 +71,7 @@
         let standing = node
             .dispatch
             .borrow()
-            .standing(Instant::now(), &self.service, &regions);
+            .availability(Instant::now(), &self.service, &regions);
         let reason = format!(
             "no room for {} in {} ms in regions {regions}, asked in {}: {} replicas usable, {} of them elsewhere, {} cold, {} left alone, {} full, {} requests waiting, emptied zones [{}]",
             self.service,
