--- a/crates/decisions/src/dispatch.rs
+++ b/crates/decisions/src/dispatch.rs
@@ -73,7 +73,7 @@
         for replica in replicas {
             let known = ids.binary_search(&replica.id).ok();
             let known = known.and_then(|at| old[at].take());
-            let upstream = match known.filter(|u| u.replica.born == replica.born) {
+            let upstream = match known.filter(|u| u.replica.incarnation == replica.incarnation) {
                 Some(mut known) => {
                     known.replica = replica.clone();
                     known
@@ -105,7 +105,7 @@
 
     /// Whether the replica is reached through this instance while it is cold.
     fn keeps(&self, replica: &Replica) -> bool {
-        let members = self.members.as_deref().filter(|_| replica.home);
+        let members = self.members.as_deref().filter(|_| replica.in_own_zone);
         members.is_some_and(|members| cold::keeper(&replica.id, members) == Some(self.key))
     }
 
@@ -161,8 +161,8 @@
     pub fn replica_usage(&self) -> impl Iterator<Item = ReplicaUsage<'_>> {
         self.upstreams.iter().map(|u| ReplicaUsage {
             upstream: &u.replica.id,
-            own: u.running.len() as u32,
-            elsewhere: u.elsewhere,
+            own_running: u.running.len() as u32,
+            remote_running: u.elsewhere,
             slots: u.replica.slots,
         })
     }
@@ -173,9 +173,9 @@
         for u in &self.upstreams {
             let count = match (u.replica.usable, u.is_cold(now), u.is_closed(now)) {
                 (false, _, _) => &mut openness.unusable,
-                (true, _, true) => &mut openness.cold_closed,
-                (true, true, false) => &mut openness.cold_kept,
-                (true, false, false) => &mut openness.open,
+                (true, _, true) => &mut openness.cold_not_designated,
+                (true, true, false) => &mut openness.cold_designated,
+                (true, false, false) => &mut openness.accepting,
             };
             *count += 1;
         }
@@ -199,11 +199,11 @@
 
     /// Adds a request.
     pub fn enqueue(&mut self, job: Job) {
-        let engine = |u: &&Upstream| u.replica.engine && u.replica.service == job.service;
+        let engine = |u: &&Upstream| u.replica.is_engine && u.replica.service == job.service;
         let slots = self.upstreams.iter().find(engine).map(|u| u.replica.slots);
         let setback = slots.map_or(0, |slots| {
             let sizes = self.sizes(&job.service);
-            sizes.on_request(job.prompt, job.output, slots)
+            sizes.on_request(job.prompt_tokens, job.expected_output_tokens, slots)
         });
         self.waiting.push(Waiting { job, setback });
     }
@@ -235,7 +235,8 @@
             return placed;
         }
         let mut last_resorts = self.last_resorts(now);
-        self.waiting.sort_by_key(|w| (w.class(now), w.job.received));
+        self.waiting
+            .sort_by_key(|w| (w.class(now), w.job.received_at));
         let mut at = 0;
         while at < self.waiting.len() && !(open.is_empty() && last_resorts.is_empty()) {
             let w = &self.waiting[at];
@@ -297,11 +298,11 @@
         for u in usable {
             standing.usable += 1;
             if !regions.allows(&u.replica.region) {
-                standing.not_allowed += 1;
+                standing.region_not_allowed += 1;
             } else if u.is_closed(now) {
-                standing.closed += 1;
+                standing.cold_not_designated += 1;
             } else if !u.takes_work(now) {
-                standing.left_alone += 1;
+                standing.ejected += 1;
             } else if !u.has_room() {
                 standing.full += 1;
             }
@@ -315,7 +316,7 @@
     pub fn take_timed_out(&mut self, now: Instant) -> Vec<JobId> {
         let mut gone = Vec::new();
         self.waiting.retain(|w| {
-            let over = now >= w.job.give_up;
+            let over = now >= w.job.queue_deadline;
             if over {
                 gone.push(w.job.id);
             }
@@ -340,7 +341,7 @@
             return;
         }
         let after = now.saturating_duration_since(r.since);
-        let after = after.saturating_sub(u.replica.travel);
+        let after = after.saturating_sub(u.replica.network_round_trip);
         if let Some(step_ms) = u.pace.learned_step_ms() {
             let service = u.replica.service.clone();
             self.sizes(&service).on_first(prompt, after, step_ms);
@@ -368,7 +369,7 @@
                 u.heard_at = Some(now);
                 u.missed = 0;
                 u.pace.on_outcome(now, false);
-                if let Some(since) = since.filter(|_| !u.replica.engine) {
+                if let Some(since) = since.filter(|_| !u.replica.is_engine) {
                     u.pace.on_served(now.saturating_duration_since(since));
                 }
             }
@@ -391,16 +392,20 @@
 
     fn start(&mut self, now: Instant, job: &Job, index: usize, why: ChoiceDetails) -> Assignment {
         let u = &mut self.upstreams[index];
-        let turn = if u.replica.engine {
+        let turn = if u.replica.is_engine {
             u.longest_turn(job)
         } else {
             Duration::ZERO
         };
-        let undelayed = u.replica.engine && u.reads_nothing();
+        let undelayed = u.replica.is_engine && u.reads_nothing();
         u.gate.on_given(now);
         u.running.push(Running {
             job: job.id,
-            prompt: if u.replica.engine { job.prompt } else { 0.0 },
+            prompt: if u.replica.is_engine {
+                job.prompt_tokens
+            } else {
+                0.0
+            },
             since: now,
             heard: false,
             undelayed,
@@ -409,7 +414,7 @@
         Assignment {
             job: job.id,
             upstream: u.replica.id.clone(),
-            why,
+            details: why,
         }
     }
 
--- a/crates/decisions/src/dispatch/choice.rs
+++ b/crates/decisions/src/dispatch/choice.rs
@@ -83,15 +83,23 @@
             if best.is_none_or(|(_, least)| cost_ms < least.cost_ms) {
                 let why = ChoiceDetails {
                     cost_ms,
-                    with_room,
-                    own: u.running.len() as u32,
-                    elsewhere: u.elsewhere,
-                    cold: u.is_cold(now),
+                    replicas_with_room: with_room,
+                    own_running: u.running.len() as u32,
+                    remote_running: u.elsewhere,
+                    is_cold: u.is_cold(now),
                 };
                 best = Some((index, why));
             }
         }
-        best.map(|(index, why)| (index, ChoiceDetails { with_room, ..why }))
+        best.map(|(index, why)| {
+            (
+                index,
+                ChoiceDetails {
+                    replicas_with_room: with_room,
+                    ..why
+                },
+            )
+        })
     }
 
     /// Whether some replica that takes work would end the answer in time.
@@ -110,7 +118,14 @@
     /// Whether a place that is free at the replica is this instance's to take.
     fn may_take(&self, now: Instant, u: &Upstream, w: &Waiting) -> bool {
         let id = &u.replica.id;
-        let patience = urgency::patience(now, w, self.key, &self.contenders, id, u.replica.news);
+        let patience = urgency::patience(
+            now,
+            w,
+            self.key,
+            &self.contenders,
+            id,
+            u.replica.propagation_delay,
+        );
         patience.is_some_and(|p| u.free_for(now) >= p)
     }
 
@@ -126,7 +141,7 @@
 
 /// Whether a replica stands so far off that its load is known late.
 fn is_far(u: &Upstream, job: &Job) -> bool {
-    u.replica.travel >= FAR && serves(u, job)
+    u.replica.network_round_trip >= FAR && serves(u, job)
 }
 
 /// Whether a far replica is among the few that this request looks at.
@@ -141,5 +156,5 @@
 }
 
 fn fits(u: &Upstream, job: &Job) -> bool {
-    serves(u, job) && !job.tried.contains(&u.replica.id)
+    serves(u, job) && !job.tried_replicas.contains(&u.replica.id)
 }
--- a/crates/decisions/src/dispatch/job.rs
+++ b/crates/decisions/src/dispatch/job.rs
@@ -14,27 +14,27 @@
     /// Its number.
     pub id: JobId,
     /// Urgency, the lowest first.
-    pub rank: (u32, u32),
+    pub priority: (u32, u32),
     /// When it came.
-    pub received: Instant,
+    pub received_at: Instant,
     /// Until when its answer is on time.
-    pub due: Instant,
+    pub slo_deadline: Instant,
     /// When its whole answer must have come.
     pub deadline: Instant,
     /// When its caller is told to come back.
-    pub give_up: Instant,
+    pub queue_deadline: Instant,
     /// The service that may run it.
     pub service: ServiceId,
     /// The regions in which it may be served.
     pub regions: Regions,
     /// Tokens of its prompt.
-    pub prompt: f64,
+    pub prompt_tokens: f64,
     /// Tokens that it likely generates.
-    pub output: f64,
+    pub expected_output_tokens: f64,
     /// Longest pause between events that streams of its kind bear; zero for plain requests.
-    pub longest_pause: Duration,
+    pub max_event_gap: Duration,
     /// Replicas that it was sent to already.
-    pub tried: Vec<UpstreamId>,
+    pub tried_replicas: Vec<UpstreamId>,
     /// A random number of its own, by which it picks among far replicas.
     pub salt: u64,
 }
@@ -47,7 +47,7 @@
     /// The replica.
     pub upstream: UpstreamId,
     /// What decided for the replica.
-    pub why: ChoiceDetails,
+    pub details: ChoiceDetails,
 }
 
 /// What decided for a replica, for those who ask later.
@@ -56,13 +56,13 @@
     /// What the place was reckoned to cost, in milliseconds; the least of those with room.
     pub cost_ms: f64,
     /// Replicas that had room.
-    pub with_room: u32,
+    pub replicas_with_room: u32,
     /// Own requests that stood there already.
-    pub own: u32,
+    pub own_running: u32,
     /// Requests of other instances there, by their last word.
-    pub elsewhere: u32,
+    pub remote_running: u32,
     /// Whether the replica is cold, so that it gets few.
-    pub cold: bool,
+    pub is_cold: bool,
 }
 
 /// Places at a replica.
@@ -71,9 +71,9 @@
     /// The replica.
     pub upstream: &'a UpstreamId,
     /// Own requests that stand there.
-    pub own: u32,
+    pub own_running: u32,
     /// Requests of other instances, by their last word.
-    pub elsewhere: u32,
+    pub remote_running: u32,
     /// Requests that it runs at once.
     pub slots: u32,
 }
@@ -82,11 +82,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ReplicaCounts {
     /// As many requests as they have room for.
-    pub open: u32,
+    pub accepting: u32,
     /// Cold ones that are reached through this instance, at their pace.
-    pub cold_kept: u32,
+    pub cold_designated: u32,
     /// Cold ones that are reached through another instance.
-    pub cold_closed: u32,
+    pub cold_not_designated: u32,
     /// Leaving ones, and those of emptied zones.
     pub unusable: u32,
 }
@@ -97,11 +97,11 @@
     /// Replicas that may get work.
     pub usable: u32,
     /// Those of them that stand in a region where the request may not be served.
-    pub not_allowed: u32,
+    pub region_not_allowed: u32,
     /// Those of the others that are left alone after a failure, on trial or silent.
-    pub left_alone: u32,
+    pub ejected: u32,
     /// Those of the rest that are cold, and reached through another instance.
-    pub closed: u32,
+    pub cold_not_designated: u32,
     /// Those of the rest that are full.
     pub full: u32,
     /// Requests that wait here for the service.
--- a/crates/decisions/src/dispatch/upstream.rs
+++ b/crates/decisions/src/dispatch/upstream.rs
@@ -68,7 +68,7 @@
     /// Its name.
     pub id: UpstreamId,
     /// Its start, which tells two lives of one name apart.
-    pub born: u64,
+    pub incarnation: u64,
     /// Its service.
     pub service: ServiceId,
     /// Region of its availability zone.
@@ -76,24 +76,24 @@
     /// Requests that it runs at once.
     pub slots: u32,
     /// Time of a message there and back.
-    pub round_trip: Duration,
+    pub weighted_round_trip: Duration,
     /// Time of a message there and back without what the way costs the users.
-    pub travel: Duration,
+    pub network_round_trip: Duration,
     /// Time in which a change of its load becomes known here; zero in its own zone, where each
     /// change is told at once.
-    pub news: Duration,
+    pub propagation_delay: Duration,
     /// Whether it generates tokens in a batch.
-    pub engine: bool,
+    pub is_engine: bool,
     /// Tokens in one event of its streams.
     pub tokens_per_event: u32,
     /// Whether it may get new work.
     pub usable: bool,
     /// Whether it stands in the zone of this instance.
-    pub home: bool,
+    pub in_own_zone: bool,
     /// Until when it is cold.
     pub cold_until: Option<Instant>,
     /// What it bears until then; everything if it is not told.
-    pub bearable: Option<Bearable>,
+    pub cold_limit: Option<Bearable>,
 }
 
 #[derive(Debug)]
@@ -152,7 +152,7 @@
 
     /// Whether one more request may stand there.
     pub(super) fn has_room(&self) -> bool {
-        let room = if self.replica.engine {
+        let room = if self.replica.is_engine {
             self.replica.slots + ENGINE_SPARE
         } else {
             self.replica.slots * PLAIN_DEPTH
@@ -168,7 +168,7 @@
     /// What it bears, while it is cold.
     fn bears(&self, now: Instant) -> Option<Bearable> {
         let is_cold = self.replica.cold_until.is_some_and(|until| now < until);
-        self.replica.bearable.filter(|_| is_cold)
+        self.replica.cold_limit.filter(|_| is_cold)
     }
 
     /// Whether it is cold and bears few requests.
@@ -276,14 +276,14 @@
         reading: &Reading,
         usual_failing: f64,
     ) -> f64 {
-        let travel = self.replica.round_trip.as_secs_f64() * 1000.0;
+        let travel = self.replica.weighted_round_trip.as_secs_f64() * 1000.0;
         let failing = (self.pace.failing(now) - usual_failing).max(0.0) * FAILURE_MS;
-        if !self.replica.engine {
+        if !self.replica.is_engine {
             let ahead = f64::from(self.total()) / f64::from(self.replica.slots.max(1));
             return travel + self.pace.service_ms() * (1.0 + ahead) + failing;
         }
         let step = self.pace.step_ms();
-        let read = reading.prompt_steps(job.prompt) + reading.prompt_steps(self.unread());
+        let read = reading.prompt_steps(job.prompt_tokens) + reading.prompt_steps(self.unread());
         let first = (reading.first_steps + read) * step + self.queue_ms(job);
         let stall = self.stall_ms(job, reading);
         travel + first + failing + stall + self.late_end_ms(now, job, first)
@@ -292,14 +292,14 @@
     /// By how much a long answer would end after its deadline here.
     fn late_end_ms(&self, now: Instant, job: &Job, first: f64) -> f64 {
         let left = job.deadline.saturating_duration_since(now).as_secs_f64() * 1000.0;
-        let whole = first + job.output * LENGTH_DOUBT * self.pace.step_ms();
+        let whole = first + job.expected_output_tokens * LENGTH_DOUBT * self.pace.step_ms();
         (whole - left).max(0.0)
     }
 
     /// Whether a long answer would end before its deadline, once it has a place here.
     pub(super) fn ends_in_time(&self, now: Instant, job: &Job, reading: &Reading) -> bool {
         let left = job.deadline.saturating_duration_since(now);
-        self.could_end(left, job.prompt, job.output, reading)
+        self.could_end(left, job.prompt_tokens, job.expected_output_tokens, reading)
     }
 
     /// Whether an answer of `output` tokens would end within `left`, once it has a place here.
@@ -311,7 +311,7 @@
         reading: &Reading,
     ) -> bool {
         let steps = reading.first_steps + reading.prompt_steps(prompt) + output * LENGTH_DOUBT;
-        !self.replica.engine || steps * self.pace.step_ms() <= left.as_secs_f64() * 1000.0
+        !self.replica.is_engine || steps * self.pace.step_ms() <= left.as_secs_f64() * 1000.0
     }
 
     /// How long a request may stand behind others here before its turn.
@@ -321,19 +321,19 @@
 
     fn queue_ms(&self, job: &Job) -> f64 {
         let over = (self.total() + 1).saturating_sub(self.replica.slots);
-        let turn =
-            job.output.max(60.0) * self.pace.step_ms() / f64::from(self.replica.slots.max(1));
+        let turn = job.expected_output_tokens.max(60.0) * self.pace.step_ms()
+            / f64::from(self.replica.slots.max(1));
         f64::from(over) * turn
     }
 
     /// What reading the prompt costs the streams that run there, if they pause for too long.
     fn stall_ms(&self, job: &Job, reading: &Reading) -> f64 {
-        let chunk = job.prompt.min(STALL_TOKENS);
+        let chunk = job.prompt_tokens.min(STALL_TOKENS);
         let waiting = self.unread();
         let both = (chunk + waiting).min(STALL_TOKENS);
-        let slower = Reading::slower_by(job.prompt.max(waiting));
+        let slower = Reading::slower_by(job.prompt_tokens.max(waiting));
         let pause = both / reading.tokens_a_step * slower * self.pace.step_ms();
-        let bound = job.longest_pause.as_secs_f64() * 1000.0;
+        let bound = job.max_event_gap.as_secs_f64() * 1000.0;
         if bound <= 0.0 || pause < bound * 0.8 {
             return 0.0;
         }
--- a/crates/decisions/src/dispatch/urgency.rs
+++ b/crates/decisions/src/dispatch/urgency.rs
@@ -48,8 +48,8 @@
     /// Its class now; it sinks once the request can't be on time any more.
     pub(super) fn class(&self, now: Instant) -> PriorityClass {
         let job = &self.job;
-        let late = LATE * u32::from(now + FIRST_EVENT >= job.due);
-        (job.rank.0, job.rank.1 * 2 + self.setback + late)
+        let late = LATE * u32::from(now + FIRST_EVENT >= job.slo_deadline);
+        (job.priority.0, job.priority.1 * 2 + self.setback + late)
     }
 }
 
@@ -63,7 +63,7 @@
     /// The service.
     pub service: ServiceId,
     /// The instance, by a number that all give it alike.
-    pub key: u32,
+    pub address: u32,
     /// The most urgent class that waits there.
     pub class: PriorityClass,
 }
@@ -86,7 +86,7 @@
         return None;
     }
     let mine = claim(own_key, replica);
-    let first = others().all(|c| c.class > class || claim(c.key, replica) <= mine);
+    let first = others().all(|c| c.class > class || claim(c.address, replica) <= mine);
     Some(if first { news } else { news + NEIGHBOUR })
 }
 
@@ -97,6 +97,6 @@
 
 /// Whether the request goes by its own instance's queue alone now.
 fn is_own_time(now: Instant, job: &Job) -> bool {
-    let waited = now.saturating_duration_since(job.received).as_millis() as u64;
+    let waited = now.saturating_duration_since(job.received_at).as_millis() as u64;
     (waited + job.salt % ROUND_MS) % ROUND_MS < OWN_MS
 }
--- a/crates/decisions/tests/dispatch.rs
+++ b/crates/decisions/tests/dispatch.rs
@@ -13,36 +13,36 @@
 fn replica(id: &str, round_trip: u64) -> Replica {
     Replica {
         id: id.into(),
-        born: 1,
+        incarnation: 1,
         service: "drafting".into(),
         region: "north".into(),
         slots: SLOTS,
-        round_trip: Duration::from_millis(round_trip),
-        travel: Duration::from_millis(round_trip),
-        news: Duration::ZERO,
-        engine: true,
+        weighted_round_trip: Duration::from_millis(round_trip),
+        network_round_trip: Duration::from_millis(round_trip),
+        propagation_delay: Duration::ZERO,
+        is_engine: true,
         tokens_per_event: 2,
         usable: true,
-        home: round_trip == 0,
+        in_own_zone: round_trip == 0,
         cold_until: None,
-        bearable: None,
+        cold_limit: None,
     }
 }
 
 fn job(id: JobId, tier: u32, now: Instant) -> Job {
     Job {
         id,
-        rank: (1, tier),
-        received: now,
-        due: now + Duration::from_millis(1200),
+        priority: (1, tier),
+        received_at: now,
+        slo_deadline: now + Duration::from_millis(1200),
         deadline: now + Duration::from_secs(15),
-        give_up: now + Duration::from_secs(4),
+        queue_deadline: now + Duration::from_secs(4),
         service: "drafting".into(),
         regions: Regions::all(),
-        prompt: 2000.0,
-        output: 120.0,
-        longest_pause: Duration::from_millis(300),
-        tried: Vec::new(),
+        prompt_tokens: 2000.0,
+        expected_output_tokens: 120.0,
+        max_event_gap: Duration::from_millis(300),
+        tried_replicas: Vec::new(),
         salt: id,
     }
 }
@@ -84,7 +84,7 @@
     for (id, (tier, late)) in case.waiting.iter().enumerate() {
         let mut job = job(id as JobId, *tier, now + Duration::from_millis(id as u64));
         if *late {
-            job.due = now;
+            job.slo_deadline = now;
         }
         dispatch.enqueue(job);
     }
@@ -126,8 +126,8 @@
         dispatch.update_remote_load(&id.into(), case.elsewhere[at], 0.0);
     }
     let mut job = job(1, 0, now);
-    job.prompt = case.prompt;
-    job.output = case.output;
+    job.prompt_tokens = case.prompt;
+    job.expected_output_tokens = case.output;
     dispatch.enqueue(job);
     let placed = dispatch.assign(now);
     assert_eq!(&*placed[0].upstream, case.expected);
@@ -209,7 +209,7 @@
     dispatch.update_replicas(Instant::now(), &[replica("a", 0)]);
     fill(&mut dispatch, now, 20);
     let mut again = replica("a", 0);
-    again.born = 2;
+    again.incarnation = 2;
     dispatch.update_replicas(Instant::now(), &[again]);
     assert_eq!(dispatch.assign(now).len(), SLOTS as usize + 1);
 }
@@ -222,7 +222,7 @@
     dispatch.update_replicas(
         Instant::now(),
         &[Replica {
-            news,
+            propagation_delay: news,
             ..replica("a", 0)
         }],
     );
@@ -235,7 +235,7 @@
 fn contender(key: u32, tier: u32) -> Competitor {
     Competitor {
         service: DRAFTING.into(),
-        key,
+        address: key,
         class: (1, tier * 2),
     }
 }
@@ -368,7 +368,7 @@
     fill(&mut dispatch, now, u64::from(SLOTS) + 1);
     for (id, (tier, prompt, output)) in case.waiting.iter().enumerate() {
         let mut job = job(id as JobId, *tier, now + Duration::from_millis(id as u64));
-        (job.prompt, job.output) = (*prompt, *output);
+        (job.prompt_tokens, job.expected_output_tokens) = (*prompt, *output);
         dispatch.enqueue(job);
     }
     let mut order = Vec::new();
@@ -408,10 +408,10 @@
     let mut at = now;
     for id in 0..64 {
         let mut job = job(id, 0, at);
-        job.prompt = 200.0 + 150.0 * id as f64;
+        job.prompt_tokens = 200.0 + 150.0 * id as f64;
         // Every eighth one is held up by a prompt that is not known here.
         let unseen = if id % 8 == 0 { 300.0 } else { 0.0 };
-        let first_ms = engine.first + job.prompt / engine.reads + unseen;
+        let first_ms = engine.first + job.prompt_tokens / engine.reads + unseen;
         dispatch.enqueue(job);
         assert_eq!(dispatch.assign(at).len(), 1);
         at += Duration::from_secs_f64(first_ms / 1e3);
@@ -419,10 +419,10 @@
         dispatch.on_end(at, &"a".into(), id, Outcome::Served);
     }
     let mut job = job(100, 0, at);
-    job.prompt = 4000.0;
+    job.prompt_tokens = 4000.0;
     dispatch.enqueue(job);
     let cost_ms = dispatch.assign_preferring_connected(at, |_| true)[0]
-        .why
+        .details
         .cost_ms;
     let expected = engine.first + 4000.0 / engine.reads;
     let off = (cost_ms - expected).abs() / expected;
@@ -461,7 +461,7 @@
         dispatch.update_remote_load(&"fast".into(), SLOTS + 1, 0.0);
     }
     let mut long = job(1, 0, later);
-    long.output = case.output;
+    long.expected_output_tokens = case.output;
     dispatch.enqueue(long);
     let placed = dispatch.assign(later);
     let at = placed.first().map(|p| p.upstream.to_string());
@@ -479,11 +479,11 @@
     learn_step(&mut dispatch, now, "a", 5);
     for id in 0..32 {
         let mut job = job(id, 0, now);
-        job.prompt = 0.0;
+        job.prompt_tokens = 0.0;
         dispatch.enqueue(job);
         let at = now + Duration::from_millis(id);
         assert!(
-            dispatch.assign(at)[0].why.cost_ms.is_finite(),
+            dispatch.assign(at)[0].details.cost_ms.is_finite(),
             "request {id}"
         );
         dispatch.on_first_event(at, &"a".into(), id);
@@ -585,7 +585,7 @@
     let standing =
         dispatch.availability(now, &"drafting".into(), &Regions::named(["north".into()]));
     assert_eq!(
-        (standing.usable, standing.not_allowed, standing.full),
+        (standing.usable, standing.region_not_allowed, standing.full),
         (2, 1, 1)
     );
 }
@@ -603,7 +603,7 @@
     let cold = Replica {
         slots: 100,
         cold_until: Some(now + Duration::from_secs(3)),
-        bearable: Some(BEARABLE),
+        cold_limit: Some(BEARABLE),
         ..replica("a", 0)
     };
     dispatch.update_replicas(now, &[cold]);
@@ -625,7 +625,7 @@
         for dispatch in &mut zone {
             let at = now + Duration::from_millis(ms);
             let mut urgent = job(ms, 0, at);
-            urgent.give_up = at + Duration::from_secs(9);
+            urgent.queue_deadline = at + Duration::from_secs(9);
             dispatch.enqueue(urgent);
             for placed in dispatch.assign(at) {
                 given[(ms / 1000) as usize] += 1;
@@ -652,15 +652,21 @@
     let now = Instant::now();
     let mut dispatch = cold(now, 7, case.members);
     let away = Replica {
-        home: case.home,
+        in_own_zone: case.home,
         cold_until: Some(now + Duration::from_secs(3)),
-        bearable: Some(BEARABLE),
+        cold_limit: Some(BEARABLE),
         ..replica("a", 0)
     };
-    dispatch.update_replicas(now, &[Replica { born: 2, ..away }]);
+    dispatch.update_replicas(
+        now,
+        &[Replica {
+            incarnation: 2,
+            ..away
+        }],
+    );
     dispatch.enqueue(job(1, 0, now));
     assert!(dispatch.assign(now + Duration::from_secs(2)).is_empty());
     let standing = dispatch.availability(now, &"drafting".into(), &Regions::all());
-    assert_eq!((standing.closed, standing.left_alone), (1, 0));
+    assert_eq!((standing.cold_not_designated, standing.ejected), (1, 0));
     assert_eq!(dispatch.assign(now + Duration::from_secs(3)).len(), 1);
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -160,9 +160,9 @@
         self.peers.with_label_values(&["silent"]).set(known - heard);
         let openness = dispatch.replica_counts(now);
         for (state, count) in [
-            ("open", openness.open),
-            ("cold_kept", openness.cold_kept),
-            ("cold_closed", openness.cold_closed),
+            ("open", openness.accepting),
+            ("cold_kept", openness.cold_designated),
+            ("cold_closed", openness.cold_not_designated),
             ("unusable", openness.unusable),
         ] {
             self.openness
@@ -177,8 +177,8 @@
                     .with_label_values(&labels)
                     .set(f64::from(places));
             };
-            set("own", held.own);
-            set("elsewhere", held.elsewhere);
+            set("own", held.own_running);
+            set("elsewhere", held.remote_running);
             set("slots", held.slots);
         }
     }
--- a/crates/entry/src/node/places.rs
+++ b/crates/entry/src/node/places.rs
@@ -133,7 +133,7 @@
             }
             let mut lost = Vec::new();
             for p in placed {
-                if !self.tell(p.job, Ok((p.upstream.clone(), p.why))) {
+                if !self.tell(p.job, Ok((p.upstream.clone(), p.details))) {
                     lost.push(p);
                 }
             }
--- a/crates/entry/src/node/replicas.rs
+++ b/crates/entry/src/node/replicas.rs
@@ -121,7 +121,7 @@
             let found = services.binary_search_by(|(short, _)| short.cmp(&service));
             Some(Competitor {
                 service: services[found.ok()?].1.clone(),
-                key: address.to_bits(),
+                address: address.to_bits(),
                 class,
             })
         });
@@ -149,19 +149,19 @@
         let cfg = self.settings();
         Replica {
             id: published.id.clone(),
-            born: published.born,
+            incarnation: published.born,
             service: published.service.clone(),
             region: self.region_of(&published.zone),
             slots: published.slots,
-            round_trip: self.round_trip(&published.zone),
-            travel: self.travel(&published.zone),
-            news: gossip::news(self, &published.zone),
-            engine: tokens_per_event.is_some(),
+            weighted_round_trip: self.round_trip(&published.zone),
+            network_round_trip: self.travel(&published.zone),
+            propagation_delay: gossip::news(self, &published.zone),
+            is_engine: tokens_per_event.is_some(),
             tokens_per_event: tokens_per_event.unwrap_or(1),
             usable: !published.leaving && !self.emptied.borrow().has(&published.zone),
-            home: published.zone == cfg.availability_zone,
+            in_own_zone: published.zone == cfg.availability_zone,
             cold_until: self.cold_until(published, cold),
-            bearable: cold.map(|cold| cfg.bearable(cold.per_s)),
+            cold_limit: cold.map(|cold| cfg.bearable(cold.per_s)),
         }
     }
 
--- a/crates/entry/src/request/placing.rs
+++ b/crates/entry/src/request/placing.rs
@@ -81,21 +81,21 @@
         let own_rank = self.organisation.as_ref().and_then(|o| o.rank);
         Job {
             id: node.new_job(),
-            rank: (own_rank.unwrap_or(self.route.rank), self.route.rank),
-            received: self.received,
-            due: self.received + objective,
+            priority: (own_rank.unwrap_or(self.route.rank), self.route.rank),
+            received_at: self.received,
+            slo_deadline: self.received + objective,
             deadline: self.ends_by(node),
-            give_up: self.received + waits.mul_f64(GIVE_UP_AT),
+            queue_deadline: self.received + waits.mul_f64(GIVE_UP_AT),
             service: self.service.clone(),
             regions: self.regions(),
-            prompt: f64::from(self.call.prompt_tokens.unwrap_or(0)),
-            output: self.call.output(),
-            longest_pause: if stream {
+            prompt_tokens: f64::from(self.call.prompt_tokens.unwrap_or(0)),
+            expected_output_tokens: self.call.output(),
+            max_event_gap: if stream {
                 self.route.longest_pause
             } else {
                 Duration::ZERO
             },
-            tried: self.tried.clone(),
+            tried_replicas: self.tried.clone(),
             salt: rand::rng().random(),
         }
     }
@@ -132,9 +132,9 @@
         self.follow_table(node);
         let now = Instant::now();
         let mut job = self.job(node);
-        job.rank = (0, 0);
-        job.due = now + self.route.longest_pause;
-        job.give_up = now + PATIENCE.mul_f64(BEFORE_PATIENCE_ENDS);
+        job.priority = (0, 0);
+        job.slo_deadline = now + self.route.longest_pause;
+        job.queue_deadline = now + PATIENCE.mul_f64(BEFORE_PATIENCE_ENDS);
         let place = node.place(job).await.ok()?;
         self.follow_table(node);
         let target = self.target(node, &place)?;
