--- a/crates/decisions/src/cold.rs
+++ b/crates/decisions/src/cold.rs
@@ -27,44 +27,44 @@
 use crate::id::{Member, UpstreamId};
 
 /// The time over which requests to a cold replica are counted.
-pub const SPAN: Duration = Duration::from_secs(1);
+pub const COUNTING_WINDOW: Duration = Duration::from_secs(1);
 
 /// Keepers of one replica that may act in the same span: one on each side of a cut.
-pub const KEEPERS: u32 = 2;
+pub const MAX_SIMULTANEOUS_SENDERS: u32 = 2;
 
 /// What replicas of a service bear while they are cold.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Bearable {
+pub struct ColdLimit {
     /// Requests a second.
-    pub per_s: f64,
+    pub requests_per_s: f64,
     /// Most requests in a second that the operator tolerates, over all instances.
-    pub tolerated: f64,
+    pub tolerated_per_s: f64,
 }
 
-impl Bearable {
+impl ColdLimit {
     /// Requests that one keeper may send in any second.
-    pub fn share(&self) -> u32 {
-        let half = self.tolerated / f64::from(KEEPERS);
-        half.min(self.per_s).max(0.0) as u32
+    pub fn per_instance_limit(&self) -> u32 {
+        let half = self.tolerated_per_s / f64::from(MAX_SIMULTANEOUS_SENDERS);
+        half.min(self.requests_per_s).max(0.0) as u32
     }
 }
 
 /// The instance through which a cold replica is reached, among those of its zone.
-pub fn keeper(replica: &UpstreamId, members: &[Member]) -> Option<Member> {
+pub fn designated_instance(replica: &UpstreamId, members: &[Member]) -> Option<Member> {
     let rank = |m: &Member| (xxh3_64_with_seed(replica.as_bytes(), u64::from(*m)), *m);
     members.iter().copied().max_by_key(rank)
 }
 
 /// What one instance sends to one replica while it is cold.
 #[derive(Debug, Clone, Default)]
-pub struct Gate {
+pub struct ColdGate {
     /// From when on this instance may act as the keeper, if it is the one.
     keeps_from: Option<Instant>,
     /// Places given in the last span.
     given: VecDeque<Instant>,
 }
 
-impl Gate {
+impl ColdGate {
     /// The gate of a replica that has just become known, to which nobody has sent anything.
     pub fn new(now: Instant, keeps: bool) -> Self {
         Self {
@@ -74,29 +74,33 @@
     }
 
     /// Takes whether this instance is the keeper now.
-    pub fn set_keeps(&mut self, now: Instant, keeps: bool) {
+    pub fn set_designated(&mut self, now: Instant, keeps: bool) {
         self.keeps_from = match (keeps, self.keeps_from) {
             (false, _) => None,
-            (true, None) => Some(now + SPAN),
+            (true, None) => Some(now + COUNTING_WINDOW),
             (true, since) => since,
         };
     }
 
     /// Whether this instance may ever send there while the replica is cold, as things stand.
-    pub fn is_keeper(&self) -> bool {
+    pub fn is_designated(&self) -> bool {
         self.keeps_from.is_some()
     }
 
     /// Whether one more place may be given now, `share` being the most in any span.
     pub fn admits(&self, now: Instant, share: u32) -> bool {
-        let recent = self.given.iter().filter(|at| now < **at + SPAN);
+        let recent = self.given.iter().filter(|at| now < **at + COUNTING_WINDOW);
         let free = (recent.count() as u32) < share;
         free && self.keeps_from.is_some_and(|from| now >= from)
     }
 
     /// Notes a place that was given, also while the replica was warm: it may turn cold at any moment.
-    pub fn on_given(&mut self, now: Instant) {
-        while self.given.front().is_some_and(|at| now >= *at + SPAN) {
+    pub fn on_dispatch(&mut self, now: Instant) {
+        while self
+            .given
+            .front()
+            .is_some_and(|at| now >= *at + COUNTING_WINDOW)
+        {
             self.given.pop_front();
         }
         self.given.push_back(now);
--- a/crates/decisions/src/dispatch.rs
+++ b/crates/decisions/src/dispatch.rs
@@ -21,7 +21,7 @@
 
 use tokio::time::Instant;
 
-use crate::cold::{self, Gate};
+use crate::cold::{self, ColdGate};
 use crate::id::{Member, ServiceId, UpstreamId};
 use crate::regions::Regions;
 
@@ -78,7 +78,7 @@
                     known.replica = replica.clone();
                     known
                 }
-                None => Upstream::new(replica.clone(), Gate::new(now, self.keeps(replica))),
+                None => Upstream::new(replica.clone(), ColdGate::new(now, self.keeps(replica))),
             };
             self.upstreams.push(upstream);
         }
@@ -99,14 +99,16 @@
             .map(|u| self.keeps(&u.replica))
             .collect();
         for (u, keeps) in self.upstreams.iter_mut().zip(keeps) {
-            u.gate.set_keeps(now, keeps);
+            u.gate.set_designated(now, keeps);
         }
     }
 
     /// Whether the replica is reached through this instance while it is cold.
     fn keeps(&self, replica: &Replica) -> bool {
         let members = self.members.as_deref().filter(|_| replica.in_own_zone);
-        members.is_some_and(|members| cold::keeper(&replica.id, members) == Some(self.key))
+        members.is_some_and(|members| {
+            cold::designated_instance(&replica.id, members) == Some(self.key)
+        })
     }
 
     /// Takes what the other instances have at a replica.
@@ -398,7 +400,7 @@
             Duration::ZERO
         };
         let undelayed = u.replica.is_engine && u.reads_nothing();
-        u.gate.on_given(now);
+        u.gate.on_dispatch(now);
         u.running.push(Running {
             job: job.id,
             prompt: if u.replica.is_engine {
--- a/crates/decisions/src/dispatch/upstream.rs
+++ b/crates/decisions/src/dispatch/upstream.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use crate::cold::{Bearable, Gate};
+use crate::cold::{ColdGate, ColdLimit};
 use crate::dispatch::{Job, JobId, pace::Pace, size::Reading};
 use crate::id::{RegionId, ServiceId, UpstreamId};
 
@@ -93,7 +93,7 @@
     /// Until when it is cold.
     pub cold_until: Option<Instant>,
     /// What it bears until then; everything if it is not told.
-    pub cold_limit: Option<Bearable>,
+    pub cold_limit: Option<ColdLimit>,
 }
 
 #[derive(Debug)]
@@ -126,11 +126,11 @@
     /// When it could not be reached last.
     missed_at: Option<Instant>,
     /// What is sent to it while it is cold.
-    pub(super) gate: Gate,
+    pub(super) gate: ColdGate,
 }
 
 impl Upstream {
-    pub(super) fn new(replica: Replica, gate: Gate) -> Self {
+    pub(super) fn new(replica: Replica, gate: ColdGate) -> Self {
         Self {
             replica,
             pace: Pace::default(),
@@ -166,7 +166,7 @@
     }
 
     /// What it bears, while it is cold.
-    fn bears(&self, now: Instant) -> Option<Bearable> {
+    fn bears(&self, now: Instant) -> Option<ColdLimit> {
         let is_cold = self.replica.cold_until.is_some_and(|until| now < until);
         self.replica.cold_limit.filter(|_| is_cold)
     }
@@ -178,13 +178,13 @@
 
     /// Whether it is cold and another instance is its keeper.
     pub(super) fn is_closed(&self, now: Instant) -> bool {
-        self.is_cold(now) && !self.gate.is_keeper()
+        self.is_cold(now) && !self.gate.is_designated()
     }
 
     /// Whether it bears one more request now.
     fn admits(&self, now: Instant) -> bool {
         let bears = self.bears(now);
-        bears.is_none_or(|bears| self.gate.admits(now, bears.share()))
+        bears.is_none_or(|bears| self.gate.admits(now, bears.per_instance_limit()))
     }
 
     /// Whether one request may try it though it is left alone, as no other replica takes work.
--- a/crates/decisions/src/emptied.rs
+++ b/crates/decisions/src/drained_zones.rs
@@ -10,7 +10,7 @@
 
 /// The emptied zones, and when zones were taken into use again.
 #[derive(Debug, Default)]
-pub struct EmptiedZones {
+pub struct DrainedZones {
     /// Sorted.
     emptied: Vec<ZoneId>,
     /// Sorted by zone.
@@ -21,19 +21,19 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Change {
     /// Zones that are emptied from now on.
-    pub emptied: Vec<ZoneId>,
+    pub drained: Vec<ZoneId>,
     /// Zones that are in use again.
-    pub refilled: Vec<ZoneId>,
+    pub restored: Vec<ZoneId>,
 }
 
-impl EmptiedZones {
+impl DrainedZones {
     /// No zone is emptied.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Takes the zones that are to be empty now.
-    pub fn set<I>(&mut self, now: Instant, zones: I) -> Change
+    pub fn update<I>(&mut self, now: Instant, zones: I) -> Change
     where
         I: IntoIterator<Item = ZoneId>,
     {
@@ -45,18 +45,18 @@
             missing.cloned().collect()
         };
         let change = Change {
-            emptied: missing(&self.emptied, &zones),
-            refilled: missing(&zones, &self.emptied),
+            drained: missing(&self.emptied, &zones),
+            restored: missing(&zones, &self.emptied),
         };
         self.emptied = zones;
-        for zone in &change.refilled {
+        for zone in &change.restored {
             self.note_refilled(now, zone);
         }
         change
     }
 
     /// Whether the replicas of a zone get nothing new.
-    pub fn has(&self, zone: &str) -> bool {
+    pub fn contains(&self, zone: &str) -> bool {
         self.emptied.binary_search_by(|z| (**z).cmp(zone)).is_ok()
     }
 
@@ -66,7 +66,7 @@
     }
 
     /// When a zone was taken into use again last: what its replicas kept may be gone since.
-    pub fn refilled_at(&self, zone: &str) -> Option<Instant> {
+    pub fn restored_at(&self, zone: &str) -> Option<Instant> {
         let at = self.refilled.binary_search_by(|(z, _)| (**z).cmp(zone));
         at.ok().map(|at| self.refilled[at].1)
     }
--- a/crates/decisions/src/elsewhere.rs
+++ b/crates/decisions/src/remote_load.rs
@@ -11,7 +11,7 @@
 
 /// What an instance has at one replica.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Load {
+pub struct ReplicaLoad {
     /// The replica.
     pub replica: ShortName,
     /// Requests of the instance there.
@@ -22,7 +22,7 @@
 
 /// What all other instances have at one replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Sum {
+pub struct TotalLoad {
     /// Requests there.
     pub running: u32,
     /// Their prompt tokens that are still to be read.
@@ -31,19 +31,19 @@
 
 /// Sums by replica, and which of them have changed since somebody looked.
 #[derive(Debug, Default)]
-pub struct Elsewhere {
-    sums: Vec<(ShortName, Sum)>,
+pub struct RemoteLoad {
+    sums: Vec<(ShortName, TotalLoad)>,
     changed: Vec<ShortName>,
 }
 
-impl Elsewhere {
+impl RemoteLoad {
     /// Nobody has anything anywhere.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Replaces what one instance had by what it has. Most of it stays from message to message.
-    pub fn replace(&mut self, before: &[Load], after: &[Load]) {
+    pub fn replace(&mut self, before: &[ReplicaLoad], after: &[ReplicaLoad]) {
         for load in before.iter().filter(|l| !after.contains(l)) {
             let sum = self.change(load.replica);
             sum.running -= u32::from(load.running);
@@ -57,13 +57,13 @@
     }
 
     /// What the others have at a replica.
-    pub fn at(&self, replica: ShortName) -> Sum {
+    pub fn get(&self, replica: ShortName) -> TotalLoad {
         let found = self.sums.binary_search_by(|(r, _)| r.cmp(&replica));
-        found.map_or_else(|_| Sum::default(), |at| self.sums[at].1)
+        found.map_or_else(|_| TotalLoad::default(), |at| self.sums[at].1)
     }
 
     /// All replicas at which the others have or had something.
-    pub fn all(&self) -> &[(ShortName, Sum)] {
+    pub fn totals(&self) -> &[(ShortName, TotalLoad)] {
         &self.sums
     }
 
@@ -75,11 +75,11 @@
         changed
     }
 
-    fn change(&mut self, replica: ShortName) -> &mut Sum {
+    fn change(&mut self, replica: ShortName) -> &mut TotalLoad {
         self.changed.push(replica);
         let found = self.sums.binary_search_by(|(r, _)| r.cmp(&replica));
         let at = found.unwrap_or_else(|at| {
-            self.sums.insert(at, (replica, Sum::default()));
+            self.sums.insert(at, (replica, TotalLoad::default()));
             at
         });
         &mut self.sums[at].1
--- a/crates/decisions/tests/cold.rs
+++ b/crates/decisions/tests/cold.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use kingcupfield_decisions::cold::{Bearable, Gate, KEEPERS, SPAN, keeper};
+use kingcupfield_decisions::cold::{
+    COUNTING_WINDOW, ColdGate, ColdLimit, MAX_SIMULTANEOUS_SENDERS, designated_instance,
+};
 use kingcupfield_decisions::id::{Member, UpstreamId};
 use rand::prelude::*;
 use rand_chacha::ChaCha8Rng;
@@ -23,12 +25,15 @@
     below_nothing = { Share { per_s: -1.0, tolerated: 4.0, expected: 0 } },
 )]
 fn a_share_leaves_room_for_a_second_keeper(case: Share) {
-    let bearable = Bearable {
-        per_s: case.per_s,
-        tolerated: case.tolerated,
+    let bearable = ColdLimit {
+        requests_per_s: case.per_s,
+        tolerated_per_s: case.tolerated,
     };
-    assert_eq!(bearable.share(), case.expected);
-    assert!(f64::from(bearable.share() * KEEPERS) <= case.tolerated.max(0.0));
+    assert_eq!(bearable.per_instance_limit(), case.expected);
+    assert!(
+        f64::from(bearable.per_instance_limit() * MAX_SIMULTANEOUS_SENDERS)
+            <= case.tolerated.max(0.0)
+    );
 }
 
 /// Most of the times that lie within one span of each other.
@@ -37,7 +42,7 @@
     let within = |from: &Instant| {
         times
             .iter()
-            .filter(|t| *t >= from && **t < *from + SPAN)
+            .filter(|t| *t >= from && **t < *from + COUNTING_WINDOW)
             .count()
     };
     times.iter().map(within).max().unwrap_or(0)
@@ -48,12 +53,12 @@
 #[test]
 fn a_gate_gives_no_more_than_its_share_in_any_span() {
     let start = Instant::now();
-    let mut gate = Gate::new(start, true);
+    let mut gate = ColdGate::new(start, true);
     let mut given = Vec::new();
     for ms in (0..5000).step_by(7) {
         let now = start + Duration::from_millis(ms);
         if gate.admits(now, 5) {
-            gate.on_given(now);
+            gate.on_dispatch(now);
             given.push(now);
         }
     }
@@ -80,9 +85,9 @@
 fn a_new_keeper_waits(case: Keeping) {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
-    let mut gate = Gate::new(start, false);
+    let mut gate = ColdGate::new(start, false);
     for (ms, keeps) in case.changes {
-        gate.set_keeps(at(*ms), *keeps);
+        gate.set_designated(at(*ms), *keeps);
     }
     assert_eq!(gate.admits(at(case.asked_at), 5), case.admits);
 }
@@ -103,8 +108,8 @@
             members.shuffle(&mut rng);
             members
         };
-        let by_first = keeper(&replica, &known(first, second)) == Some(first);
-        let by_second = keeper(&replica, &known(second, first)) == Some(second);
+        let by_first = designated_instance(&replica, &known(first, second)) == Some(first);
+        let by_second = designated_instance(&replica, &known(second, first)) == Some(second);
         assert!(!(by_first && by_second));
     }
 }
@@ -114,9 +119,11 @@
 fn keepers_are_spread_over_the_zone() {
     let members: Vec<Member> = (1..=13).collect();
     let replicas = (0..15).map(|n| UpstreamId::from(format!("i-{n}")));
-    let mut keepers: Vec<Member> = replicas.filter_map(|r| keeper(&r, &members)).collect();
+    let mut keepers: Vec<Member> = replicas
+        .filter_map(|r| designated_instance(&r, &members))
+        .collect();
     keepers.sort_unstable();
     keepers.dedup();
     assert!(keepers.len() >= 6, "{} keepers", keepers.len());
-    assert_eq!(keeper(&"i-0".into(), &[]), None);
+    assert_eq!(designated_instance(&"i-0".into(), &[]), None);
 }
--- a/crates/decisions/tests/dispatch.rs
+++ b/crates/decisions/tests/dispatch.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kingcupfield_decisions::cold::Bearable;
+use kingcupfield_decisions::cold::ColdLimit;
 use kingcupfield_decisions::dispatch::{Competitor, Dispatcher, Job, JobId, Outcome, Replica};
 use kingcupfield_decisions::regions::Regions;
 use tokio::time::Instant;
@@ -591,9 +591,9 @@
 }
 
 /// What a cold replica of these tests bears.
-const BEARABLE: Bearable = Bearable {
-    per_s: 5.6,
-    tolerated: 13.4,
+const BEARABLE: ColdLimit = ColdLimit {
+    requests_per_s: 5.6,
+    tolerated_per_s: 13.4,
 };
 
 /// A replica of the zone of `members` that is cold for three seconds, as the instance `key` sees it.
--- a/crates/decisions/tests/emptied.rs
+++ b/crates/decisions/tests/drained_zones.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kingcupfield_decisions::emptied::EmptiedZones;
+use kingcupfield_decisions::drained_zones::DrainedZones;
 use tokio::time::Instant;
 use yare::parameterized;
 
@@ -39,18 +39,18 @@
 )]
 fn a_zone_is_emptied_while_it_is_listed(series: Series) {
     let start = Instant::now();
-    let mut zones = EmptiedZones::new();
+    let mut zones = DrainedZones::new();
     for (at, step) in series.steps.iter().enumerate() {
         let now = start + Duration::from_secs(at as u64);
-        let change = zones.set(now, step.zones.iter().map(|z| (*z).into()));
-        assert_eq!(names(&change.emptied), step.emptied);
-        assert_eq!(names(&change.refilled), step.refilled);
+        let change = zones.update(now, step.zones.iter().map(|z| (*z).into()));
+        assert_eq!(names(&change.drained), step.emptied);
+        assert_eq!(names(&change.restored), step.refilled);
         for zone in ["a", "b", "c"] {
-            assert_eq!(zones.has(zone), step.zones.contains(&zone));
+            assert_eq!(zones.contains(zone), step.zones.contains(&zone));
         }
         for zone in step.refilled {
-            assert_eq!(zones.refilled_at(zone), Some(now));
+            assert_eq!(zones.restored_at(zone), Some(now));
         }
     }
-    assert_eq!(zones.refilled_at("a"), None);
+    assert_eq!(zones.restored_at("a"), None);
 }
--- a/crates/entry/src/gossip/own.rs
+++ b/crates/entry/src/gossip/own.rs
@@ -3,8 +3,8 @@
 use std::net::Ipv4Addr;
 
 use kingcupfield_decisions::dispatch::PriorityClass;
-use kingcupfield_decisions::elsewhere::Load;
 use kingcupfield_decisions::id::{ShortName, short_name};
+use kingcupfield_decisions::remote_load::ReplicaLoad;
 use tokio::time::Instant;
 
 use crate::node::{Node, Stage};
@@ -12,7 +12,7 @@
 /// What others need to know at once when it changes.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(super) struct News {
-    pub(super) loads: Vec<Load>,
+    pub(super) loads: Vec<ReplicaLoad>,
     pub(super) waiting: Vec<(ShortName, PriorityClass)>,
     pub(super) upto: u64,
     pub(super) zone_size: u16,
@@ -38,12 +38,12 @@
         .collect()
 }
 
-fn own_loads(node: &Node) -> Vec<Load> {
+fn own_loads(node: &Node) -> Vec<ReplicaLoad> {
     node.dispatch
         .borrow()
         .own_load()
         .filter(|(_, running, _, _)| *running > 0)
-        .map(|(id, running, prompt, _)| Load {
+        .map(|(id, running, prompt, _)| ReplicaLoad {
             replica: short_name(id),
             running: running as u16,
             prompt: prompt as u32,
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -10,7 +10,7 @@
 
 use kingcupfield_decisions::credit::{Ledger, Number, Verdict as CreditVerdict};
 use kingcupfield_decisions::dispatch::{Dispatcher, JobId};
-use kingcupfield_decisions::emptied::EmptiedZones;
+use kingcupfield_decisions::drained_zones::DrainedZones;
 use kingcupfield_decisions::id::{ServiceId, ShortName, UpstreamId, short_name};
 use kingcupfield_decisions::known::Known;
 use kingcupfield_decisions::repeats::Repeats;
@@ -80,7 +80,7 @@
     /// The other instances.
     pub peers: RefCell<Peers>,
     /// Zones whose replicas get nothing new.
-    pub emptied: RefCell<EmptiedZones>,
+    pub emptied: RefCell<DrainedZones>,
     /// Waiting requests and the load of replicas.
     pub dispatch: RefCell<Dispatcher>,
     /// Wakes the reader of the directory.
@@ -155,7 +155,7 @@
                     .with_zones(credit::zones(&cfg)),
             ),
             dispatch: RefCell::new(Dispatcher::new().with_address(cfg.address().to_bits())),
-            emptied: RefCell::new(EmptiedZones::new()),
+            emptied: RefCell::new(DrainedZones::new()),
             reread: Notify::new(),
             greet: RefCell::new(Vec::new()),
             greeting: Notify::new(),
--- a/crates/entry/src/node/replicas.rs
+++ b/crates/entry/src/node/replicas.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::dispatch::{Competitor, PriorityClass, Replica};
-use kingcupfield_decisions::elsewhere::Sum;
 use kingcupfield_decisions::id::{RegionId, ShortName, UpstreamId, ZoneId, short_name};
+use kingcupfield_decisions::remote_load::TotalLoad;
 use tokio::time::Instant;
 
 use super::Node;
@@ -40,10 +40,10 @@
 impl Node {
     /// Takes the zones whose replicas are to get nothing new.
     pub fn set_emptied(&self, now: Instant, zones: Vec<ZoneId>) {
-        let change = self.emptied.borrow_mut().set(now, zones);
+        let change = self.emptied.borrow_mut().update(now, zones);
         for (zones, event) in [
-            (change.emptied, "zone_emptied"),
-            (change.refilled, "zone_refilled"),
+            (change.drained, "zone_emptied"),
+            (change.restored, "zone_refilled"),
         ] {
             for zone in zones {
                 self.log
@@ -103,7 +103,7 @@
     }
 
     /// Takes what the other instances have at a replica.
-    pub fn set_elsewhere(&self, name: ShortName, sum: Sum) {
+    pub fn set_elsewhere(&self, name: ShortName, sum: TotalLoad) {
         if let Some(id) = self.replica_by_short_name(name) {
             let prompt = sum.prompt as f64;
             let mut dispatch = self.dispatch.borrow_mut();
@@ -158,7 +158,7 @@
             propagation_delay: gossip::news(self, &published.zone),
             is_engine: tokens_per_event.is_some(),
             tokens_per_event: tokens_per_event.unwrap_or(1),
-            usable: !published.leaving && !self.emptied.borrow().has(&published.zone),
+            usable: !published.leaving && !self.emptied.borrow().contains(&published.zone),
             in_own_zone: published.zone == cfg.availability_zone,
             cold_until: self.cold_until(published, cold),
             cold_limit: cold.map(|cold| cfg.bearable(cold.per_s)),
@@ -167,7 +167,7 @@
 
     /// Until when a replica is cold: as it says, or as one must be taken to be whose zone was emptied.
     fn cold_until(&self, published: &Published, cold: Option<ColdStart>) -> Option<Instant> {
-        let refilled = self.emptied.borrow().refilled_at(&published.zone);
+        let refilled = self.emptied.borrow().restored_at(&published.zone);
         let since = refilled.zip(cold).map(|(at, cold)| at + cold.lasts);
         published.cold_until.max(since)
     }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -13,9 +13,9 @@
 
 use kingcupfield_decisions::credit::Distance;
 use kingcupfield_decisions::dispatch::PriorityClass;
-use kingcupfield_decisions::elsewhere::{Elsewhere, Sum};
 use kingcupfield_decisions::id::ShortName;
 use kingcupfield_decisions::known::Revision;
+use kingcupfield_decisions::remote_load::{RemoteLoad, TotalLoad};
 use tokio::time::Instant;
 
 pub use digest::{Digest, PeerMessage, Reach};
@@ -74,7 +74,7 @@
     has_contacts: bool,
     others: Vec<Peer>,
     leavers: Vec<Leaver>,
-    elsewhere: Elsewhere,
+    elsewhere: RemoteLoad,
     started: Instant,
     /// When another instance became known last, and one of the own zone.
     learned: Instant,
@@ -100,7 +100,7 @@
             has_contacts,
             others: Vec::new(),
             leavers: Vec::new(),
-            elsewhere: Elsewhere::new(),
+            elsewhere: RemoteLoad::new(),
             started: now,
             learned: now,
             learned_home: now,
@@ -352,13 +352,13 @@
     }
 
     /// What the others have at a replica.
-    pub fn load_at(&self, replica: ShortName) -> Sum {
-        self.elsewhere.at(replica)
+    pub fn load_at(&self, replica: ShortName) -> TotalLoad {
+        self.elsewhere.get(replica)
     }
 
     /// All replicas at which the others have or had something.
-    pub fn loads(&self) -> &[(ShortName, Sum)] {
-        self.elsewhere.all()
+    pub fn loads(&self) -> &[(ShortName, TotalLoad)] {
+        self.elsewhere.totals()
     }
 
     /// The replicas at which the others' load has changed since the last call.
--- a/crates/entry/src/peers/digest.rs
+++ b/crates/entry/src/peers/digest.rs
@@ -4,9 +4,9 @@
 
 use kingcupfield_decisions::credit;
 use kingcupfield_decisions::dispatch::PriorityClass;
-use kingcupfield_decisions::elsewhere::Load;
 use kingcupfield_decisions::id::ShortName;
 use kingcupfield_decisions::known::Revision;
+use kingcupfield_decisions::remote_load::ReplicaLoad;
 use serde::{Deserialize, Serialize};
 
 /// A datagram from one instance to another.
@@ -52,7 +52,7 @@
     /// Replicas that it could not reach just now.
     pub unreachable: Vec<ShortName>,
     /// Its load at replicas; those that are missing have none.
-    pub loads: Vec<Load>,
+    pub loads: Vec<ReplicaLoad>,
     /// The most urgent class that waits there, by service; none where nothing waits.
     pub waiting: Vec<(ShortName, PriorityClass)>,
     /// Microseconds a step that it has learned of replicas; not in every message.
--- a/crates/entry/src/peers/peer.rs
+++ b/crates/entry/src/peers/peer.rs
@@ -2,8 +2,8 @@
 
 use std::net::Ipv4Addr;
 
-use kingcupfield_decisions::elsewhere::{Elsewhere, Load};
 use kingcupfield_decisions::id::ShortName;
+use kingcupfield_decisions::remote_load::{RemoteLoad, ReplicaLoad};
 use tokio::time::Instant;
 
 use super::{Digest, FORGOTTEN, SILENT};
@@ -62,8 +62,8 @@
     }
 
     /// Counts its load, in place of what was counted before.
-    pub(super) fn count(&mut self, elsewhere: &mut Elsewhere, loads: &[Load]) {
-        let before: &[Load] = if self.counted {
+    pub(super) fn count(&mut self, elsewhere: &mut RemoteLoad, loads: &[ReplicaLoad]) {
+        let before: &[ReplicaLoad] = if self.counted {
             &self.digest.loads
         } else {
             &[]
@@ -72,7 +72,7 @@
         self.counted = true;
     }
 
-    pub(super) fn count_nothing(&mut self, elsewhere: &mut Elsewhere) {
+    pub(super) fn count_nothing(&mut self, elsewhere: &mut RemoteLoad) {
         self.count(elsewhere, &[]);
         self.counted = false;
     }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use kingcupfield_decisions::cold::Bearable;
+use kingcupfield_decisions::cold::ColdLimit;
 use kingcupfield_decisions::credit::Tolerance;
 use kingcupfield_decisions::id::{InstanceId, RegionId, ZoneId};
 use kingcupfield_decisions::repeats::RepeatBounds;
@@ -238,10 +238,10 @@
     }
 
     /// What cold replicas of a service bear.
-    pub fn bearable(&self, per_s: f64) -> Bearable {
-        Bearable {
-            per_s,
-            tolerated: per_s * self.cold_tolerance.times + self.cold_tolerance.extra,
+    pub fn bearable(&self, per_s: f64) -> ColdLimit {
+        ColdLimit {
+            requests_per_s: per_s,
+            tolerated_per_s: per_s * self.cold_tolerance.times + self.cold_tolerance.extra,
         }
     }
 
--- a/crates/entry/tests/outbox.rs
+++ b/crates/entry/tests/outbox.rs
@@ -2,7 +2,7 @@
 
 use std::net::Ipv4Addr;
 
-use kingcupfield_decisions::elsewhere::Load;
+use kingcupfield_decisions::remote_load::ReplicaLoad;
 use kingcupfield_entry::outbox::{Gathered, Outbox, datagrams};
 use kingcupfield_entry::peers::{Digest, PeerMessage};
 use yare::parameterized;
@@ -12,7 +12,7 @@
 }
 
 fn digest(seq: u32, loads: usize) -> Digest {
-    let load = |replica| Load {
+    let load = |replica| ReplicaLoad {
         replica,
         running: 1,
         prompt: 500,
--- a/crates/entry/tests/peers.rs
+++ b/crates/entry/tests/peers.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::credit::Distance;
-use kingcupfield_decisions::elsewhere::{Load, Sum};
+use kingcupfield_decisions::remote_load::{ReplicaLoad, TotalLoad};
 use kingcupfield_entry::peers::{Digest, Nearness, PeerMessage, Peers};
 use proptest::prelude::*;
 use tokio::time::Instant;
@@ -23,7 +23,7 @@
         region: 1,
         store_age_ms: Some(100),
         zone_size: 1,
-        loads: vec![Load {
+        loads: vec![ReplicaLoad {
             replica: 4,
             running: 3,
             prompt: 500,
@@ -40,7 +40,7 @@
     let mut peers = Peers::new(now, OWN, true).with_zones([(1, Distance::Home)]);
     peers.on_digest(now, address(1), digest(1));
     peers.on_digest(now, address(2), digest(1));
-    let load = |running, prompt| Sum { running, prompt };
+    let load = |running, prompt| TotalLoad { running, prompt };
     assert_eq!(peers.load_at(4), load(6, 1000));
     let later = now + Duration::from_secs(3);
     peers.on_digest(later, address(2), digest(1));
--- a/crates/spec/src/cold.rs
+++ b/crates/spec/src/cold.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use kingcupfield_decisions::cold::{Bearable, Gate, SPAN, keeper};
+use kingcupfield_decisions::cold::{COUNTING_WINDOW, ColdGate, ColdLimit, designated_instance};
 use kingcupfield_decisions::id::{Member, UpstreamId};
 use tokio::time::Instant;
 
@@ -15,9 +15,9 @@
 const STEP: Duration = Duration::from_millis(500);
 
 /// One request for each keeper.
-const BEARABLE: Bearable = Bearable {
-    per_s: 1.0,
-    tolerated: 2.0,
+const BEARABLE: ColdLimit = ColdLimit {
+    requests_per_s: 1.0,
+    tolerated_per_s: 2.0,
 };
 
 /// Instances of the zone.
@@ -68,7 +68,7 @@
 
 #[derive(Debug, Clone)]
 struct Instance {
-    gate: Gate,
+    gate: ColdGate,
     /// The instances that it knows, with itself.
     known: [bool; INSTANCES],
     left: bool,
@@ -90,7 +90,7 @@
     pub fn new(variant: Variant, bounds: Bounds) -> Self {
         let now = Instant::now() + Duration::from_mins(1);
         let instance = Instance {
-            gate: Gate::new(now, false),
+            gate: ColdGate::new(now, false),
             known: [true; INSTANCES],
             left: false,
         };
@@ -104,7 +104,7 @@
         };
         // The replica becomes known, to which nobody has sent anything.
         for at in 0..INSTANCES {
-            model.instances[at].gate = Gate::new(now, model.keeps(at));
+            model.instances[at].gate = ColdGate::new(now, model.keeps(at));
         }
         model
     }
@@ -125,7 +125,7 @@
             .filter(|m| *m == at || instance.known[*m] && !forgets)
             .map(member)
             .collect();
-        keeper(&replica(), &members) == Some(member(at))
+        designated_instance(&replica(), &members) == Some(member(at))
     }
 
     /// Whether it knows another instance, and those that it knows know it.
@@ -140,10 +140,10 @@
         for at in 0..INSTANCES {
             let keeps = self.keeps(at);
             let now = match self.variant {
-                Variant::DoesNotWait => self.now - SPAN,
+                Variant::DoesNotWait => self.now - COUNTING_WINDOW,
                 _ => self.now,
             };
-            self.instances[at].gate.set_keeps(now, keeps);
+            self.instances[at].gate.set_designated(now, keeps);
         }
     }
 
@@ -151,7 +151,7 @@
         let mut known = [false; INSTANCES];
         known[at] = true;
         self.instances[at] = Instance {
-            gate: Gate::new(self.now, false),
+            gate: ColdGate::new(self.now, false),
             known,
             left: false,
         };
@@ -176,8 +176,8 @@
 
     fn send(&mut self, at: usize) {
         let gate = &mut self.instances[at].gate;
-        if gate.admits(self.now, BEARABLE.share()) {
-            gate.on_given(self.now);
+        if gate.admits(self.now, BEARABLE.per_instance_limit()) {
+            gate.on_dispatch(self.now);
             self.sent.push(self.now);
         }
     }
@@ -244,11 +244,11 @@
             let within = self
                 .sent
                 .iter()
-                .filter(|at| **at >= *from && **at < *from + SPAN);
+                .filter(|at| **at >= *from && **at < *from + COUNTING_WINDOW);
             within.count()
         };
         let most = self.sent.iter().map(within).max().unwrap_or(0);
-        let broken = most as f64 > BEARABLE.tolerated;
+        let broken = most as f64 > BEARABLE.tolerated_per_s;
         broken.then_some("a cold replica gets no more than is tolerated")
     }
 }
