--- a/crates/decisions/src/membership.rs
+++ b/crates/decisions/src/membership.rs
@@ -22,7 +22,7 @@
 use crate::id::{Incarnation, InstanceId, UpstreamId, Version, ZoneId};
 use crate::values::{Instances, Role, State};
 
-pub use message::{Claim, Health, LeavingUpstream, MembershipMessage, Send};
+pub use message::{Claim, Envelope, Health, LeavingUpstream, MembershipMessage};
 use peer::{Listed, Peer};
 use upstreams::Upstreams;
 
@@ -35,7 +35,7 @@
 ///
 /// Three neighbours, twice a second, with answers: about 12 messages a second of 150 to 400 bytes,
 /// a third of the 9 KB/s that a node may spend on control.
-pub const HEARTBEAT_EVERY: Duration = Duration::from_millis(500);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Silence after which a neighbour is suspected: three heartbeats in a row were lost.
 pub const SUSPECT_AFTER: Duration = Duration::from_millis(1500);
@@ -46,31 +46,31 @@
 
 /// How often one instance that is dead here but still listed is greeted again, so that two sides
 /// of a healed cut, which hold each other dead, find together.
-pub const PROBE_EVERY: Duration = Duration::from_secs(2);
+pub const DEAD_PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// How long a dead or gone instance is remembered once the list has dropped it.
 pub const FORGET_AFTER: Duration = Duration::from_mins(1);
 
 /// Neighbours that each instance watches; with three a neighbour may die together with a watcher.
-pub const WATCHED: usize = 3;
+pub const WATCHED_NEIGHBOURS: usize = 3;
 
 /// Instances of each zone that watch instances of the other zones.
-pub const BRIDGES: usize = 2;
+pub const BRIDGES_PER_ZONE: usize = 2;
 
 /// Instances of each zone that wait on the platform; the rest poll slowly and hear from peers.
-pub const PLATFORM_READERS: usize = 2;
+pub const PLATFORM_READERS_PER_ZONE: usize = 2;
 
 /// Most entry instances that are remembered, three times the size expected within two years.
 pub const MAX_PEERS: usize = 1024;
 
 /// Most claims in one heartbeat; the rest follow in turn.
-pub const CLAIMS_PER_HEARTBEAT: usize = 2;
+pub const MAX_CLAIMS_PER_HEARTBEAT: usize = 2;
 
 /// The live instances of one zone.
 #[derive(Debug)]
 struct ZoneView {
     zone: ZoneId,
-    live: Vec<InstanceId>,
+    live_instances: Vec<InstanceId>,
 }
 
 /// One instance's view of all entry instances and of the leaving upstreams.
@@ -119,7 +119,12 @@
     ///
     /// An instance that the list has dropped stays while peers show it: the list lags, and one
     /// that was cut short must not end a fleet that works.
-    pub fn on_list(&mut self, now: Instant, version: Version, list: &Instances) -> Vec<Send> {
+    pub fn on_instance_list(
+        &mut self,
+        now: Instant,
+        version: Version,
+        list: &Instances,
+    ) -> Vec<Envelope> {
         for peer in &mut self.peers {
             peer.listed = Listed::Absent;
         }
@@ -144,13 +149,13 @@
     }
 
     /// Notes a replica's own word that it leaves.
-    pub fn on_upstream_leaving(&mut self, now: Instant, upstream: &UpstreamId) -> Vec<Send> {
+    pub fn on_upstream_leaving(&mut self, now: Instant, upstream: &UpstreamId) -> Vec<Envelope> {
         let news = self.upstreams.on_report(now, upstream);
         self.tell_upstreams(news.into_iter().collect())
     }
 
     /// Announces that this instance leaves.
-    pub fn leave(&mut self) -> Vec<Send> {
+    pub fn leave(&mut self) -> Vec<Envelope> {
         if self.leaving {
             return Vec::new();
         }
@@ -163,7 +168,7 @@
 
     /// Takes the time: greets, suspects, declares dead, forgets. Call it every
     /// [`HEARTBEAT_EVERY`] or more often.
-    pub fn on_tick(&mut self, now: Instant) -> Vec<Send> {
+    pub fn on_tick(&mut self, now: Instant) -> Vec<Envelope> {
         if now.duration_since(self.ticked) >= SUSPECT_AFTER {
             // This process itself was paused: everybody looks silent, and it would declare its
             // whole zone dead. The watch starts anew instead.
@@ -175,11 +180,11 @@
         self.ticked = now;
         let mut out = self.suspect_silent(now);
         self.expire(now);
-        if now.duration_since(self.greeted) >= HEARTBEAT_EVERY {
+        if now.duration_since(self.greeted) >= HEARTBEAT_INTERVAL {
             self.greeted = now;
             out.extend(self.greet());
         }
-        if now.duration_since(self.probed) >= PROBE_EVERY {
+        if now.duration_since(self.probed) >= DEAD_PROBE_INTERVAL {
             self.probed = now;
             out.extend(self.probe());
         }
@@ -188,16 +193,16 @@
     }
 
     /// When [`Self::on_tick`] has something to do next.
-    pub fn wakeup(&self) -> Instant {
-        self.greeted + HEARTBEAT_EVERY
+    pub fn next_tick_at(&self) -> Instant {
+        self.greeted + HEARTBEAT_INTERVAL
     }
 
     /// Live instances of a zone, sorted; the ground of ownership. Suspected ones still count,
     /// leaving ones do not.
-    pub fn live(&self, zone: &str) -> &[InstanceId] {
+    pub fn live_instances(&self, zone: &str) -> &[InstanceId] {
         self.views
             .binary_search_by(|v| (*v.zone).cmp(zone))
-            .map_or(&[], |i| &self.views[i].live)
+            .map_or(&[], |i| &self.views[i].live_instances)
     }
 
     /// Zones with at least one live instance, sorted.
@@ -211,10 +216,10 @@
     }
 
     /// What is known about an instance; none if it is unknown.
-    pub fn state(&self, instance: &str) -> Option<Standing> {
+    pub fn status(&self, instance: &str) -> Option<InstanceStatus> {
         if *instance == *self.me {
-            let leaving = self.leaving.then_some(Standing::Leaving);
-            return Some(leaving.unwrap_or(Standing::Live));
+            let leaving = self.leaving.then_some(InstanceStatus::Leaving);
+            return Some(leaving.unwrap_or(InstanceStatus::Live));
         }
         self.peer(instance).map(Peer::standing)
     }
@@ -241,12 +246,13 @@
 
     /// Whether this instance is one of the few of its zone that wait on the platform.
     pub fn reads_platform(&self) -> bool {
-        self.rank().is_some_and(|rank| rank < PLATFORM_READERS)
+        self.rank()
+            .is_some_and(|rank| rank < PLATFORM_READERS_PER_ZONE)
     }
 
     /// Position among the live instances of the zone; none while leaving.
     fn rank(&self) -> Option<usize> {
-        self.live(&self.zone).binary_search(&self.me).ok()
+        self.live_instances(&self.zone).binary_search(&self.me).ok()
     }
 
     fn peer(&self, instance: &str) -> Option<&Peer> {
@@ -270,7 +276,7 @@
         }
     }
 
-    fn suspect_silent(&mut self, now: Instant) -> Vec<Send> {
+    fn suspect_silent(&mut self, now: Instant) -> Vec<Envelope> {
         let mut out = Vec::new();
         for id in self.watched() {
             let Ok(i) = self.position(&id) else { continue };
@@ -280,7 +286,7 @@
                 peer.set_health(Health::Suspected, now);
                 let message = MembershipMessage::Suspect(peer.claim());
                 out.extend(self.tell(&message, None));
-                out.push(Send { to: id, message });
+                out.push(Envelope { to: id, message });
             }
         }
         out
@@ -306,7 +312,7 @@
         let mut members = self
             .peers
             .iter()
-            .filter(|p| p.standing().takes_work())
+            .filter(|p| p.standing().accepts_work())
             .map(|p| (&p.zone, &p.id))
             .collect::<Vec<_>>();
         if !self.leaving {
@@ -316,15 +322,16 @@
         let mut views: Vec<ZoneView> = Vec::new();
         for (zone, id) in members {
             match views.last_mut() {
-                Some(view) if view.zone == *zone => view.live.push(Arc::clone(id)),
+                Some(view) if view.zone == *zone => view.live_instances.push(Arc::clone(id)),
                 _ => views.push(ZoneView {
                     zone: Arc::clone(zone),
-                    live: vec![Arc::clone(id)],
+                    live_instances: vec![Arc::clone(id)],
                 }),
             }
         }
         let same = views.len() == self.views.len()
-            && (views.iter().zip(&self.views)).all(|(a, b)| a.zone == b.zone && a.live == b.live);
+            && (views.iter().zip(&self.views))
+                .all(|(a, b)| a.zone == b.zone && a.live_instances == b.live_instances);
         if !same {
             self.views = views;
             self.generation += 1;
@@ -334,7 +341,7 @@
 
 /// What is known about an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
+pub enum InstanceStatus {
     /// It takes work.
     Live,
     /// It was silent and has not refuted yet; it still counts as live.
@@ -345,9 +352,9 @@
     Dead,
 }
 
-impl Standing {
+impl InstanceStatus {
     /// Whether new work may go there.
-    pub fn takes_work(self) -> bool {
+    pub fn accepts_work(self) -> bool {
         matches!(self, Self::Live | Self::Suspected)
     }
 }
--- a/crates/decisions/src/membership/message.rs
+++ b/crates/decisions/src/membership/message.rs
@@ -73,7 +73,7 @@
 
 /// A message for one instance.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Send {
+pub struct Envelope {
     /// Whom it goes to.
     pub to: InstanceId,
     /// The message.
--- a/crates/decisions/src/membership/peer.rs
+++ b/crates/decisions/src/membership/peer.rs
@@ -6,7 +6,7 @@
 
 use crate::id::{Incarnation, InstanceId, ZoneId};
 
-use super::Standing;
+use super::InstanceStatus;
 use super::message::{Claim, Health};
 
 /// What the platform's list says.
@@ -51,12 +51,12 @@
         }
     }
 
-    pub(super) fn standing(&self) -> Standing {
+    pub(super) fn standing(&self) -> InstanceStatus {
         match self.health {
-            Health::Dead => Standing::Dead,
-            _ if self.leaving || self.listed == Listed::Leaving => Standing::Leaving,
-            Health::Suspected => Standing::Suspected,
-            Health::Live => Standing::Live,
+            Health::Dead => InstanceStatus::Dead,
+            _ if self.leaving || self.listed == Listed::Leaving => InstanceStatus::Leaving,
+            Health::Suspected => InstanceStatus::Suspected,
+            Health::Live => InstanceStatus::Live,
         }
     }
 
--- a/crates/decisions/src/membership/relay.rs
+++ b/crates/decisions/src/membership/relay.rs
@@ -6,9 +6,9 @@
 
 use crate::id::InstanceId;
 
-use super::message::{Claim, Health, LeavingUpstream, MembershipMessage, Send};
+use super::message::{Claim, Envelope, Health, LeavingUpstream, MembershipMessage};
 use super::peer::Listed;
-use super::{BRIDGES, CLAIMS_PER_HEARTBEAT, Membership, WATCHED, fingers};
+use super::{BRIDGES_PER_ZONE, MAX_CLAIMS_PER_HEARTBEAT, Membership, WATCHED_NEIGHBOURS, fingers};
 
 impl Membership {
     /// Takes a message of a peer.
@@ -17,7 +17,7 @@
         now: Instant,
         from: &InstanceId,
         message: &MembershipMessage,
-    ) -> Vec<Send> {
+    ) -> Vec<Envelope> {
         let out = match message {
             MembershipMessage::Heartbeat {
                 own,
@@ -26,7 +26,7 @@
                 leaving_upstreams,
             } => {
                 let mut out = self.on_heartbeat(now, from, own, *answer);
-                for claim in seen.iter().take(CLAIMS_PER_HEARTBEAT) {
+                for claim in seen.iter().take(MAX_CLAIMS_PER_HEARTBEAT) {
                     out.extend(self.on_claim(now, from, claim));
                 }
                 let news = self.upstreams.on_news(now, leaving_upstreams);
@@ -51,7 +51,7 @@
         from: &InstanceId,
         own: &Claim,
         answer: bool,
-    ) -> Vec<Send> {
+    ) -> Vec<Envelope> {
         if own.instance != *from || own.instance == self.me {
             return Vec::new();
         }
@@ -66,13 +66,13 @@
         if peer.health != Health::Live {
             // It lives but others hold it suspected or dead under this word; only a higher word
             // of its own can end that everywhere.
-            out.push(Send {
+            out.push(Envelope {
                 to: Arc::clone(from),
                 message: MembershipMessage::Suspect(peer.claim()),
             });
         }
         if answer {
-            out.push(Send {
+            out.push(Envelope {
                 to: Arc::clone(from),
                 message: self.heartbeat(false),
             });
@@ -80,7 +80,7 @@
         out
     }
 
-    fn on_claim(&mut self, now: Instant, from: &InstanceId, claim: &Claim) -> Vec<Send> {
+    fn on_claim(&mut self, now: Instant, from: &InstanceId, claim: &Claim) -> Vec<Envelope> {
         if claim.instance == self.me {
             return self.on_own_claim(claim);
         }
@@ -107,7 +107,7 @@
     }
 
     /// Somebody speaks about this instance.
-    fn on_own_claim(&mut self, claim: &Claim) -> Vec<Send> {
+    fn on_own_claim(&mut self, claim: &Claim) -> Vec<Envelope> {
         if claim.incarnation > self.incarnation {
             self.superseded = true;
             return Vec::new();
@@ -125,7 +125,7 @@
 
     /// Neighbours that hear news at once: the zone's at powers of two, and for the first
     /// instances of a zone the first ones of each other zone.
-    pub fn neighbours(&self) -> Vec<InstanceId> {
+    pub fn relay_targets(&self) -> Vec<InstanceId> {
         let mut to = self.zone_fingers();
         to.extend(self.bridged());
         to
@@ -135,18 +135,18 @@
         &self,
         message: &MembershipMessage,
         except: Option<&InstanceId>,
-    ) -> Vec<Send> {
-        self.neighbours()
+    ) -> Vec<Envelope> {
+        self.relay_targets()
             .into_iter()
             .filter(|to| Some(to) != except)
-            .map(|to| Send {
+            .map(|to| Envelope {
                 to,
                 message: message.clone(),
             })
             .collect()
     }
 
-    pub(super) fn tell_upstreams(&self, news: Vec<LeavingUpstream>) -> Vec<Send> {
+    pub(super) fn tell_upstreams(&self, news: Vec<LeavingUpstream>) -> Vec<Envelope> {
         news.into_iter()
             .flat_map(|n| self.tell(&MembershipMessage::LeavingUpstream(n), None))
             .collect()
@@ -155,7 +155,7 @@
     /// Instances that this one watches.
     pub(super) fn watched(&self) -> Vec<InstanceId> {
         let mut watched = self.zone_fingers();
-        watched.truncate(WATCHED);
+        watched.truncate(WATCHED_NEIGHBOURS);
         watched.extend(self.bridged());
         watched
     }
@@ -175,13 +175,18 @@
     }
 
     fn bridged(&self) -> Vec<InstanceId> {
-        if self.rank().is_none_or(|rank| rank >= BRIDGES) {
+        if self.rank().is_none_or(|rank| rank >= BRIDGES_PER_ZONE) {
             return Vec::new();
         }
         self.views
             .iter()
             .filter(|v| v.zone != self.zone)
-            .flat_map(|v| v.live.iter().take(BRIDGES).map(Arc::clone))
+            .flat_map(|v| {
+                v.live_instances
+                    .iter()
+                    .take(BRIDGES_PER_ZONE)
+                    .map(Arc::clone)
+            })
             .collect()
     }
 
@@ -196,13 +201,13 @@
         }
     }
 
-    pub(super) fn greet(&mut self) -> Vec<Send> {
+    pub(super) fn greet(&mut self) -> Vec<Envelope> {
         let watched = self.watched();
         self.turn = self.turn.wrapping_add(1);
         let message = self.heartbeat(true);
         watched
             .into_iter()
-            .map(|to| Send {
+            .map(|to| Envelope {
                 to,
                 message: message.clone(),
             })
@@ -210,8 +215,8 @@
     }
 
     /// Greets one instance that is dead here though the list names it.
-    pub(super) fn probe(&self) -> Option<Send> {
-        let bridge = self.rank().is_some_and(|rank| rank < BRIDGES);
+    pub(super) fn probe(&self) -> Option<Envelope> {
+        let bridge = self.rank().is_some_and(|rank| rank < BRIDGES_PER_ZONE);
         let dead = self
             .peers
             .iter()
@@ -219,7 +224,7 @@
             .filter(|p| bridge || p.zone == self.zone)
             .collect::<Vec<_>>();
         let chosen = dead.get(self.turn % dead.len().max(1))?;
-        Some(Send {
+        Some(Envelope {
             to: Arc::clone(&chosen.id),
             message: self.heartbeat(true),
         })
@@ -240,7 +245,7 @@
         let known = || self.peers.iter().filter(|p| p.incarnation > 0);
         let (healthy, others): (Vec<_>, Vec<_>) =
             known().partition(|p| p.health == Health::Live && !p.leaving);
-        let half = CLAIMS_PER_HEARTBEAT / 2;
+        let half = MAX_CLAIMS_PER_HEARTBEAT / 2;
         let start = self.turn * half;
         let turn = |list: Vec<&super::Peer>, count: usize| {
             let count = count.min(list.len());
@@ -249,7 +254,7 @@
                 .collect::<Vec<_>>()
         };
         let mut seen = turn(others, half);
-        seen.extend(turn(healthy, CLAIMS_PER_HEARTBEAT - half));
+        seen.extend(turn(healthy, MAX_CLAIMS_PER_HEARTBEAT - half));
         seen
     }
 }
--- a/crates/decisions/tests/membership.rs
+++ b/crates/decisions/tests/membership.rs
@@ -5,8 +5,8 @@
 
 use kingcupfield_decisions::id::InstanceId;
 use kingcupfield_decisions::membership::{
-    Claim, DEAD_AFTER, HEARTBEAT_EVERY, Health, LeavingUpstream, Membership, MembershipMessage,
-    PLATFORM_READERS, SUSPECT_AFTER, Standing,
+    Claim, DEAD_AFTER, HEARTBEAT_INTERVAL, Health, InstanceStatus, LeavingUpstream, Membership,
+    MembershipMessage, PLATFORM_READERS_PER_ZONE, SUSPECT_AFTER,
 };
 use kingcupfield_decisions::values::{Instance, Instances, Role, State};
 use tokio::time::Instant;
@@ -82,12 +82,12 @@
     fn publish(&mut self, version: u64, list: &Instances) {
         for i in 0..self.members.len() {
             let now = self.now;
-            let sends = self.members[i].1.on_list(now, version, list);
+            let sends = self.members[i].1.on_instance_list(now, version, list);
             self.post(i, sends);
         }
     }
 
-    fn post(&mut self, from: usize, sends: Vec<kingcupfield_decisions::membership::Send>) {
+    fn post(&mut self, from: usize, sends: Vec<kingcupfield_decisions::membership::Envelope>) {
         let from = Arc::clone(&self.members[from].0);
         self.sent += sends.len();
         let mail = sends
@@ -153,9 +153,9 @@
     let mut fleet = Fleet::new(&[("a", size)]);
     let dead = id("a", 3);
     fleet.down.push(Arc::clone(&dead));
-    let took = fleet.until(|m| m.state(&dead) == Some(Standing::Dead));
+    let took = fleet.until(|m| m.status(&dead) == Some(InstanceStatus::Dead));
     assert!(
-        took <= SUSPECT_AFTER + DEAD_AFTER + HEARTBEAT_EVERY + STEP * 8,
+        took <= SUSPECT_AFTER + DEAD_AFTER + HEARTBEAT_INTERVAL + STEP * 8,
         "{took:?}"
     );
     fleet.run(Duration::from_secs(5));
@@ -163,7 +163,7 @@
         let wrong = fleet
             .members
             .iter()
-            .find(|(p, _)| *p != dead && membership.state(p) != Some(Standing::Live));
+            .find(|(p, _)| *p != dead && membership.status(p) != Some(InstanceStatus::Live));
         assert!(
             *m == dead || wrong.is_none(),
             "{m} holds {:?} dead",
@@ -179,12 +179,16 @@
     let mut fleet = Fleet::new(&[("a", 5)]);
     let paused = id("a", 2);
     fleet.down.push(Arc::clone(&paused));
-    fleet.until(|m| m.state(&paused) == Some(Standing::Dead));
+    fleet.until(|m| m.status(&paused) == Some(InstanceStatus::Dead));
     fleet.run(Duration::from_secs(5));
     fleet.down.clear();
     fleet.step();
-    assert_eq!(fleet.of("a-002").live("a").len(), 5, "it blames nobody");
-    let took = fleet.until(|m| m.live("a").len() == 5);
+    assert_eq!(
+        fleet.of("a-002").live_instances("a").len(),
+        5,
+        "it blames nobody"
+    );
+    let took = fleet.until(|m| m.live_instances("a").len() == 5);
     assert!(took < Duration::from_secs(5), "{took:?}");
 }
 
@@ -200,7 +204,12 @@
     fleet.publish(2, &list);
     fleet.until(|m| m.incarnation("a-003") == Some(2));
     fleet.run(Duration::from_secs(5));
-    assert!(fleet.members.iter().all(|(_, m)| m.live("a").len() == 7));
+    assert!(
+        fleet
+            .members
+            .iter()
+            .all(|(_, m)| m.live_instances("a").len() == 7)
+    );
     let claim = Claim {
         instance: restarted,
         zone: "a".into(),
@@ -224,7 +233,12 @@
     list.instances.truncate(left);
     fleet.publish(2, &list);
     fleet.run(Duration::from_secs(10));
-    assert!(fleet.members.iter().all(|(_, m)| m.live("a").len() == 5));
+    assert!(
+        fleet
+            .members
+            .iter()
+            .all(|(_, m)| m.live_instances("a").len() == 5)
+    );
 }
 
 /// The list is stale and still names an instance that is long gone.
@@ -233,12 +247,15 @@
     let mut fleet = Fleet::new(&[("a", 5)]);
     let dead = id("a", 1);
     fleet.down.push(Arc::clone(&dead));
-    fleet.until(|m| m.state(&dead) == Some(Standing::Dead));
+    fleet.until(|m| m.status(&dead) == Some(InstanceStatus::Dead));
     let list = fleet.list(|_| State::Live);
     fleet.publish(2, &list);
     fleet.run(Duration::from_secs(10));
     let up = fleet.members.iter().filter(|(m, _)| *m != dead);
-    assert!(up.into_iter().all(|(_, m)| m.live("a").len() == 4));
+    assert!(
+        up.into_iter()
+            .all(|(_, m)| m.live_instances("a").len() == 4)
+    );
 }
 
 /// A zone is cut from the others for a while. Each side goes on with its own instances, and after
@@ -248,22 +265,25 @@
     let mut fleet = Fleet::new(&[("a", 3), ("b", 2), ("c", 2)]);
     fleet.cut = vec![id("a", 0), id("a", 1), id("a", 2)];
     fleet.run(Duration::from_secs(20));
-    assert!(fleet.of("a-000").live("a").len() == 3 && fleet.of("b-000").live("b").len() == 2);
     assert!(
-        fleet.of("a-000").live("b").is_empty(),
+        fleet.of("a-000").live_instances("a").len() == 3
+            && fleet.of("b-000").live_instances("b").len() == 2
+    );
+    assert!(
+        fleet.of("a-000").live_instances("b").is_empty(),
         "nobody of zone b is heard"
     );
-    assert_eq!(fleet.of("b-000").live("c").len(), 2);
+    assert_eq!(fleet.of("b-000").live_instances("c").len(), 2);
     fleet.cut.clear();
     let zones = [("a", 3), ("b", 2), ("c", 2)];
-    let joined = |m: &Membership| zones.iter().all(|(z, n)| m.live(z).len() == *n);
+    let joined = |m: &Membership| zones.iter().all(|(z, n)| m.live_instances(z).len() == *n);
     while !fleet.members.iter().all(|(_, m)| joined(m)) {
         fleet.step();
         // The other side held these dead; a call that waits on one of them must not be given up.
         for (id, membership) in &fleet.members {
             let (zone, count) = zones.iter().find(|(z, _)| id.starts_with(z)).unwrap();
             assert_eq!(
-                membership.live(zone).len(),
+                membership.live_instances(zone).len(),
                 *count,
                 "{id} lost its own zone"
             );
@@ -278,12 +298,17 @@
     let mut fleet = Fleet::new(&[("a", 66)]);
     let sends = fleet.members[7].1.leave();
     fleet.post(7, sends);
-    let took = fleet.until(|m| m.state("a-007") == Some(Standing::Leaving));
+    let took = fleet.until(|m| m.status("a-007") == Some(InstanceStatus::Leaving));
     assert!(took <= Duration::from_secs(1), "{took:?}");
     let list = fleet.list(|_| State::Live);
     fleet.publish(2, &list);
     fleet.run(Duration::from_secs(5));
-    assert!(fleet.members.iter().all(|(_, m)| m.live("a").len() == 65));
+    assert!(
+        fleet
+            .members
+            .iter()
+            .all(|(_, m)| m.live_instances("a").len() == 65)
+    );
     assert!(!fleet.of("a-007").reads_platform());
 }
 
@@ -354,7 +379,7 @@
         .iter()
         .filter(|(_, m)| m.reads_platform())
         .count();
-    assert_eq!(readers, PLATFORM_READERS);
+    assert_eq!(readers, PLATFORM_READERS_PER_ZONE);
     fleet.sent = 0;
     fleet.run(Duration::from_secs(10));
     let each = fleet.sent as f64 / 660.0;
@@ -377,7 +402,7 @@
         };
         membership.on_message(now, &from, &MembershipMessage::Alive(own));
     }
-    assert_eq!(membership.live("a").len(), 1025);
+    assert_eq!(membership.live_instances("a").len(), 1025);
 }
 
 #[parameterized(
--- a/crates/spec/src/fleet.rs
+++ b/crates/spec/src/fleet.rs
@@ -6,7 +6,7 @@
 
 use kingcupfield_decisions::configuration::{Configuration, Name, ToPeer};
 use kingcupfield_decisions::id::{InstanceId, Version};
-use kingcupfield_decisions::membership::{Membership, MembershipMessage, Standing};
+use kingcupfield_decisions::membership::{InstanceStatus, Membership, MembershipMessage};
 use kingcupfield_decisions::values::{Instance, Instances, Role, State};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -110,7 +110,7 @@
         };
         let list = fleet.list();
         for i in 0..fleet.members.len() {
-            let sends = fleet.members[i].membership.on_list(now, 1, &list);
+            let sends = fleet.members[i].membership.on_instance_list(now, 1, &list);
             fleet.post_membership(i, sends);
             fleet.offer(i, 1);
         }
@@ -164,7 +164,7 @@
         let id = Arc::clone(&self.members[instance].id);
         let zone = self.members[instance].zone;
         self.until(limit, share, |m| {
-            m.zone != zone || m.membership.state(&id) == Some(Standing::Dead)
+            m.zone != zone || m.membership.status(&id) == Some(InstanceStatus::Dead)
         })
     }
 
@@ -242,7 +242,7 @@
         let member = &mut self.members[i];
         member.announced = self.now;
         member.turn += 1;
-        let neighbours = member.membership.neighbours();
+        let neighbours = member.membership.relay_targets();
         let message = member.cfg.announcement();
         if let Some(to) = neighbours.get(member.turn % neighbours.len().max(1)) {
             let to = self.position(to);
@@ -252,7 +252,7 @@
 
     fn announce_to_all(&mut self, i: usize) {
         let message = self.members[i].cfg.announcement();
-        for to in self.members[i].membership.neighbours() {
+        for to in self.members[i].membership.relay_targets() {
             let to = self.position(&to);
             self.post(i, to, Message::Configuration(message.clone()));
         }
@@ -281,7 +281,7 @@
     fn post_membership(
         &mut self,
         from: usize,
-        sends: Vec<kingcupfield_decisions::membership::Send>,
+        sends: Vec<kingcupfield_decisions::membership::Envelope>,
     ) {
         for send in sends {
             let to = self.position(&send.to);
--- a/src/members.rs
+++ b/src/members.rs
@@ -5,7 +5,7 @@
 
 use kingcupfield_decisions::configuration::Name;
 use kingcupfield_decisions::id::{Incarnation, InstanceId, UpstreamId, ZoneId};
-use kingcupfield_decisions::membership::{Membership, MembershipMessage, Send, Standing};
+use kingcupfield_decisions::membership::{Envelope, InstanceStatus, Membership, MembershipMessage};
 use kingcupfield_decisions::values::{Instance, Role};
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -239,14 +239,14 @@
         }
     }
 
-    fn on_message(&mut self, message: Message) -> Vec<Send> {
+    fn on_message(&mut self, message: Message) -> Vec<Envelope> {
         let now = Instant::now();
         match message {
             Message::Peer { from, message } => self.state.on_message(now, &from, &message),
             Message::UpstreamLeaving(upstream) => self.state.on_upstream_leaving(now, &upstream),
             Message::Leave => self.state.leave(),
             Message::Dump(tx) => {
-                let neighbours: Vec<_> = self.state.neighbours();
+                let neighbours: Vec<_> = self.state.relay_targets();
                 let view = view_of(&self.state, &self.fleet.snapshot());
                 let neighbours: Vec<&str> = neighbours.iter().map(|n| &**n).collect();
                 tx.send(json!({"view": view, "neighbours": neighbours, "superseded": self.state.is_superseded()})).ok();
@@ -255,13 +255,13 @@
         }
     }
 
-    fn on_tick(&mut self) -> Vec<Send> {
+    fn on_tick(&mut self) -> Vec<Envelope> {
         let now = Instant::now();
         let sends = self.state.on_tick(now);
         if now.duration_since(self.announced) >= ANNOUNCE_EVERY {
             self.announced = now;
             self.turn = self.turn.wrapping_add(1);
-            let neighbours = self.state.neighbours();
+            let neighbours = self.state.relay_targets();
             if let Some(to) = neighbours.get(self.turn % neighbours.len().max(1)) {
                 self.announce(to);
             }
@@ -269,12 +269,12 @@
         sends
     }
 
-    fn on_fleet(&mut self, snapshot: &Snapshot) -> Vec<Send> {
+    fn on_fleet(&mut self, snapshot: &Snapshot) -> Vec<Envelope> {
         let version = snapshot.version(Name::Instances).unwrap_or(0);
         let sends = self
             .state
-            .on_list(Instant::now(), version, &snapshot.instances);
-        for to in self.state.neighbours() {
+            .on_instance_list(Instant::now(), version, &snapshot.instances);
+        for to in self.state.relay_targets() {
             self.announce(&to);
         }
         sends
@@ -302,11 +302,11 @@
     let known = |i: &Instance| KnownInstance {
         instance: i.instance.clone(),
         incarnation: state.incarnation(&i.instance),
-        dead: state.state(&i.instance) == Some(Standing::Dead),
+        dead: state.status(&i.instance) == Some(InstanceStatus::Dead),
     };
     let live = state.zones().map(|zone| ZoneLive {
         zone: zone.clone(),
-        instances: state.live(zone).to_vec(),
+        instances: state.live_instances(zone).to_vec(),
     });
     View {
         live: live.collect(),
