--- a/crates/decisions/benches/decisions.rs
+++ b/crates/decisions/benches/decisions.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant as WallClock};
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use kingcupfield_decisions::concurrency::Limit;
+use kingcupfield_decisions::concurrency::ConcurrencyLimit;
 use kingcupfield_decisions::holder::Holder;
 use kingcupfield_decisions::id::{InstanceId, RequestId, UpstreamId};
 use kingcupfield_decisions::ownership::{owner, ranked};
@@ -32,7 +32,9 @@
 impl Crowd {
     fn new(waiting: usize, organisations: usize) -> Self {
         let now = Instant::now();
-        let limit = Limit::new().with_max(RUNNING).with_start(RUNNING);
+        let limit = ConcurrencyLimit::new()
+            .with_max(RUNNING)
+            .with_start(RUNNING);
         let mut crowd = Self {
             queue: SlotQueue::new("drafting-1".into(), None, now)
                 .with_limit(limit)
--- a/crates/decisions/benches/scenarios/node.rs
+++ b/crates/decisions/benches/scenarios/node.rs
@@ -4,12 +4,13 @@
 
 use kingcupfield_decisions::holder::{Ask, DispatchError, Holder, HolderAction, Reply};
 use kingcupfield_decisions::id::{InstanceId, Rank, RequestId, ServiceId, Tokens, UpstreamId};
-use kingcupfield_decisions::length::Lengths;
+use kingcupfield_decisions::length::LengthPredictor;
 use kingcupfield_decisions::ownership::owner;
-use kingcupfield_decisions::pace::{ASSUMED, Pace};
+use kingcupfield_decisions::pace::{DEFAULT_PACE, Pace};
 use kingcupfield_decisions::prefixes::{CacheEvent, PrefixCache};
 use kingcupfield_decisions::routing::{
-    CACHED_AT_HOME, Candidate, LinkBudget, RouteRequest, WIDEN_AFTER, choose, home,
+    CACHED_SHARE_AT_HOME, Candidate, LinkBudget, RouteRequest, WIDEN_AFTER, choose_replicas,
+    home_replica,
 };
 use kingcupfield_decisions::shedding::{
     Estimate, Level, LevelMember, LevelSend, Refusal, ToLevelMember, ToLevelOwner, can_meet,
@@ -86,7 +87,7 @@
     level_owner: usize,
     digests: Vec<Option<(Digest, Instant)>>,
     caches: Vec<PrefixCache>,
-    lengths: Lengths,
+    lengths: LengthPredictor,
     link: LinkBudget,
     gone: Vec<usize>,
     /// Requests that may not be refused yet.
@@ -156,7 +157,7 @@
                 level_owner: usize::MAX,
                 digests: vec![None; engines],
                 caches: vec![PrefixCache::new(); engines],
-                lengths: Lengths::new(),
+                lengths: LengthPredictor::new(),
                 link: LinkBudget::new(kingcupfield_decisions::routing::LINK_BYTES_PER_S),
                 gone: Vec::new(),
                 doomed: Vec::new(),
@@ -209,7 +210,7 @@
         let digest = self.nodes[node].digests[engine];
         digest
             .and_then(|(digest, _)| digest.pace)
-            .unwrap_or(ASSUMED)
+            .unwrap_or(DEFAULT_PACE)
     }
 
     fn work(&self, node: usize, job: &Job) -> Work {
@@ -224,7 +225,7 @@
         let work = self.work(node, job);
         let own = (0..self.upstreams.len()).filter(|e| self.zones[*e] == zone_of(node));
         let cached = Work::new(work.prefill / 4, work.decode);
-        own.map(|e| self.pace(node, e).service(cached))
+        own.map(|e| self.pace(node, e).service_time(cached))
             .min()
             .unwrap_or_default()
     }
@@ -234,14 +235,14 @@
             .filter(|e| self.zones[*e] == zone_of(node))
             .map(|e| UpstreamId::clone(&self.upstreams[e]))
             .collect();
-        let home = home(job.prefixes[0], &own);
+        let home = home_replica(job.prefixes[0], &own);
         let known = &self.nodes[node];
         let make = |engine: usize| {
             let upstream = UpstreamId::clone(&self.upstreams[engine]);
             let blocks = known.caches[engine].cached(&job.prefixes) as Tokens;
             let mut cached = job.prompt * blocks / job.prefixes.len() as Tokens;
             if home == Some(&upstream) {
-                cached = cached.max((job.prompt as f64 * CACHED_AT_HOME) as Tokens);
+                cached = cached.max((job.prompt as f64 * CACHED_SHARE_AT_HOME) as Tokens);
             }
             let digest = known.digests[engine];
             let near = self.zones[engine] == zone_of(node);
@@ -250,8 +251,8 @@
                 owner: InstanceId::clone(&self.names[known.owners[engine].min(NODES - 1)]),
                 zone: format!("zone-{}", self.zones[engine]).into(),
                 digest: digest.map(|(digest, _)| digest),
-                age: digest.map_or(Duration::MAX, |(_, at)| net.now - at),
-                cached: if self.mechanisms.prefixes { cached } else { 0 },
+                digest_age: digest.map_or(Duration::MAX, |(_, at)| net.now - at),
+                cached_tokens: if self.mechanisms.prefixes { cached } else { 0 },
                 pace: self.pace(node, engine),
                 round_trip: Duration::from_millis(if near { 1 } else { 30 }),
             }
@@ -301,7 +302,7 @@
         let candidates = self.candidates(net, node, job);
         let reservation = self.reservation(net, node, job);
         let link = &mut self.nodes[node].link;
-        let choice = choose(net.now, &request, &candidates, BOTTOM, link, &mut net.rng);
+        let choice = choose_replicas(net.now, &request, &candidates, BOTTOM, link, &mut net.rng);
         let places = if self.mechanisms.late_binding {
             &choice.upstreams[..]
         } else {
--- a/crates/decisions/src/cold.rs
+++ b/crates/decisions/src/cold.rs
@@ -24,7 +24,7 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::id::{Member, UpstreamId};
+use crate::id::{InstanceAddress, UpstreamId};
 
 /// The time over which requests to a cold replica are counted.
 pub const COUNTING_WINDOW: Duration = Duration::from_secs(1);
@@ -50,8 +50,11 @@
 }
 
 /// The instance through which a cold replica is reached, among those of its zone.
-pub fn designated_instance(replica: &UpstreamId, members: &[Member]) -> Option<Member> {
-    let rank = |m: &Member| (xxh3_64_with_seed(replica.as_bytes(), u64::from(*m)), *m);
+pub fn designated_instance(
+    replica: &UpstreamId,
+    members: &[InstanceAddress],
+) -> Option<InstanceAddress> {
+    let rank = |m: &InstanceAddress| (xxh3_64_with_seed(replica.as_bytes(), u64::from(*m)), *m);
     members.iter().copied().max_by_key(rank)
 }
 
--- a/crates/decisions/src/concurrency.rs
+++ b/crates/decisions/src/concurrency.rs
@@ -89,7 +89,7 @@
 
 /// Limit of requests in flight at one replica.
 #[derive(Debug, Clone)]
-pub struct Limit {
+pub struct ConcurrencyLimit {
     slots: f64,
     max: u32,
     doubling: bool,
@@ -99,13 +99,13 @@
     decreased: Option<Instant>,
 }
 
-impl Default for Limit {
+impl Default for ConcurrencyLimit {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Limit {
+impl ConcurrencyLimit {
     /// Makes the limit of a replica of which nothing is known.
     pub fn new() -> Self {
         Self {
@@ -133,7 +133,7 @@
     }
 
     /// Slots that may be taken now; at least 1.
-    pub fn get(&self, now: Instant) -> u32 {
+    pub fn slots(&self, now: Instant) -> u32 {
         let slots = match self.ceiling {
             Some(ceiling) if ceiling.until > now => self.slots.min(ceiling.slots),
             _ => self.slots,
@@ -142,7 +142,7 @@
     }
 
     /// Learns that `taken` slots are in use that an earlier owner granted.
-    pub fn on_learned(&mut self, taken: u32) {
+    pub fn on_inherited_slots(&mut self, taken: u32) {
         let taken = f64::from(taken.min(self.max));
         self.slots = self.slots.max(taken);
     }
--- a/crates/decisions/src/credit/account.rs
+++ b/crates/decisions/src/credit/account.rs
@@ -9,7 +9,7 @@
 use super::precedence::{Precedence, is_cheap, needed};
 use super::sources::{Context, Sources};
 use super::{Charge, Credit, Number, Verdict};
-use crate::id::{Member, ShortName};
+use crate::id::{InstanceAddress, NameHash};
 
 /// Time over which an organisation's use is averaged.
 const USE_OVER: Duration = Duration::from_secs(1);
@@ -27,7 +27,7 @@
 /// A request that waits for credit.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Waiting {
-    pub(super) member: Member,
+    pub(super) member: InstanceAddress,
     pub(super) number: Number,
     /// The last of its messages.
     pub(super) tries: u32,
@@ -43,12 +43,12 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct Outcome {
     pub(super) verdicts: Vec<(Waiting, Verdict)>,
-    pub(super) collect: Vec<Member>,
+    pub(super) collect: Vec<InstanceAddress>,
 }
 
 #[derive(Debug, Clone)]
 pub(super) struct Account {
-    pub(super) name: ShortName,
+    pub(super) name: NameHash,
     limit: Option<Limit>,
     pace: Pace,
     pub(super) lots: Lots,
@@ -63,7 +63,7 @@
 }
 
 impl Account {
-    pub(super) fn new(now: Instant, name: ShortName) -> Self {
+    pub(super) fn new(now: Instant, name: NameHash) -> Self {
         Self {
             name,
             limit: None,
@@ -101,7 +101,13 @@
     }
 
     /// Lets a request wait.
-    pub(super) fn wait(&mut self, now: Instant, member: Member, number: Number, charge: Charge) {
+    pub(super) fn wait(
+        &mut self,
+        now: Instant,
+        member: InstanceAddress,
+        number: Number,
+        charge: Charge,
+    ) {
         let burst = self.limit.map_or(0.0, |l| l.burst.max(l.rate));
         let kept = self.precedence.kept(&charge, burst, self.pace.depth());
         self.waiting.push(Waiting {
@@ -234,7 +240,7 @@
         &mut self,
         now: Instant,
         cx: &Context<'_>,
-        from: Member,
+        from: InstanceAddress,
         credit: &Credit,
     ) -> bool {
         let Some(collection) = self.sources.on_answer(now, from, credit.number) else {
--- a/crates/decisions/src/credit/ledger.rs
+++ b/crates/decisions/src/credit/ledger.rs
@@ -11,7 +11,7 @@
 use super::roster::Roster;
 use super::sources::Context;
 use super::{ANSWER, Charge, Credit, Message, Number, Verdict};
-use crate::id::{Member, ShortName};
+use crate::id::{InstanceAddress, NameHash};
 
 /// Time after which a keeper that did not answer is asked again, or another one is.
 const RESEND: Duration = Duration::from_millis(100);
@@ -32,12 +32,12 @@
 #[derive(Debug, Clone)]
 struct Pending {
     number: Number,
-    organisation: ShortName,
+    organisation: NameHash,
     charge: Charge,
     began: Instant,
     /// When it was asked for.
     asked: Vec<Instant>,
-    keeper: Member,
+    keeper: InstanceAddress,
     /// How often its keeper was asked and said nothing.
     unheard: u32,
     heard: Instant,
@@ -59,7 +59,7 @@
 /// A verdict that was given to another instance.
 #[derive(Debug, Clone)]
 struct Answered {
-    member: Member,
+    member: InstanceAddress,
     number: Number,
     tries: u32,
     verdict: Verdict,
@@ -71,7 +71,7 @@
 /// Messages and verdicts are taken out with [`Ledger::take_messages`] and [`Ledger::take_verdicts`].
 #[derive(Debug, Clone)]
 pub struct Ledger {
-    own: Member,
+    own: InstanceAddress,
     span: Duration,
     tolerance: Tolerance,
     roster: Roster,
@@ -81,15 +81,15 @@
     accounts: Vec<Account>,
     pending: Vec<Pending>,
     answered: Vec<Answered>,
-    suspects: Vec<(Member, Instant)>,
+    suspects: Vec<(InstanceAddress, Instant)>,
     next: Number,
-    messages: Vec<(Member, Message)>,
+    messages: Vec<(InstanceAddress, Message)>,
     verdicts: Vec<(Number, Verdict)>,
 }
 
 impl Ledger {
     /// Has no credit; `incarnation` tells its messages from those of lives before.
-    pub fn new(own: Member, incarnation: u64) -> Self {
+    pub fn new(own: InstanceAddress, incarnation: u64) -> Self {
         Self {
             own,
             span: Duration::from_secs(1),
@@ -138,7 +138,7 @@
     pub fn request(
         &mut self,
         now: Instant,
-        organisation: ShortName,
+        organisation: NameHash,
         limit: Limit,
         charge: Charge,
     ) -> Number {
@@ -176,7 +176,7 @@
     pub fn on_message(
         &mut self,
         now: Instant,
-        from: Member,
+        from: InstanceAddress,
         message: Message,
         limit: Option<Limit>,
     ) {
@@ -214,8 +214,8 @@
     fn on_ask(
         &mut self,
         now: Instant,
-        (from, number, tries): (Member, Number, u32),
-        organisation: ShortName,
+        (from, number, tries): (InstanceAddress, Number, u32),
+        organisation: NameHash,
         charge: Charge,
         limit: Option<Limit>,
     ) {
@@ -261,7 +261,13 @@
         }
     }
 
-    fn on_collect(&mut self, now: Instant, from: Member, number: Number, organisation: ShortName) {
+    fn on_collect(
+        &mut self,
+        now: Instant,
+        from: InstanceAddress,
+        number: Number,
+        organisation: NameHash,
+    ) {
         let at = self.account(now, organisation);
         let is_keeper = self.keeper(now, organisation) == self.own;
         let cx = context(&self.roster, &self.mint, self.since.unwrap_or(now));
@@ -269,7 +275,7 @@
         self.messages.push((from, Message::Credit(credit)));
     }
 
-    fn on_credit(&mut self, now: Instant, from: Member, credit: &Credit) {
+    fn on_credit(&mut self, now: Instant, from: InstanceAddress, credit: &Credit) {
         let at = self.account(now, credit.organisation);
         let cx = context(&self.roster, &self.mint, self.since.unwrap_or(now));
         if self.accounts[at].on_credit(now, &cx, from, credit) {
@@ -293,7 +299,7 @@
     /// Looks at what waits; to be called every few milliseconds while something does.
     pub fn tick(&mut self, now: Instant) {
         let waits = |a: &Account| !a.waiting.is_empty();
-        let waiting: Vec<ShortName> = self
+        let waiting: Vec<NameHash> = self
             .accounts
             .iter()
             .filter(|a| waits(a))
@@ -339,13 +345,13 @@
     }
 
     /// Takes back the credit of a request that did not run.
-    pub fn give_back(&mut self, now: Instant, organisation: ShortName, lot: Lot) {
+    pub fn give_back(&mut self, now: Instant, organisation: NameHash, lot: Lot) {
         let at = self.account(now, organisation);
         self.accounts[at].lots.add(now, lot);
     }
 
     /// Messages to send.
-    pub fn take_messages(&mut self) -> Vec<(Member, Message)> {
+    pub fn take_messages(&mut self) -> Vec<(InstanceAddress, Message)> {
         std::mem::take(&mut self.messages)
     }
 
@@ -355,8 +361,8 @@
     }
 
     /// The instance that is asked for an organisation's credit.
-    pub fn keeper(&self, now: Instant, organisation: ShortName) -> Member {
-        let usable = |m: Member| {
+    pub fn keeper(&self, now: Instant, organisation: NameHash) -> InstanceAddress {
+        let usable = |m: InstanceAddress| {
             !self
                 .suspects
                 .iter()
@@ -366,7 +372,7 @@
     }
 
     /// Credit of an organisation over the fleet, by the limit that was seen last.
-    pub fn pace(&self, organisation: ShortName) -> Option<Pace> {
+    pub fn pace(&self, organisation: NameHash) -> Option<Pace> {
         let at = self.position(organisation).ok()?;
         Some(self.accounts[at].pace())
     }
@@ -385,7 +391,7 @@
         self.messages.push((pending.keeper, message));
     }
 
-    fn serve(&mut self, now: Instant, organisation: ShortName) {
+    fn serve(&mut self, now: Instant, organisation: NameHash) {
         let at = self.account(now, organisation);
         let cx = context(&self.roster, &self.mint, self.since.unwrap_or(now));
         let Outcome { verdicts, collect } = self.accounts[at].serve(now, &cx);
@@ -432,12 +438,12 @@
         self.next
     }
 
-    fn position(&self, organisation: ShortName) -> Result<usize, usize> {
+    fn position(&self, organisation: NameHash) -> Result<usize, usize> {
         self.accounts
             .binary_search_by_key(&organisation, |a| a.name)
     }
 
-    fn account(&mut self, now: Instant, organisation: ShortName) -> usize {
+    fn account(&mut self, now: Instant, organisation: NameHash) -> usize {
         self.position(organisation).unwrap_or_else(|at| {
             self.accounts.insert(at, Account::new(now, organisation));
             at
--- a/crates/decisions/src/credit/message.rs
+++ b/crates/decisions/src/credit/message.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::id::ShortName;
+use crate::id::NameHash;
 
 /// Tells messages of one sender apart, over its restarts.
 pub type Number = u64;
@@ -15,7 +15,7 @@
         /// Number of the request at the sender.
         number: Number,
         /// Whose limit it counts towards.
-        organisation: ShortName,
+        organisation: NameHash,
         /// Units.
         cost: f64,
         /// Its class, lower first.
@@ -44,7 +44,7 @@
         /// Number of the collection at the sender.
         number: Number,
         /// Whose credit is wanted.
-        organisation: ShortName,
+        organisation: NameHash,
     },
     /// To a keeper: the sender has this no more.
     Credit(Credit),
@@ -56,7 +56,7 @@
     /// Number of the collection that it answers.
     pub number: Number,
     /// Whose credit it is.
-    pub organisation: ShortName,
+    pub organisation: NameHash,
     /// Microseconds of its running time that it had not given away yet.
     pub time_us: u64,
     /// Largest number of instances of its zone that it knew in that time.
--- a/crates/decisions/src/credit/roster.rs
+++ b/crates/decisions/src/credit/roster.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::id::{Member, ShortName};
+use crate::id::{InstanceAddress, NameHash};
 
 /// How far a zone is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -22,13 +22,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Zone {
     /// Its name.
-    pub name: ShortName,
+    pub name: NameHash,
     /// How far it is.
     pub distance: Distance,
     /// How many instances it has, with those that are silent now.
     pub size: u32,
     /// Those that are heard, without the instance itself.
-    pub members: Vec<Member>,
+    pub members: Vec<InstanceAddress>,
 }
 
 /// The fleet as one instance sees it.
@@ -47,27 +47,33 @@
     }
 
     /// Whether an instance of any zone is heard.
-    pub(super) fn has(&self, member: Member) -> bool {
+    pub(super) fn has(&self, member: InstanceAddress) -> bool {
         let has = |z: &Zone| z.members.contains(&member);
         self.zones.iter().any(has)
     }
 
     /// The zone of an instance.
-    pub(super) fn zone_of(&self, member: Member) -> Option<&Zone> {
+    pub(super) fn zone_of(&self, member: InstanceAddress) -> Option<&Zone> {
         self.zones.iter().find(|z| z.members.contains(&member))
     }
 
     /// The keeper of an organisation, by rendezvous hashing over the instances of the own zone.
     ///
     /// Instances that disagree about it ask two of them, which is slower and not less safe.
-    pub(super) fn keeper<F>(&self, organisation: ShortName, own: Member, usable: F) -> Member
+    pub(super) fn keeper<F>(
+        &self,
+        organisation: NameHash,
+        own: InstanceAddress,
+        usable: F,
+    ) -> InstanceAddress
     where
-        F: Fn(Member) -> bool,
+        F: Fn(InstanceAddress) -> bool,
     {
         let home = self.zones.first().map_or(&[][..], |z| &z.members);
         let others = home.iter().copied().filter(|m| usable(*m));
         let ranked = others.chain(self.mints_since.map(|_| own));
-        let rank = |m: &Member| xxh3_64_with_seed(&m.to_be_bytes(), u64::from(organisation));
+        let rank =
+            |m: &InstanceAddress| xxh3_64_with_seed(&m.to_be_bytes(), u64::from(organisation));
         ranked.min_by_key(|m| Reverse(rank(m))).unwrap_or(own)
     }
 }
--- a/crates/decisions/src/credit/sources.rs
+++ b/crates/decisions/src/credit/sources.rs
@@ -8,7 +8,7 @@
 use super::mint::Mint;
 use super::pace::Pace;
 use super::roster::{Distance, Roster, Zone};
-use crate::id::{Member, ShortName};
+use crate::id::{InstanceAddress, NameHash};
 
 /// Time that the answer to a collection may take, by distance.
 const TRAVEL: [Duration; 3] = [
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Collection {
     number: Number,
-    from: Member,
+    from: InstanceAddress,
     pub(super) sent: Instant,
     pub(super) expected: f64,
     distance: Distance,
@@ -69,7 +69,7 @@
 /// What a zone gave of what was expected.
 #[derive(Debug, Clone, Copy)]
 struct Yield {
-    zone: ShortName,
+    zone: NameHash,
     part: f64,
     at: Instant,
 }
@@ -89,7 +89,7 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct Sources {
     /// When each was asked last, by instance.
-    asked: Vec<(Member, Instant)>,
+    asked: Vec<(InstanceAddress, Instant)>,
     collections: Vec<Collection>,
     yields: Vec<Yield>,
 }
@@ -134,7 +134,7 @@
         cx: &Context<'_>,
         pace: Pace,
         wanted: f64,
-    ) -> Vec<Member> {
+    ) -> Vec<InstanceAddress> {
         let mut chosen = Vec::new();
         let mut left = wanted;
         for zone in &cx.roster.zones {
@@ -162,7 +162,7 @@
         now: Instant,
         cx: &Context<'_>,
         pace: Pace,
-        from: Member,
+        from: InstanceAddress,
         number: Number,
     ) {
         let Some(zone) = cx.roster.zone_of(from) else {
@@ -186,7 +186,7 @@
     pub(super) fn on_answer(
         &mut self,
         now: Instant,
-        from: Member,
+        from: InstanceAddress,
         number: Number,
     ) -> Option<Collection> {
         let is_it = |c: &Collection| c.number == number && c.from == from;
@@ -196,7 +196,7 @@
     }
 
     /// Learns from what came how much to expect of a zone.
-    pub(super) fn on_yield(&mut self, now: Instant, zone: ShortName, got: f64, expected: f64) {
+    pub(super) fn on_yield(&mut self, now: Instant, zone: NameHash, got: f64, expected: f64) {
         let before = self.yields_of(now, zone);
         if expected <= 0.0 {
             return;
@@ -219,7 +219,7 @@
         cx: &Context<'_>,
         pace: Pace,
         zone: &Zone,
-        member: Member,
+        member: InstanceAddress,
     ) -> f64 {
         let since = self
             .asked_at(member)
@@ -228,12 +228,12 @@
         cx.worth(pace, passed, zone.size)
     }
 
-    fn asked_at(&self, member: Member) -> Option<Instant> {
+    fn asked_at(&self, member: InstanceAddress) -> Option<Instant> {
         let found = self.asked.binary_search_by_key(&member, |(m, _)| *m);
         found.ok().map(|at| self.asked[at].1)
     }
 
-    fn yields_of(&self, now: Instant, zone: ShortName) -> f64 {
+    fn yields_of(&self, now: Instant, zone: NameHash) -> f64 {
         let Some(seen) = self.yields.iter().find(|y| y.zone == zone) else {
             return 1.0;
         };
--- a/crates/decisions/src/dispatch.rs
+++ b/crates/decisions/src/dispatch.rs
@@ -22,7 +22,7 @@
 use tokio::time::Instant;
 
 use crate::cold::{self, ColdGate};
-use crate::id::{Member, ServiceId, UpstreamId};
+use crate::id::{InstanceAddress, ServiceId, UpstreamId};
 use crate::regions::Regions;
 
 use size::{Reading, Sizes};
@@ -50,7 +50,7 @@
     /// This instance, by a number that all give it alike.
     key: u32,
     /// The instances of this zone with this one, while they are known.
-    members: Option<Vec<Member>>,
+    members: Option<Vec<InstanceAddress>>,
 }
 
 impl Dispatcher {
@@ -88,7 +88,7 @@
 
     /// Takes the instances of this zone, with this one and the silent ones; `None` while they are not
     /// known, or this one ends.
-    pub fn update_members(&mut self, now: Instant, members: Option<Vec<Member>>) {
+    pub fn update_members(&mut self, now: Instant, members: Option<Vec<InstanceAddress>>) {
         if self.members == members {
             return;
         }
--- a/crates/decisions/src/fanout.rs
+++ b/crates/decisions/src/fanout.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::id::Member;
+use crate::id::InstanceAddress;
 
 /// Instances that one relay serves.
 const SERVED: usize = 12;
@@ -33,21 +33,27 @@
 #[derive(Debug, Default)]
 pub struct Relays {
     /// With since when each is one.
-    chosen: Vec<(Member, Instant)>,
+    chosen: Vec<(InstanceAddress, Instant)>,
     /// With until when.
-    passed_over: Vec<(Member, Instant)>,
+    passed_over: Vec<(InstanceAddress, Instant)>,
 }
 
 impl Relays {
     /// Looks who the relays are now; `heard` are the other members of the zone, `sent_at` tells when one
     /// sent something itself last. Returns those of
     /// them that send nothing although they are relays.
-    pub fn see<F>(&mut self, now: Instant, own: Member, heard: &[Member], sent_at: F) -> Vec<Member>
+    pub fn see<F>(
+        &mut self,
+        now: Instant,
+        own: InstanceAddress,
+        heard: &[InstanceAddress],
+        sent_at: F,
+    ) -> Vec<InstanceAddress>
     where
-        F: Fn(Member) -> Option<Instant>,
+        F: Fn(InstanceAddress) -> Option<Instant>,
     {
         self.passed_over.retain(|(_, until)| *until > now);
-        let lost: Vec<Member> = self
+        let lost: Vec<InstanceAddress> = self
             .chosen
             .iter()
             .filter(|(relay, since)| {
@@ -58,8 +64,9 @@
             .collect();
         let until = lost.iter().map(|relay| (*relay, now + PASSED_OVER));
         self.passed_over.extend(until);
-        let passed = |m: &Member| self.passed_over.iter().any(|(p, _)| p == m);
-        let mut members: Vec<Member> = heard.iter().copied().filter(|m| !passed(m)).collect();
+        let passed = |m: &InstanceAddress| self.passed_over.iter().any(|(p, _)| p == m);
+        let mut members: Vec<InstanceAddress> =
+            heard.iter().copied().filter(|m| !passed(m)).collect();
         members.push(own);
         let before = std::mem::take(&mut self.chosen);
         let since = |relay| before.iter().find(|(r, _)| *r == relay).map(|(_, at)| *at);
@@ -69,12 +76,12 @@
     }
 
     /// Whether an instance is one of them.
-    pub fn has(&self, member: Member) -> bool {
+    pub fn has(&self, member: InstanceAddress) -> bool {
         self.chosen.iter().any(|(r, _)| *r == member)
     }
 
     /// Whom an instance tells, `others` being the rest of its zone.
-    pub fn receivers(&self, own: Member, others: &[Member]) -> Receivers {
+    pub fn receivers(&self, own: InstanceAddress, others: &[InstanceAddress]) -> Receivers {
         let relay = self.of(own).filter(|relay| *relay != own);
         let is_small = others.len() < SMALL;
         let neighbours = others.iter().copied().filter(|m| Some(*m) != relay);
@@ -85,8 +92,8 @@
     }
 
     /// The one that serves a member.
-    pub fn of(&self, member: Member) -> Option<Member> {
-        let relays: Vec<Member> = self.chosen.iter().map(|(r, _)| *r).collect();
+    pub fn of(&self, member: InstanceAddress) -> Option<InstanceAddress> {
+        let relays: Vec<InstanceAddress> = self.chosen.iter().map(|(r, _)| *r).collect();
         relay_of(member, &relays)
     }
 }
@@ -95,13 +102,13 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Receivers {
     /// Its relay; none if it is its own.
-    pub relay: Option<Member>,
+    pub relay: Option<InstanceAddress>,
     /// The rest of a small zone; none if the relay is to tell the zone.
-    pub neighbours: Option<Vec<Member>>,
+    pub neighbours: Option<Vec<InstanceAddress>>,
 }
 
 /// The relays of a zone with these members, the first in rank first.
-pub fn relays(members: &[Member]) -> Vec<Member> {
+pub fn relays(members: &[InstanceAddress]) -> Vec<InstanceAddress> {
     let mut ranked = members.to_vec();
     ranked.sort_unstable_by_key(|m| Reverse((rank(*m, 0), *m)));
     ranked.dedup();
@@ -110,7 +117,7 @@
 }
 
 /// The relay that serves a member.
-pub fn relay_of(member: Member, relays: &[Member]) -> Option<Member> {
+pub fn relay_of(member: InstanceAddress, relays: &[InstanceAddress]) -> Option<InstanceAddress> {
     let own = relays.iter().find(|r| **r == member);
     let ranked = relays
         .iter()
@@ -118,6 +125,6 @@
     own.or(ranked).copied()
 }
 
-fn rank(member: Member, seed: u64) -> u64 {
+fn rank(member: InstanceAddress, seed: u64) -> u64 {
     xxh3_64_with_seed(&member.to_be_bytes(), seed)
 }
--- a/crates/decisions/src/health.rs
+++ b/crates/decisions/src/health.rs
@@ -45,7 +45,7 @@
 
 /// Stage of a replica's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stage {
+pub enum HealthStage {
     /// Its whole limit.
     Healthy,
     /// Half of its limit.
@@ -62,7 +62,7 @@
 /// Health of one replica.
 #[derive(Debug, Clone)]
 pub struct Health {
-    stage: Stage,
+    stage: HealthStage,
     errors: u32,
     good: u32,
     pause: Duration,
@@ -80,7 +80,7 @@
     /// Makes the health of a replica of which nothing bad is known.
     pub fn new() -> Self {
         Self {
-            stage: Stage::Healthy,
+            stage: HealthStage::Healthy,
             errors: 0,
             good: 0,
             pause: PROBE_PAUSE,
@@ -90,7 +90,7 @@
     }
 
     /// Current stage.
-    pub fn stage(&self) -> Stage {
+    pub fn stage(&self) -> HealthStage {
         self.stage
     }
 
@@ -99,24 +99,26 @@
     ///
     /// The old ones do not count against probes: long answers would hold the replica back for
     /// minutes after it is well again.
-    pub fn allowed(&self, now: Instant, limit: u32, taken: u32, old: u32) -> u32 {
+    pub fn allowed_slots(&self, now: Instant, limit: u32, taken: u32, old: u32) -> u32 {
         match self.stage {
-            Stage::Healthy => limit,
-            Stage::Suspect => (limit / 2).max(1),
-            Stage::Probing if self.next_probe.is_some_and(|at| now < at) => taken.min(limit),
-            Stage::Probing => (old + 1).min(limit),
-            Stage::Recovering { steps_left } => (old + (limit >> steps_left).max(1)).min(limit),
+            HealthStage::Healthy => limit,
+            HealthStage::Suspect => (limit / 2).max(1),
+            HealthStage::Probing if self.next_probe.is_some_and(|at| now < at) => taken.min(limit),
+            HealthStage::Probing => (old + 1).min(limit),
+            HealthStage::Recovering { steps_left } => {
+                (old + (limit >> steps_left).max(1)).min(limit)
+            }
         }
     }
 
     /// When it fell last.
-    pub fn fell(&self) -> Option<Instant> {
+    pub fn ejected_at(&self) -> Option<Instant> {
         self.fell
     }
 
     /// Notes that a probe was granted, so that the next one waits.
     pub fn on_granted(&mut self, now: Instant) {
-        if self.stage == Stage::Probing {
+        if self.stage == HealthStage::Probing {
             self.next_probe = Some(now + self.pause);
         }
     }
@@ -131,12 +133,14 @@
             return;
         }
         match self.stage {
-            Stage::Healthy | Stage::Suspect => self.judge(now, mean_slowdown),
-            Stage::Probing | Stage::Recovering { .. } if slowdown > SUSPECT_SLOWDOWN => {
+            HealthStage::Healthy | HealthStage::Suspect => self.judge(now, mean_slowdown),
+            HealthStage::Probing | HealthStage::Recovering { .. }
+                if slowdown > SUSPECT_SLOWDOWN =>
+            {
                 self.fall(now);
             }
-            Stage::Probing => self.climb(GOOD_PROBES, slowdown),
-            Stage::Recovering { .. } => self.climb(GOOD_ANSWERS, slowdown),
+            HealthStage::Probing => self.climb(GOOD_PROBES, slowdown),
+            HealthStage::Recovering { .. } => self.climb(GOOD_ANSWERS, slowdown),
         }
     }
 
@@ -144,23 +148,25 @@
     pub fn on_error(&mut self, now: Instant) {
         self.errors = self.errors.saturating_add(1);
         match self.stage {
-            Stage::Healthy if self.errors >= SUSPECT_ERRORS => self.stage = Stage::Suspect,
-            Stage::Suspect if self.errors >= PROBE_ERRORS => self.fall(now),
-            Stage::Probing | Stage::Recovering { .. } => self.fall(now),
-            Stage::Healthy | Stage::Suspect => {}
+            HealthStage::Healthy if self.errors >= SUSPECT_ERRORS => {
+                self.stage = HealthStage::Suspect;
+            }
+            HealthStage::Suspect if self.errors >= PROBE_ERRORS => self.fall(now),
+            HealthStage::Probing | HealthStage::Recovering { .. } => self.fall(now),
+            HealthStage::Healthy | HealthStage::Suspect => {}
         }
     }
 
     /// Notes that a first token is overdue: the replica stalls, whatever its report says.
     pub fn on_overdue(&mut self, now: Instant) {
-        if self.stage != Stage::Probing {
+        if self.stage != HealthStage::Probing {
             self.fall(now);
         }
     }
 
     /// Notes that a request dispatched at `since` got nothing; a probe among them has failed.
     pub fn on_silent_end(&mut self, now: Instant, since: Instant) {
-        if self.stage != Stage::Probing || self.fell.is_some_and(|fell| since >= fell) {
+        if self.stage != HealthStage::Probing || self.fell.is_some_and(|fell| since >= fell) {
             self.fall(now);
         }
     }
@@ -169,17 +175,17 @@
         if mean_slowdown >= PROBE_SLOWDOWN {
             self.fall(now);
         } else if mean_slowdown >= SUSPECT_SLOWDOWN {
-            self.stage = Stage::Suspect;
+            self.stage = HealthStage::Suspect;
         } else if mean_slowdown <= GOOD_SLOWDOWN {
-            self.stage = Stage::Healthy;
+            self.stage = HealthStage::Healthy;
         }
     }
 
     fn fall(&mut self, now: Instant) {
-        if self.stage == Stage::Probing {
+        if self.stage == HealthStage::Probing {
             self.pause = (self.pause * 3).min(PROBE_PAUSE_MAX);
         }
-        self.stage = Stage::Probing;
+        self.stage = HealthStage::Probing;
         self.fell = Some(now);
         self.good = 0;
         self.next_probe = Some(now + self.pause);
@@ -197,11 +203,11 @@
         }
         self.good = 0;
         self.stage = match self.stage {
-            Stage::Recovering { steps_left: 1 } => Stage::Healthy,
-            Stage::Recovering { steps_left } => Stage::Recovering {
+            HealthStage::Recovering { steps_left: 1 } => HealthStage::Healthy,
+            HealthStage::Recovering { steps_left } => HealthStage::Recovering {
                 steps_left: steps_left - 1,
             },
-            _ => Stage::Recovering { steps_left: STEPS },
+            _ => HealthStage::Recovering { steps_left: STEPS },
         };
         self.pause = PROBE_PAUSE;
         self.next_probe = None;
--- a/crates/decisions/src/id.rs
+++ b/crates/decisions/src/id.rs
@@ -13,7 +13,7 @@
 /// Name of a region, which holds one or more availability zones.
 pub type RegionId = Arc<str>;
 /// An entry instance by its address, as the instances name each other in messages.
-pub type Member = u32;
+pub type InstanceAddress = u32;
 /// Name of an organisation, whose limits and weight stand in the table.
 pub type OrganisationId = Arc<str>;
 /// Name of a model or plain service.
@@ -24,11 +24,11 @@
 pub type RequestId = Arc<str>;
 
 /// Short name of a replica, an organisation or a zone in messages between instances.
-pub type ShortName = u32;
+pub type NameHash = u32;
 
 /// The short name of `name`.
-pub fn short_name(name: &str) -> ShortName {
-    xxh3_64(name.as_bytes()) as ShortName
+pub fn name_hash(name: &str) -> NameHash {
+    xxh3_64(name.as_bytes()) as NameHash
 }
 
 /// Position of a tier; 0 is the highest.
--- a/crates/decisions/src/length.rs
+++ b/crates/decisions/src/length.rs
@@ -50,12 +50,12 @@
 
 /// Predictor of answer lengths, bounded by [`MAX_LENGTHS`].
 #[derive(Debug, Clone, Default)]
-pub struct Lengths {
+pub struct LengthPredictor {
     lengths: Vec<Length>,
     uses: u64,
 }
 
-impl Lengths {
+impl LengthPredictor {
     /// Makes a predictor that has seen no answer.
     pub fn new() -> Self {
         Self::default()
--- a/crates/decisions/src/pace.rs
+++ b/crates/decisions/src/pace.rs
@@ -34,20 +34,20 @@
 }
 
 /// Pace assumed before anything was seen: slow enough that no replica is suspected by it.
-pub const ASSUMED: Pace = Pace {
+pub const DEFAULT_PACE: Pace = Pace {
     prefill: Duration::from_millis(1),
     decode: Duration::from_millis(50),
 };
 
 impl Pace {
     /// Expected time until the first token when `prefill` tokens stand before it.
-    pub fn first_token(self, prefill: Tokens) -> Duration {
+    pub fn time_to_first_token(self, prefill: Tokens) -> Duration {
         times(self.prefill, prefill.saturating_add(FIRST_TOKEN_OVERHEAD))
     }
 
     /// Expected time from dispatch to the end of the answer.
-    pub fn service(self, work: Work) -> Duration {
-        self.first_token(work.prefill)
+    pub fn service_time(self, work: Work) -> Duration {
+        self.time_to_first_token(work.prefill)
             .saturating_add(times(self.decode, work.decode))
     }
 }
@@ -61,7 +61,7 @@
 /// Usual pace of a generation: the median of its replicas' paces, or `None` without any.
 ///
 /// With the mean, one stalled replica among three would pass as usual.
-pub fn usual_pace(paces: &[Pace]) -> Option<Pace> {
+pub fn median_pace(paces: &[Pace]) -> Option<Pace> {
     let mut prefill: Vec<_> = paces.iter().map(|pace| pace.prefill).collect();
     let mut decode: Vec<_> = paces.iter().map(|pace| pace.decode).collect();
     prefill.sort_unstable();
@@ -75,7 +75,7 @@
 
 /// Moving mean of a replica's pace, over about the last ten samples and over the last few hundred.
 #[derive(Debug, Clone)]
-pub struct PaceMeter {
+pub struct PaceEstimator {
     prefill: Mean,
     whole: Mean,
     decode: Mean,
@@ -83,21 +83,21 @@
     long_decode: Mean,
 }
 
-impl Default for PaceMeter {
+impl Default for PaceEstimator {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl PaceMeter {
+impl PaceEstimator {
     /// Makes a meter that has seen nothing.
     pub fn new() -> Self {
         Self {
-            prefill: Mean::new(ASSUMED.prefill, MEAN_GAIN),
-            whole: Mean::new(ASSUMED.prefill, MEAN_GAIN),
-            decode: Mean::new(ASSUMED.decode, MEAN_GAIN),
-            long_prefill: Mean::new(ASSUMED.prefill, LONG_GAIN),
-            long_decode: Mean::new(ASSUMED.decode, LONG_GAIN),
+            prefill: Mean::new(DEFAULT_PACE.prefill, MEAN_GAIN),
+            whole: Mean::new(DEFAULT_PACE.prefill, MEAN_GAIN),
+            decode: Mean::new(DEFAULT_PACE.decode, MEAN_GAIN),
+            long_prefill: Mean::new(DEFAULT_PACE.prefill, LONG_GAIN),
+            long_decode: Mean::new(DEFAULT_PACE.decode, LONG_GAIN),
         }
     }
 
@@ -146,12 +146,12 @@
     }
 
     /// Usual time of a first token behind `prefill` tokens: by `usual` or by the own long mean.
-    pub fn usual_first_token(&self, usual: Option<Pace>, prefill: Tokens) -> Duration {
+    pub fn usual_time_to_first_token(&self, usual: Option<Pace>, prefill: Tokens) -> Duration {
         let own = Pace {
             prefill: self.long_prefill.value(),
             decode: self.long_decode.value(),
         };
-        usual.unwrap_or(own).first_token(prefill)
+        usual.unwrap_or(own).time_to_first_token(prefill)
     }
 }
 
--- a/crates/decisions/src/prefixes.rs
+++ b/crates/decisions/src/prefixes.rs
@@ -96,7 +96,7 @@
     /// Work that is left of `work` when the cached part of `prefixes` is not prefilled again.
     ///
     /// The prefixes stand at even distances in the prompt, so the cached part is their share.
-    pub fn uncached(&self, work: Work, prefixes: &[PrefixHash]) -> Work {
+    pub fn uncached_work(&self, work: Work, prefixes: &[PrefixHash]) -> Work {
         let cached = self.cached(prefixes) as u64;
         Work::new(
             left_to_prefill(work.prefill, cached, prefixes.len() as u64),
--- a/crates/decisions/src/remote_load.rs
+++ b/crates/decisions/src/remote_load.rs
@@ -7,13 +7,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::id::ShortName;
+use crate::id::NameHash;
 
 /// What an instance has at one replica.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaLoad {
     /// The replica.
-    pub replica: ShortName,
+    pub replica: NameHash,
     /// Requests of the instance there.
     pub running: u16,
     /// Their prompt tokens that are still to be read.
@@ -32,8 +32,8 @@
 /// Sums by replica, and which of them have changed since somebody looked.
 #[derive(Debug, Default)]
 pub struct RemoteLoad {
-    sums: Vec<(ShortName, TotalLoad)>,
-    changed: Vec<ShortName>,
+    sums: Vec<(NameHash, TotalLoad)>,
+    changed: Vec<NameHash>,
 }
 
 impl RemoteLoad {
@@ -57,25 +57,25 @@
     }
 
     /// What the others have at a replica.
-    pub fn get(&self, replica: ShortName) -> TotalLoad {
+    pub fn get(&self, replica: NameHash) -> TotalLoad {
         let found = self.sums.binary_search_by(|(r, _)| r.cmp(&replica));
         found.map_or_else(|_| TotalLoad::default(), |at| self.sums[at].1)
     }
 
     /// All replicas at which the others have or had something.
-    pub fn totals(&self) -> &[(ShortName, TotalLoad)] {
+    pub fn totals(&self) -> &[(NameHash, TotalLoad)] {
         &self.sums
     }
 
     /// The replicas whose sums have changed since the last call.
-    pub fn take_changed(&mut self) -> Vec<ShortName> {
+    pub fn take_changed(&mut self) -> Vec<NameHash> {
         let mut changed = std::mem::take(&mut self.changed);
         changed.sort_unstable();
         changed.dedup();
         changed
     }
 
-    fn change(&mut self, replica: ShortName) -> &mut TotalLoad {
+    fn change(&mut self, replica: NameHash) -> &mut TotalLoad {
         self.changed.push(replica);
         let found = self.sums.binary_search_by(|(r, _)| r.cmp(&replica));
         let at = found.unwrap_or_else(|at| {
--- a/crates/decisions/src/routing.rs
+++ b/crates/decisions/src/routing.rs
@@ -33,7 +33,7 @@
 ///
 /// Prompts of one service mostly differ in their last block; the home has seen the others unless
 /// the prefix is new.
-pub const CACHED_AT_HOME: f64 = 0.75;
+pub const CACHED_SHARE_AT_HOME: f64 = 0.75;
 
 /// Weight of a second of uncached prefill against a second of wait.
 ///
@@ -86,9 +86,9 @@
     /// What its owner said last, if anything.
     pub digest: Option<Digest>,
     /// Age of the digest.
-    pub age: Duration,
+    pub digest_age: Duration,
     /// Prompt tokens that its cache probably holds.
-    pub cached: Tokens,
+    pub cached_tokens: Tokens,
     /// Its observed speed.
     pub pace: Pace,
     /// Network time to the replica and back.
@@ -99,22 +99,28 @@
     /// Time until a new request would start there.
     fn wait(&self) -> Duration {
         match self.digest {
-            Some(digest) if self.age < DIGEST_LIFE => digest.wait + self.round_trip,
+            Some(digest) if self.digest_age < DIGEST_LIFE => digest.wait + self.round_trip,
             _ => self.round_trip,
         }
     }
 
     /// Time until the answer would end: the wait, the uncached prefill and the decoding.
     fn end(&self, request: &RouteRequest) -> Duration {
-        let prefill = request.work.prefill.saturating_sub(self.cached);
-        self.wait() + self.pace.service(Work::new(prefill, request.work.decode))
+        let prefill = request.work.prefill.saturating_sub(self.cached_tokens);
+        self.wait()
+            + self
+                .pace
+                .service_time(Work::new(prefill, request.work.decode))
     }
 
     /// The same with uncached prefill weighted for what it costs the others.
     fn cost(&self, request: &RouteRequest) -> Duration {
-        let prefill = request.work.prefill.saturating_sub(self.cached);
+        let prefill = request.work.prefill.saturating_sub(self.cached_tokens);
         let prefill = prefill.saturating_mul(PREFILL_WEIGHT);
-        self.wait() + self.pace.service(Work::new(prefill, request.work.decode))
+        self.wait()
+            + self
+                .pace
+                .service_time(Work::new(prefill, request.work.decode))
     }
 }
 
@@ -122,7 +128,7 @@
 ///
 /// Every instance computes the same one, so that a prefix is prefilled once in a zone and not once
 /// for each instance.
-pub fn home(prefix: PrefixHash, upstreams: &[UpstreamId]) -> Option<&UpstreamId> {
+pub fn home_replica(prefix: PrefixHash, upstreams: &[UpstreamId]) -> Option<&UpstreamId> {
     owner(&format!("{prefix:016x}"), upstreams)
 }
 
@@ -185,7 +191,7 @@
 /// expected to meet the deadline, a remote one is, its digest shows a free slot (or the zone has
 /// no replica at all), the tier is not the `lowest` one, and the link's budget allows the bytes.
 /// Nothing is chosen when there is no candidate.
-pub fn choose<R>(
+pub fn choose_replicas<R>(
     now: Instant,
     request: &RouteRequest,
     candidates: &[Candidate],
@@ -219,7 +225,7 @@
 }
 
 fn has_room(candidate: &Candidate) -> bool {
-    let fresh = candidate.age < DIGEST_LIFE;
+    let fresh = candidate.digest_age < DIGEST_LIFE;
     candidate
         .digest
         .is_some_and(|d| fresh && d.waiting == 0 && d.running < d.limit)
@@ -243,8 +249,8 @@
         .collect();
     let by_prefix = candidates
         .iter()
-        .filter(|c| c.cached > 0)
-        .max_by_key(|c| c.cached);
+        .filter(|c| c.cached_tokens > 0)
+        .max_by_key(|c| c.cached_tokens);
     let third = by_prefix.filter(|c| c.end(request) <= request.time_left);
     if let Some(third) = third.filter(|c| !upstreams.contains(&c.upstream)) {
         upstreams.push(UpstreamId::clone(&third.upstream));
--- a/crates/decisions/src/slots/events.rs
+++ b/crates/decisions/src/slots/events.rs
@@ -29,7 +29,9 @@
         }
         reservation.holder = InstanceId::clone(from);
         let prompt = reservation.work.prefill;
-        reservation.work = self.cache.uncached(reservation.work, &reservation.prefixes);
+        reservation.work = self
+            .cache
+            .uncached_work(reservation.work, &reservation.prefixes);
         if let Some(why) = self.objection(now, &reservation) {
             sends.push(self.reject(now, &reservation, why));
             return;
@@ -118,7 +120,7 @@
             missed: 0,
         });
         if self.is_learning(now) {
-            self.feedback.limit.on_learned(self.taken.len());
+            self.feedback.limit.on_inherited_slots(self.taken.len());
         }
     }
 
--- a/crates/decisions/src/slots/feedback.rs
+++ b/crates/decisions/src/slots/feedback.rs
@@ -6,10 +6,10 @@
 
 use super::Outcome;
 use super::taken::{Stage, TakenSlots};
-use crate::concurrency::Limit;
+use crate::concurrency::ConcurrencyLimit;
 use crate::health::Health;
 use crate::id::Tokens;
-use crate::pace::{FIRST_TOKEN_OVERHEAD, Pace, PaceMeter};
+use crate::pace::{FIRST_TOKEN_OVERHEAD, Pace, PaceEstimator};
 use crate::work::Work;
 
 /// First token later than this many times the expected time: no grant until it comes.
@@ -58,10 +58,10 @@
 /// Limit, health and pace of one replica.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Feedback {
-    pub(super) limit: Limit,
+    pub(super) limit: ConcurrencyLimit,
     pub(super) health: Health,
     pub(super) usual: Option<Pace>,
-    meter: PaceMeter,
+    meter: PaceEstimator,
     /// When a first token or the end of an answer came last.
     progress: Option<Instant>,
 }
@@ -69,9 +69,12 @@
 impl Feedback {
     /// Slots that may be taken now.
     pub(super) fn allowed(&self, now: Instant, taken: &TakenSlots) -> u32 {
-        let old = self.health.fell().map_or(0, |fell| taken.before(fell));
+        let old = self
+            .health
+            .ejected_at()
+            .map_or(0, |fell| taken.before(fell));
         self.health
-            .allowed(now, self.limit.get(now), taken.len(), old)
+            .allowed_slots(now, self.limit.slots(now), taken.len(), old)
     }
 
     /// Looks for a first token that is overdue while nothing else came from the replica either.
@@ -90,7 +93,7 @@
 
     /// Expected time from dispatch to the end of the answer; never refuse by it alone.
     pub(super) fn service(&self, work: Work) -> Duration {
-        self.meter.pace().service(work)
+        self.meter.pace().service_time(work)
     }
 
     /// Expected time for `tokens` of prefill that are under way.
@@ -122,7 +125,7 @@
 
     /// Expected time of a first token behind `ahead` prompt tokens.
     fn first_token(&self, ahead: Tokens) -> Duration {
-        let expected = self.meter.pace().first_token(ahead);
+        let expected = self.meter.pace().time_to_first_token(ahead);
         if self.meter.is_trusted() {
             expected
         } else {
@@ -153,7 +156,9 @@
         self.meter.on_first_token(ahead, prompts_ahead, took);
         let tokens = ahead.saturating_add(FIRST_TOKEN_OVERHEAD);
         self.limit.on_first_token(now, tokens as f64, took, in_use);
-        let usual = self.meter.usual_first_token(self.usual, prompts_ahead);
+        let usual = self
+            .meter
+            .usual_time_to_first_token(self.usual, prompts_ahead);
         let slowdown = took.as_secs_f64() / usual.as_secs_f64().max(f64::EPSILON);
         let mean = self.meter.slowdown(self.usual);
         self.health.on_answer(now, since, slowdown, mean);
--- a/crates/decisions/src/slots/queue.rs
+++ b/crates/decisions/src/slots/queue.rs
@@ -9,9 +9,9 @@
 use super::taken::{Stage, Taken, TakenSlots};
 use super::wait;
 use super::{Digest, GRANT_LEASE, LoadReport, Rejection, Reservation, Send, ToHolder, ToOwner};
-use crate::concurrency::Limit;
+use crate::concurrency::ConcurrencyLimit;
 use crate::fairness::{Entry, FairQueue, long_slots};
-use crate::health::Stage as HealthStage;
+use crate::health::HealthStage;
 use crate::id::{InstanceId, PrefixHash, Rank, RequestId, UpstreamId};
 use crate::pace::Pace;
 use crate::prefixes::{CacheEvent, PrefixCache};
@@ -81,7 +81,7 @@
     }
 
     /// Starts with `limit`, made by hand or from an earlier owner's digest.
-    pub fn with_limit(mut self, limit: Limit) -> Self {
+    pub fn with_limit(mut self, limit: ConcurrencyLimit) -> Self {
         self.feedback.limit = limit;
         self
     }
@@ -257,7 +257,7 @@
             return false;
         }
         // An earlier owner may still grant from the same limit until all holders have told.
-        let alone = self.feedback.limit.get(now) / self.neighbours as u32;
+        let alone = self.feedback.limit.slots(now) / self.neighbours as u32;
         !self.is_learning(now) || self.granted < alone.max(1)
     }
 
--- a/crates/decisions/tests/cold.rs
+++ b/crates/decisions/tests/cold.rs
@@ -5,7 +5,7 @@
 use kingcupfield_decisions::cold::{
     COUNTING_WINDOW, ColdGate, ColdLimit, MAX_SIMULTANEOUS_SENDERS, designated_instance,
 };
-use kingcupfield_decisions::id::{Member, UpstreamId};
+use kingcupfield_decisions::id::{InstanceAddress, UpstreamId};
 use rand::prelude::*;
 use rand_chacha::ChaCha8Rng;
 use tokio::time::Instant;
@@ -99,10 +99,10 @@
     let mut rng = ChaCha8Rng::seed_from_u64(5);
     for n in 0..2000 {
         let replica: UpstreamId = format!("i-{n}").into();
-        let all: Vec<Member> = (0..14).map(|_| rng.random()).collect();
+        let all: Vec<InstanceAddress> = (0..14).map(|_| rng.random()).collect();
         let (first, second) = (all[0], all[1]);
-        let mut known = |own: Member, other: Member| {
-            let mut members: Vec<Member> =
+        let mut known = |own: InstanceAddress, other: InstanceAddress| {
+            let mut members: Vec<InstanceAddress> =
                 all[2..].iter().copied().filter(|_| rng.random()).collect();
             members.extend([own, other]);
             members.shuffle(&mut rng);
@@ -117,9 +117,9 @@
 /// Fifteen replicas of a zone are shared out so that most instances keep one.
 #[test]
 fn keepers_are_spread_over_the_zone() {
-    let members: Vec<Member> = (1..=13).collect();
+    let members: Vec<InstanceAddress> = (1..=13).collect();
     let replicas = (0..15).map(|n| UpstreamId::from(format!("i-{n}")));
-    let mut keepers: Vec<Member> = replicas
+    let mut keepers: Vec<InstanceAddress> = replicas
         .filter_map(|r| designated_instance(&r, &members))
         .collect();
     keepers.sort_unstable();
--- a/crates/decisions/tests/credit.rs
+++ b/crates/decisions/tests/credit.rs
@@ -6,7 +6,7 @@
     ANSWER, Charge, Credit, Distance, Ledger, Limit, Lot, Message, Pace, Roster, Tolerance,
     Verdict, Zone,
 };
-use kingcupfield_decisions::id::Member;
+use kingcupfield_decisions::id::InstanceAddress;
 use proptest::prelude::*;
 use tokio::time::Instant;
 use yare::parameterized;
@@ -23,7 +23,7 @@
 const STEP: Duration = Duration::from_millis(20);
 
 /// A fleet of one zone; `heard` are those whose messages come.
-fn roster(now: Instant, size: u32, heard: &[Member]) -> Roster {
+fn roster(now: Instant, size: u32, heard: &[InstanceAddress]) -> Roster {
     Roster {
         zones: vec![Zone {
             name: 1,
@@ -99,9 +99,9 @@
 
 fn admitted(case: &Case) -> Vec<(Instant, f64)> {
     let start = Instant::now();
-    let all: Vec<Member> = (0..case.instances).collect();
+    let all: Vec<InstanceAddress> = (0..case.instances).collect();
     let mut fleet: Vec<Ledger> = all.iter().map(|m| Ledger::new(*m, 1)).collect();
-    let mut on_the_way: Vec<(Instant, Member, Member, Message)> = Vec::new();
+    let mut on_the_way: Vec<(Instant, InstanceAddress, InstanceAddress, Message)> = Vec::new();
     let each = Duration::from_secs(1) / case.rate;
     let mut admitted = Vec::new();
     for step in 0..1200 {
@@ -113,7 +113,7 @@
             fleet[to as usize].on_message(now, from, message, Some(SMALL));
         }
         for (own, ledger) in all.iter().zip(&mut fleet) {
-            let heard: Vec<Member> = all.iter().copied().filter(|m| m != own).collect();
+            let heard: Vec<InstanceAddress> = all.iter().copied().filter(|m| m != own).collect();
             let heard = if case.cut { &[] } else { &heard[..] };
             ledger.set_bounds(SPAN, TOLERANCE);
             ledger.set_roster(now, &roster(start, case.instances, heard));
@@ -351,7 +351,7 @@
 fn credit_counts_once_and_in_time(after: Duration, other: u64, counts: bool) {
     let start = Instant::now();
     let now = start + SPAN;
-    let keeper = |own: Member| {
+    let keeper = |own: InstanceAddress| {
         let mut ledger = Ledger::new(own, 1);
         ledger.set_bounds(SPAN, TOLERANCE);
         ledger.set_roster(start, &roster(start, 2, &[99]));
@@ -404,7 +404,7 @@
 #[test]
 fn a_dead_keeper_is_replaced() {
     let start = Instant::now();
-    let others: Vec<Member> = (100..103).collect();
+    let others: Vec<InstanceAddress> = (100..103).collect();
     let mut ledger = Ledger::new(1, 1);
     ledger.set_bounds(SPAN, TOLERANCE);
     let mut roster = roster(start, 4, &others);
--- a/crates/decisions/tests/credit_use.rs
+++ b/crates/decisions/tests/credit_use.rs
@@ -6,7 +6,7 @@
 use kingcupfield_decisions::credit::{
     Charge, Distance, Ledger, Limit, Message, Roster, Verdict, Zone,
 };
-use kingcupfield_decisions::id::Member;
+use kingcupfield_decisions::id::InstanceAddress;
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use tokio::time::Instant;
@@ -42,7 +42,7 @@
     start: Instant,
     ledgers: Vec<Ledger>,
     up: bool,
-    on_the_way: BTreeMap<(Instant, u64), (Member, Member, Message)>,
+    on_the_way: BTreeMap<(Instant, u64), (InstanceAddress, InstanceAddress, Message)>,
     sent: u64,
     /// When requests were decided, and whether they were granted.
     decided: Vec<(Instant, bool)>,
@@ -70,7 +70,7 @@
     }
 
     /// Two zones make a region.
-    fn distance(&self, one: Member, other: Member) -> Distance {
+    fn distance(&self, one: InstanceAddress, other: InstanceAddress) -> Distance {
         let (one, other) = (one % self.zones(), other % self.zones());
         if one == other {
             Distance::Home
@@ -95,10 +95,10 @@
             .collect();
     }
 
-    fn roster(&self, own: Member, since: Instant) -> Roster {
+    fn roster(&self, own: InstanceAddress, since: Instant) -> Roster {
         let mut zones: Vec<Zone> = (0..self.zones())
             .map(|zone| {
-                let members: Vec<Member> = (0..self.case.instances)
+                let members: Vec<InstanceAddress> = (0..self.case.instances)
                     .filter(|m| m % self.zones() == zone)
                     .collect();
                 Zone {
@@ -191,7 +191,7 @@
         }
     }
 
-    fn flush(&mut self, now: Instant, at: Member) {
+    fn flush(&mut self, now: Instant, at: InstanceAddress) {
         let ledger = &mut self.ledgers[at as usize];
         let granted = |v: &Verdict| matches!(v, Verdict::Granted { .. });
         let verdicts = ledger.take_verdicts();
--- a/crates/decisions/tests/estimates.rs
+++ b/crates/decisions/tests/estimates.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use kingcupfield_decisions::health::{Health, PROBE_PAUSE, Stage};
+use kingcupfield_decisions::health::{Health, HealthStage, PROBE_PAUSE};
 use kingcupfield_decisions::id::{InstanceId, OrganisationId, ServiceId};
-use kingcupfield_decisions::length::Lengths;
+use kingcupfield_decisions::length::LengthPredictor;
 use kingcupfield_decisions::ownership::{fallback_share_of, owner, ranked};
 use kingcupfield_decisions::prefixes::{CacheChange, CacheEvent, PrefixCache};
 use rand::{RngExt, SeedableRng};
@@ -85,7 +85,7 @@
 #[test]
 fn lengths_are_learned_for_each_organisation() {
     let mut rng = ChaCha8Rng::seed_from_u64(SEED);
-    let mut lengths = Lengths::new();
+    let mut lengths = LengthPredictor::new();
     let service: ServiceId = "drafting".into();
     let (mut error, mut blind, mut real) = (0, 0, 0);
     for i in 0..2_000 {
@@ -114,20 +114,20 @@
     let start = Instant::now();
     let mut health = Health::new();
     health.on_overdue(start);
-    assert_eq!(health.allowed(start, 16, 3, 3), 3);
+    assert_eq!(health.allowed_slots(start, 16, 3, 3), 3);
     let mut now = start + PROBE_PAUSE;
-    assert_eq!(health.allowed(now, 16, 3, 3), 4);
+    assert_eq!(health.allowed_slots(now, 16, 3, 3), 4);
     health.on_granted(now);
-    assert_eq!(health.allowed(now, 16, 4, 3), 4);
+    assert_eq!(health.allowed_slots(now, 16, 4, 3), 4);
     let mut shares = Vec::new();
     for _ in 0..14 {
         now += Duration::from_secs(1);
         health.on_answer(now, now, 1.0, 1.0);
-        shares.push(health.allowed(now, 16, 0, 0));
+        shares.push(health.allowed_slots(now, 16, 0, 0));
     }
     assert!(shares.is_sorted(), "{shares:?}");
     assert_eq!((shares[0], shares[13]), (1, 16));
-    assert_eq!(health.stage(), Stage::Healthy);
+    assert_eq!(health.stage(), HealthStage::Healthy);
     health.on_answer(now, now, 9.0, 9.0);
-    assert_eq!(health.stage(), Stage::Probing);
+    assert_eq!(health.stage(), HealthStage::Probing);
 }
--- a/crates/decisions/tests/fanout.rs
+++ b/crates/decisions/tests/fanout.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::fanout::{Relays, SMALL, relay_of, relays};
-use kingcupfield_decisions::id::Member;
+use kingcupfield_decisions::id::InstanceAddress;
 use tokio::time::Instant;
 use yare::parameterized;
 
@@ -21,10 +21,10 @@
     two_hundred = { Zone { members: 200, relays: 17 } },
 )]
 fn a_zone_has_few_relays(case: Zone) {
-    let members: Vec<Member> = (0..case.members).collect();
+    let members: Vec<InstanceAddress> = (0..case.members).collect();
     let relays = relays(&members);
     assert_eq!(relays.len(), case.relays);
-    let served = |relay: &Member| {
+    let served = |relay: &InstanceAddress| {
         let served = members
             .iter()
             .filter(|m| relay_of(**m, &relays) == Some(*relay));
@@ -39,10 +39,10 @@
 /// would send everything twice for a moment at each restart.
 #[test]
 fn few_change_their_relay_when_one_leaves() {
-    let members: Vec<Member> = (0..50).collect();
+    let members: Vec<InstanceAddress> = (0..50).collect();
     let before = relays(&members);
     let dead = before[0];
-    let rest: Vec<Member> = members.iter().copied().filter(|m| *m != dead).collect();
+    let rest: Vec<InstanceAddress> = members.iter().copied().filter(|m| *m != dead).collect();
     let after = relays(&rest);
     let moved = rest.iter().filter(|m| {
         let relay = relay_of(**m, &before);
@@ -63,10 +63,10 @@
 #[test]
 fn a_relay_that_sends_nothing_is_passed_over_for_a_while() {
     let start = Instant::now();
-    let members: Vec<Member> = (0..8).collect();
+    let members: Vec<InstanceAddress> = (0..8).collect();
     let first = relays(&members)[0];
     let own = members[usize::from(first == 0)];
-    let heard: Vec<Member> = members.iter().copied().filter(|m| *m != own).collect();
+    let heard: Vec<InstanceAddress> = members.iter().copied().filter(|m| *m != own).collect();
     let mut seen = Relays::default();
     let still = |_| Some(start);
     assert!(seen.see(start, own, &heard, still).is_empty());
@@ -99,13 +99,13 @@
 #[test]
 fn a_relay_that_left_is_not_lost() {
     let start = Instant::now();
-    let members: Vec<Member> = (0..8).collect();
+    let members: Vec<InstanceAddress> = (0..8).collect();
     let first = relays(&members)[0];
     let own = members[usize::from(first == 0)];
-    let heard: Vec<Member> = members.iter().copied().filter(|m| *m != own).collect();
+    let heard: Vec<InstanceAddress> = members.iter().copied().filter(|m| *m != own).collect();
     let mut seen = Relays::default();
     seen.see(start, own, &heard, |_| Some(start));
-    let rest: Vec<Member> = heard.iter().copied().filter(|m| *m != first).collect();
+    let rest: Vec<InstanceAddress> = heard.iter().copied().filter(|m| *m != first).collect();
     let later = start + Duration::from_secs(2);
     let lost = seen.see(later, own, &rest, |m| (m != first).then_some(later));
     assert!(lost.is_empty(), "{lost:?}");
@@ -128,16 +128,17 @@
 )]
 fn a_small_zone_is_told_directly(case: Told) {
     let now = Instant::now();
-    let members: Vec<Member> = (0..case.members).collect();
+    let members: Vec<InstanceAddress> = (0..case.members).collect();
     for own in &members {
-        let others: Vec<Member> = members.iter().copied().filter(|m| m != own).collect();
+        let others: Vec<InstanceAddress> = members.iter().copied().filter(|m| m != own).collect();
         let mut seen = Relays::default();
         seen.see(now, *own, &others, |_| Some(now));
         let receivers = seen.receivers(*own, &others);
         assert_eq!(receivers.relay.is_none(), seen.has(*own));
         let neighbours = receivers.neighbours.clone().unwrap_or_default();
         assert_eq!(receivers.neighbours.is_some(), case.directly);
-        let mut told: Vec<Member> = neighbours.into_iter().chain(receivers.relay).collect();
+        let mut told: Vec<InstanceAddress> =
+            neighbours.into_iter().chain(receivers.relay).collect();
         told.sort_unstable();
         if case.directly {
             assert_eq!(told, others);
--- a/crates/decisions/tests/routing.rs
+++ b/crates/decisions/tests/routing.rs
@@ -4,7 +4,7 @@
 
 use kingcupfield_decisions::id::{Rank, Tokens};
 use kingcupfield_decisions::pace::Pace;
-use kingcupfield_decisions::routing::{Candidate, LinkBudget, RouteRequest, choose};
+use kingcupfield_decisions::routing::{Candidate, LinkBudget, RouteRequest, choose_replicas};
 use kingcupfield_decisions::slots::Digest;
 use kingcupfield_decisions::work::Work;
 use rand::SeedableRng;
@@ -34,8 +34,8 @@
             wait,
             pace: None,
         }),
-        age: Duration::ZERO,
-        cached,
+        digest_age: Duration::ZERO,
+        cached_tokens: cached,
         pace: PACE,
         round_trip: Duration::ZERO,
     }
@@ -91,7 +91,7 @@
     let mut link = LinkBudget::new(case.link_per_s);
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let req = request(case.time_left, case.rank);
-    let choice = choose(
+    let choice = choose_replicas(
         Instant::now(),
         &req,
         &candidates,
@@ -111,7 +111,7 @@
     let mut link = LinkBudget::new(0.0);
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let req = request(10_000, LOWEST);
-    let choice = choose(
+    let choice = choose_replicas(
         Instant::now(),
         &req,
         &candidates,
@@ -136,7 +136,7 @@
     let req = request(10_000, 0);
     let mut firsts = [0; 3];
     for _ in 0..300 {
-        let choice = choose(
+        let choice = choose_replicas(
             Instant::now(),
             &req,
             &candidates,
--- a/crates/decisions/tests/schedules.rs
+++ b/crates/decisions/tests/schedules.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kingcupfield_decisions::concurrency::Limit;
+use kingcupfield_decisions::concurrency::ConcurrencyLimit;
 use kingcupfield_decisions::holder::{Ask, DispatchError, Holder, HolderAction, Reply};
 use kingcupfield_decisions::id::{InstanceId, Rank, RequestId, Sequence, UpstreamId};
 use kingcupfield_decisions::slots::{
@@ -119,7 +119,7 @@
     fn new() -> Self {
         let now = Instant::now();
         let upstream: UpstreamId = "drafting-1".into();
-        let limit = Limit::new().with_max(LIMIT).with_start(LIMIT);
+        let limit = ConcurrencyLimit::new().with_max(LIMIT).with_start(LIMIT);
         let queue = || SlotQueue::new(UpstreamId::clone(&upstream), None, now);
         let owner = || Owner {
             queue: queue().with_limit(limit.clone()),
--- a/crates/decisions/tests/slots.rs
+++ b/crates/decisions/tests/slots.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kingcupfield_decisions::concurrency::Limit;
+use kingcupfield_decisions::concurrency::ConcurrencyLimit;
 use kingcupfield_decisions::holder::{Ask, DispatchError, Holder, HolderAction, Reply};
 use kingcupfield_decisions::id::{InstanceId, Rank, RequestId, UpstreamId};
 use kingcupfield_decisions::slots::{
@@ -29,7 +29,7 @@
 }
 
 fn queue(now: Instant, limit: u32) -> SlotQueue {
-    let limit = Limit::new().with_max(limit).with_start(limit);
+    let limit = ConcurrencyLimit::new().with_max(limit).with_start(limit);
     SlotQueue::new("drafting-1".into(), None, now).with_limit(limit)
 }
 
--- a/crates/decisions/tests/support/limits.rs
+++ b/crates/decisions/tests/support/limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::credit::{Limit, Tolerance};
-use kingcupfield_decisions::id::ShortName;
+use kingcupfield_decisions::id::NameHash;
 use rand::{Rng, RngExt as _};
 
 /// Span over which the operator counts.
@@ -28,7 +28,7 @@
 };
 
 /// Whose limit it is.
-pub const ORGANISATION: ShortName = 7;
+pub const ORGANISATION: NameHash = 7;
 
 /// Largest request, in tokens.
 const LARGEST: f64 = 40_000.0;
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -9,7 +9,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use kingcupfield_decisions::credit::{Charge, Verdict};
-use kingcupfield_decisions::id::{ServiceId, short_name};
+use kingcupfield_decisions::id::{ServiceId, name_hash};
 use rand::RngExt as _;
 use tokio::time::Instant;
 
@@ -162,7 +162,7 @@
             .with_message(format!("{wanted}, no answer"))
             .with_retry_after(COME_BACK_SOON);
     };
-    let pace = node.ledger.borrow().pace(short_name(&organisation.name));
+    let pace = node.ledger.borrow().pace(name_hash(&organisation.name));
     let depth = pace.map_or(0.0, |p| p.depth());
     let size = node.peers.borrow().zone_size();
     let reason = format!(
--- a/crates/entry/src/credit.rs
+++ b/crates/entry/src/credit.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::credit::{Charge, Distance, Limit, Lot, Message, Number, Verdict};
-use kingcupfield_decisions::id::{Member, ShortName, short_name};
+use kingcupfield_decisions::id::{InstanceAddress, NameHash, name_hash};
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep};
 
@@ -47,7 +47,7 @@
 }
 
 /// The zones of the deployment, by how far they are.
-pub fn zones(cfg: &Settings) -> Vec<(ShortName, Distance)> {
+pub fn zones(cfg: &Settings) -> Vec<(NameHash, Distance)> {
     let distance = |zone: &str, region: &str| {
         if zone == &*cfg.availability_zone {
             Distance::Home
@@ -60,10 +60,10 @@
     let mut zones: Vec<_> = cfg
         .regions_by_zone
         .iter()
-        .map(|(zone, region)| (short_name(zone), distance(zone, region)))
+        .map(|(zone, region)| (name_hash(zone), distance(zone, region)))
         .collect();
     if !cfg.regions_by_zone.contains_key(&*cfg.availability_zone) {
-        zones.push((short_name(&cfg.availability_zone), Distance::Home));
+        zones.push((name_hash(&cfg.availability_zone), Distance::Home));
     }
     zones
 }
@@ -75,7 +75,7 @@
     limit: Limit,
     charge: Charge,
 ) -> Result<Charged, Uncharged> {
-    let name = short_name(&organisation.name);
+    let name = name_hash(&organisation.name);
     let began = now(node);
     let (tx, rx) = oneshot::channel();
     let keeper = Ipv4Addr::from_bits(node.ledger.borrow().keeper(began, name));
@@ -106,7 +106,7 @@
 /// Takes back what a request was charged that did not run.
 pub fn give_back(node: &Node, organisation: &Organisation, charged: &Charged) {
     if let Some(lot) = charged.lot {
-        let name = short_name(&organisation.name);
+        let name = name_hash(&organisation.name);
         node.ledger.borrow_mut().give_back(now(node), name, lot);
     }
 }
@@ -187,7 +187,7 @@
     }
 }
 
-fn send(node: &Node, to: Member, message: Message) {
+fn send(node: &Node, to: InstanceAddress, message: Message) {
     let Some(socket) = node.peer_socket.get() else {
         return;
     };
--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcupfield_decisions::id::{UpstreamId, ZoneId, short_name};
+use kingcupfield_decisions::id::{UpstreamId, ZoneId, name_hash};
 use kingcupfield_decisions::known::{Entry, Revision};
 use rand::RngExt as _;
 use tokio::time::{Instant, sleep, sleep_until};
@@ -221,7 +221,7 @@
 async fn ask_peers(node: &Rc<Node>) {
     let upto = node.known.borrow().upto();
     let cfg = node.settings();
-    let place = (short_name(&cfg.availability_zone), short_name(&cfg.region));
+    let place = (name_hash(&cfg.availability_zone), name_hash(&cfg.region));
     let salt = rand::rng().random();
     let ahead = node
         .peers
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::fanout::{self, Receivers, Relays};
-use kingcupfield_decisions::id::{Member, ShortName, short_name};
+use kingcupfield_decisions::id::{InstanceAddress, NameHash, name_hash};
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, interval, sleep, sleep_until};
 
@@ -104,8 +104,8 @@
 struct Sender {
     own: Ipv4Addr,
     incarnation: u64,
-    zone: ShortName,
-    region: ShortName,
+    zone: NameHash,
+    region: NameHash,
     seq: u32,
     last: News,
     told_at: Option<Instant>,
@@ -124,8 +124,8 @@
         Self {
             own: cfg.address(),
             incarnation,
-            zone: short_name(&cfg.availability_zone),
-            region: short_name(&cfg.region),
+            zone: name_hash(&cfg.availability_zone),
+            region: name_hash(&cfg.region),
             seq: 0,
             last: News::default(),
             told_at: None,
@@ -184,7 +184,7 @@
         let digest = self.digest(node, news, telling);
         self.see_relays(node, now);
         let others = node.peers.borrow().reachable(now, self.zone);
-        let others: Vec<Member> = others.iter().map(|a| a.to_bits()).collect();
+        let others: Vec<InstanceAddress> = others.iter().map(|a| a.to_bits()).collect();
         let receivers = self.relays.receivers(self.own.to_bits(), &others);
         self.send_digest(node, socket, digest, receivers);
     }
@@ -217,8 +217,8 @@
         let peers = node.peers.borrow();
         let there = |p: &&Peer| p.is_fresh(now) && p.digest.zone == self.zone;
         let heard = peers.all().iter().filter(there);
-        let heard: Vec<Member> = heard.map(|p| p.address.to_bits()).collect();
-        let sent_at = |m: Member| peers.sent_at(Ipv4Addr::from_bits(m));
+        let heard: Vec<InstanceAddress> = heard.map(|p| p.address.to_bits()).collect();
+        let sent_at = |m: InstanceAddress| peers.sent_at(Ipv4Addr::from_bits(m));
         let lost = self.relays.see(now, self.own.to_bits(), &heard, sent_at);
         for relay in lost.into_iter().map(Ipv4Addr::from_bits) {
             node.log.line(
@@ -258,7 +258,8 @@
         }
         // By turns, so that a dead one does not take all.
         let turn = self.seq as usize;
-        let by_turns = |relays: &[Member]| relays.get(turn % relays.len().clamp(1, 2)).copied();
+        let by_turns =
+            |relays: &[InstanceAddress]| relays.get(turn % relays.len().clamp(1, 2)).copied();
         let there = self
             .other_zones(node)
             .into_iter()
@@ -269,11 +270,11 @@
     }
 
     /// The other zones, and whether each is of this region.
-    fn other_zones(&self, node: &Node) -> Vec<(ShortName, bool)> {
+    fn other_zones(&self, node: &Node) -> Vec<(NameHash, bool)> {
         let cfg = node.settings();
         let zones = cfg.regions_by_zone.iter();
         zones
-            .map(|(zone, region)| (short_name(zone), *region == *cfg.region))
+            .map(|(zone, region)| (name_hash(zone), *region == *cfg.region))
             .filter(|(zone, _)| *zone != self.zone)
             .collect()
     }
@@ -375,9 +376,9 @@
 }
 
 /// The relays of a zone, by those of it that can be reached.
-fn relays_of(node: &Node, zone: ShortName) -> Vec<Member> {
+fn relays_of(node: &Node, zone: NameHash) -> Vec<InstanceAddress> {
     let there = node.peers.borrow().reachable(Instant::now(), zone);
-    let there: Vec<Member> = there.iter().map(|a| a.to_bits()).collect();
+    let there: Vec<InstanceAddress> = there.iter().map(|a| a.to_bits()).collect();
     fanout::relays(&there)
 }
 
--- a/crates/entry/src/gossip/own.rs
+++ b/crates/entry/src/gossip/own.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 
 use kingcupfield_decisions::dispatch::PriorityClass;
-use kingcupfield_decisions::id::{ShortName, short_name};
+use kingcupfield_decisions::id::{NameHash, name_hash};
 use kingcupfield_decisions::remote_load::ReplicaLoad;
 use tokio::time::Instant;
 
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(super) struct News {
     pub(super) loads: Vec<ReplicaLoad>,
-    pub(super) waiting: Vec<(ShortName, PriorityClass)>,
+    pub(super) waiting: Vec<(NameHash, PriorityClass)>,
     pub(super) upto: u64,
     pub(super) zone_size: u16,
     pub(super) leaving: bool,
@@ -29,12 +29,12 @@
     }
 }
 
-pub(super) fn own_unreachable(node: &Node) -> Vec<ShortName> {
+pub(super) fn own_unreachable(node: &Node) -> Vec<NameHash> {
     let now = Instant::now();
     let dispatch = node.dispatch.borrow();
     dispatch
         .unreachable_replicas(now)
-        .map(|id| short_name(id))
+        .map(|id| name_hash(id))
         .collect()
 }
 
@@ -44,21 +44,21 @@
         .own_load()
         .filter(|(_, running, _, _)| *running > 0)
         .map(|(id, running, prompt, _)| ReplicaLoad {
-            replica: short_name(id),
+            replica: name_hash(id),
             running: running as u16,
             prompt: prompt as u32,
         })
         .collect()
 }
 
-fn own_waiting(node: &Node) -> Vec<(ShortName, PriorityClass)> {
+fn own_waiting(node: &Node) -> Vec<(NameHash, PriorityClass)> {
     let urgent = node
         .dispatch
         .borrow()
         .highest_waiting_priorities(Instant::now());
     let short = urgent
         .into_iter()
-        .map(|(service, class)| (short_name(&service), class));
+        .map(|(service, class)| (name_hash(&service), class));
     short.collect()
 }
 
@@ -66,15 +66,15 @@
     node.dispatch
         .borrow()
         .own_load()
-        .filter_map(|(id, _, _, step)| Some((short_name(id), (step? * 1000.0) as u32)))
+        .filter_map(|(id, _, _, step)| Some((name_hash(id), (step? * 1000.0) as u32)))
         .collect()
 }
 
-pub(super) fn fresh_members(node: &Node) -> Vec<(ShortName, Vec<Ipv4Addr>)> {
+pub(super) fn fresh_members(node: &Node) -> Vec<(NameHash, Vec<Ipv4Addr>)> {
     let now = Instant::now();
     let peers = node.peers.borrow();
     let fresh = peers.all().iter().filter(|p| p.is_fresh(now));
-    let mut by_zone: Vec<(ShortName, Vec<Ipv4Addr>)> = Vec::new();
+    let mut by_zone: Vec<(NameHash, Vec<Ipv4Addr>)> = Vec::new();
     for peer in fresh {
         let zone = peer.digest.zone;
         match by_zone.binary_search_by_key(&zone, |(name, _)| *name) {
--- a/crates/entry/src/hearing.rs
+++ b/crates/entry/src/hearing.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcupfield_decisions::id::{ShortName, short_name};
+use kingcupfield_decisions::id::{NameHash, name_hash};
 use tokio::net::UdpSocket;
 use tokio::time::Instant;
 
@@ -57,7 +57,7 @@
 
 /// Takes what a relay has gathered; what comes from another zone is gathered for this one.
 fn on_relayed(node: &Rc<Node>, sender: Ipv4Addr, digests: Vec<(Ipv4Addr, Digest)>) {
-    let zone = short_name(&node.settings().availability_zone);
+    let zone = name_hash(&node.settings().availability_zone);
     let by_foreigner = !node.peers.borrow().is_of(sender, zone);
     for (from, digest) in digests {
         if by_foreigner && digest.zone != zone {
@@ -134,7 +134,7 @@
     }
 }
 
-fn take_unreachable(node: &Node, unreachable: &[ShortName]) {
+fn take_unreachable(node: &Node, unreachable: &[NameHash]) {
     let now = Instant::now();
     for name in unreachable {
         if let Some(id) = node.replica_by_short_name(*name) {
@@ -143,7 +143,7 @@
     }
 }
 
-fn take_steps(node: &Node, steps: &[(ShortName, u32)]) {
+fn take_steps(node: &Node, steps: &[(NameHash, u32)]) {
     for (name, us) in steps {
         if let Some(id) = node.replica_by_short_name(*name) {
             let step_ms = f64::from(*us) / 1000.0;
@@ -163,7 +163,7 @@
 
 /// Takes what waits at the other instances of the zone.
 pub fn take_waiting(node: &Node) {
-    let zone = short_name(&node.settings().availability_zone);
+    let zone = name_hash(&node.settings().availability_zone);
     let peers = node.peers.borrow();
     node.set_contenders(peers.waiting(Instant::now(), zone));
 }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -11,7 +11,7 @@
 use kingcupfield_decisions::credit::{Ledger, Number, Verdict as CreditVerdict};
 use kingcupfield_decisions::dispatch::{Dispatcher, JobId};
 use kingcupfield_decisions::drained_zones::DrainedZones;
-use kingcupfield_decisions::id::{ServiceId, ShortName, UpstreamId, short_name};
+use kingcupfield_decisions::id::{NameHash, ServiceId, UpstreamId, name_hash};
 use kingcupfield_decisions::known::Known;
 use kingcupfield_decisions::repeats::Repeats;
 use tokio::net::UdpSocket;
@@ -117,9 +117,9 @@
     table: RefCell<Option<Rc<Table>>>,
     targets: RefCell<Vec<Rc<Target>>>,
     /// Replicas by their short names.
-    short_names: RefCell<Vec<(ShortName, UpstreamId)>>,
+    short_names: RefCell<Vec<(NameHash, UpstreamId)>>,
     /// Services by their short names.
-    services: RefCell<Vec<(ShortName, ServiceId)>>,
+    services: RefCell<Vec<(NameHash, ServiceId)>>,
     waiters: RefCell<Vec<(JobId, oneshot::Sender<Verdict>)>>,
     next_job: Cell<JobId>,
 }
@@ -243,7 +243,7 @@
 
     /// Whether this instance reads the store itself.
     pub fn reads(&self) -> bool {
-        let zone = short_name(&self.settings().availability_zone);
+        let zone = name_hash(&self.settings().availability_zone);
         self.peers.borrow().reads(Instant::now(), zone, STORE_LOST)
     }
 
--- a/crates/entry/src/node/replicas.rs
+++ b/crates/entry/src/node/replicas.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::dispatch::{Competitor, PriorityClass, Replica};
-use kingcupfield_decisions::id::{RegionId, ShortName, UpstreamId, ZoneId, short_name};
+use kingcupfield_decisions::id::{NameHash, RegionId, UpstreamId, ZoneId, name_hash};
 use kingcupfield_decisions::remote_load::TotalLoad;
 use tokio::time::Instant;
 
@@ -67,10 +67,10 @@
         }
         targets.sort_by(|a, b| a.published.id.cmp(&b.published.id));
         let ids = targets.iter().map(|t| &t.published.id);
-        let mut short_names: Vec<_> = ids.map(|id| (short_name(id), id.clone())).collect();
+        let mut short_names: Vec<_> = ids.map(|id| (name_hash(id), id.clone())).collect();
         short_names.sort_unstable();
         let services = targets.iter().map(|t| &t.published.service);
-        let mut services: Vec<_> = services.map(|s| (short_name(s), s.clone())).collect();
+        let mut services: Vec<_> = services.map(|s| (name_hash(s), s.clone())).collect();
         services.sort_unstable();
         services.dedup();
         *self.services.borrow_mut() = services;
@@ -96,14 +96,14 @@
     }
 
     /// The replica that peers mean by a short name.
-    pub fn replica_by_short_name(&self, name: ShortName) -> Option<UpstreamId> {
+    pub fn replica_by_short_name(&self, name: NameHash) -> Option<UpstreamId> {
         let names = self.short_names.borrow();
         let at = names.binary_search_by(|(short, _)| short.cmp(&name)).ok()?;
         Some(names[at].1.clone())
     }
 
     /// Takes what the other instances have at a replica.
-    pub fn set_elsewhere(&self, name: ShortName, sum: TotalLoad) {
+    pub fn set_elsewhere(&self, name: NameHash, sum: TotalLoad) {
         if let Some(id) = self.replica_by_short_name(name) {
             let prompt = sum.prompt as f64;
             let mut dispatch = self.dispatch.borrow_mut();
@@ -114,7 +114,7 @@
     /// Takes what waits at the other instances of the zone.
     pub fn set_contenders<I>(&self, waiting: I)
     where
-        I: Iterator<Item = (Ipv4Addr, ShortName, PriorityClass)>,
+        I: Iterator<Item = (Ipv4Addr, NameHash, PriorityClass)>,
     {
         let services = self.services.borrow();
         let contenders = waiting.filter_map(|(address, service, class)| {
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -13,7 +13,7 @@
 
 use kingcupfield_decisions::credit::Distance;
 use kingcupfield_decisions::dispatch::PriorityClass;
-use kingcupfield_decisions::id::ShortName;
+use kingcupfield_decisions::id::NameHash;
 use kingcupfield_decisions::known::Revision;
 use kingcupfield_decisions::remote_load::{RemoteLoad, TotalLoad};
 use tokio::time::Instant;
@@ -70,7 +70,7 @@
 pub struct Peers {
     own: Ipv4Addr,
     /// The zones of the deployment, the own one first, then by distance.
-    zones: Vec<(ShortName, Distance)>,
+    zones: Vec<(NameHash, Distance)>,
     has_contacts: bool,
     others: Vec<Peer>,
     leavers: Vec<Leaver>,
@@ -96,7 +96,7 @@
     pub fn new(now: Instant, own: Ipv4Addr, has_contacts: bool) -> Self {
         Self {
             own,
-            zones: vec![(ShortName::default(), Distance::Home)],
+            zones: vec![(NameHash::default(), Distance::Home)],
             has_contacts,
             others: Vec::new(),
             leavers: Vec::new(),
@@ -116,7 +116,7 @@
     #[must_use]
     pub fn with_zones<I>(mut self, zones: I) -> Self
     where
-        I: IntoIterator<Item = (ShortName, Distance)>,
+        I: IntoIterator<Item = (NameHash, Distance)>,
     {
         self.zones = zones.into_iter().collect();
         self.zones.sort_unstable_by_key(|(name, far)| (*far, *name));
@@ -141,7 +141,7 @@
     }
 
     /// Whether an instance is known to be of a zone.
-    pub fn is_of(&self, address: Ipv4Addr, zone: ShortName) -> bool {
+    pub fn is_of(&self, address: Ipv4Addr, zone: NameHash) -> bool {
         let at = self.position(address);
         at.is_ok_and(|at| self.others[at].digest.zone == zone)
     }
@@ -152,7 +152,7 @@
     }
 
     /// The instances of a zone that are heard, or have just become known.
-    pub fn reachable(&self, now: Instant, zone: ShortName) -> Vec<Ipv4Addr> {
+    pub fn reachable(&self, now: Instant, zone: NameHash) -> Vec<Ipv4Addr> {
         let is_new = |p: &Peer| now.saturating_duration_since(p.since) < SILENT;
         let there = self.others.iter().filter(|p| p.digest.zone == zone);
         let reachable = there.filter(|p| p.is_fresh(now) || p.heard.is_none() && is_new(p));
@@ -184,7 +184,7 @@
     /// Makes an instance known by its address.
     ///
     /// Returns whether it was not known before.
-    pub fn learn(&mut self, now: Instant, address: Ipv4Addr, zone: ShortName) -> bool {
+    pub fn learn(&mut self, now: Instant, address: Ipv4Addr, zone: NameHash) -> bool {
         if address == self.own {
             return false;
         }
@@ -342,8 +342,8 @@
     pub fn waiting(
         &self,
         now: Instant,
-        zone: ShortName,
-    ) -> impl Iterator<Item = (Ipv4Addr, ShortName, PriorityClass)> {
+        zone: NameHash,
+    ) -> impl Iterator<Item = (Ipv4Addr, NameHash, PriorityClass)> {
         let near = move |p: &&Peer| p.is_fresh(now) && p.digest.zone == zone;
         self.others.iter().filter(near).flat_map(|p| {
             let waiting = p.digest.waiting.iter();
@@ -352,17 +352,17 @@
     }
 
     /// What the others have at a replica.
-    pub fn load_at(&self, replica: ShortName) -> TotalLoad {
+    pub fn load_at(&self, replica: NameHash) -> TotalLoad {
         self.elsewhere.get(replica)
     }
 
     /// All replicas at which the others have or had something.
-    pub fn loads(&self) -> &[(ShortName, TotalLoad)] {
+    pub fn loads(&self) -> &[(NameHash, TotalLoad)] {
         self.elsewhere.totals()
     }
 
     /// The replicas at which the others' load has changed since the last call.
-    pub fn take_changed_loads(&mut self) -> Vec<ShortName> {
+    pub fn take_changed_loads(&mut self) -> Vec<NameHash> {
         self.elsewhere.take_changed()
     }
 
@@ -375,7 +375,7 @@
         &self,
         now: Instant,
         upto: Revision,
-        place: (ShortName, ShortName),
+        place: (NameHash, NameHash),
         salt: u64,
     ) -> Option<&Peer> {
         let (zone, region) = place;
@@ -394,7 +394,7 @@
     /// Whether this instance is one of the few that read the store, so that the others need not.
     ///
     /// The first of each zone reads, and the first two of all. Whoever hears nobody that reads, reads.
-    pub fn reads(&self, now: Instant, zone: ShortName, lost: Duration) -> bool {
+    pub fn reads(&self, now: Instant, zone: NameHash, lost: Duration) -> bool {
         let mut before_in_zone = 0;
         let mut before_in_all = 0;
         let mut served = 0;
--- a/crates/entry/src/peers/acquaintance.rs
+++ b/crates/entry/src/peers/acquaintance.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::credit::{Distance, Roster, Zone};
-use kingcupfield_decisions::id::{Member, ShortName};
+use kingcupfield_decisions::id::{InstanceAddress, NameHash};
 use tokio::time::Instant;
 
 use super::{FORGOTTEN, Peer, Peers};
@@ -54,7 +54,7 @@
     }
 
     fn roster_zones(&self, now: Instant) -> Vec<Zone> {
-        let zone = |(name, distance): &(ShortName, Distance)| Zone {
+        let zone = |(name, distance): &(NameHash, Distance)| Zone {
             name: *name,
             distance: *distance,
             size: u32::from(*distance == Distance::Home),
@@ -86,7 +86,7 @@
     }
 
     /// The instances of the own zone that are known, with this one and the silent ones.
-    pub fn zone_members(&self) -> Vec<Member> {
+    pub fn zone_members(&self) -> Vec<InstanceAddress> {
         let home = self.zones[0].0;
         let there = self.others.iter().filter(|p| p.digest.zone == home);
         let members = there.map(|p| p.address.to_bits());
--- a/crates/entry/src/peers/digest.rs
+++ b/crates/entry/src/peers/digest.rs
@@ -4,7 +4,7 @@
 
 use kingcupfield_decisions::credit;
 use kingcupfield_decisions::dispatch::PriorityClass;
-use kingcupfield_decisions::id::ShortName;
+use kingcupfield_decisions::id::NameHash;
 use kingcupfield_decisions::known::Revision;
 use kingcupfield_decisions::remote_load::ReplicaLoad;
 use serde::{Deserialize, Serialize};
@@ -42,21 +42,21 @@
     /// Revision up to which it knows the directory.
     pub upto: Revision,
     /// Its availability zone.
-    pub zone: ShortName,
+    pub zone: NameHash,
     /// Its region.
-    pub region: ShortName,
+    pub region: NameHash,
     /// Milliseconds since the store last answered it, if it ever did.
     pub store_age_ms: Option<u32>,
     /// Whether it is about to end.
     pub leaving: bool,
     /// Replicas that it could not reach just now.
-    pub unreachable: Vec<ShortName>,
+    pub unreachable: Vec<NameHash>,
     /// Its load at replicas; those that are missing have none.
     pub loads: Vec<ReplicaLoad>,
     /// The most urgent class that waits there, by service; none where nothing waits.
-    pub waiting: Vec<(ShortName, PriorityClass)>,
+    pub waiting: Vec<(NameHash, PriorityClass)>,
     /// Microseconds a step that it has learned of replicas; not in every message.
-    pub steps: Vec<(ShortName, u32)>,
+    pub steps: Vec<(NameHash, u32)>,
     /// How many instances of its zone it knows, with itself and the silent ones.
     pub zone_size: u16,
     /// Whether it is for the receiver alone, who is to answer with the same if the sender is new to it.
@@ -64,7 +64,7 @@
     /// Whether it has found the others, so that `members` are all that are there; not in every message.
     pub settled: bool,
     /// Instances that it has heard lately, by zone; not in every message.
-    pub members: Vec<(ShortName, Vec<Ipv4Addr>)>,
+    pub members: Vec<(NameHash, Vec<Ipv4Addr>)>,
     /// Its time of day in milliseconds; not in every message.
     pub time_ms: Option<u64>,
 }
--- a/crates/entry/src/peers/peer.rs
+++ b/crates/entry/src/peers/peer.rs
@@ -2,7 +2,7 @@
 
 use std::net::Ipv4Addr;
 
-use kingcupfield_decisions::id::ShortName;
+use kingcupfield_decisions::id::NameHash;
 use kingcupfield_decisions::remote_load::{RemoteLoad, ReplicaLoad};
 use tokio::time::Instant;
 
@@ -48,7 +48,7 @@
     }
 
     /// How near it is to an instance of this zone and region.
-    pub fn nearness(&self, zone: ShortName, region: ShortName) -> Nearness {
+    pub fn nearness(&self, zone: NameHash, region: NameHash) -> Nearness {
         if self.heard.is_none() {
             return Nearness::Region;
         }
--- a/crates/entry/src/table.rs
+++ b/crates/entry/src/table.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::credit::Limit;
-use kingcupfield_decisions::id::{OrganisationId, ServiceId, ShortName, Version, short_name};
+use kingcupfield_decisions::id::{NameHash, OrganisationId, ServiceId, Version, name_hash};
 use kingcupfield_decisions::regions::Regions;
 
 /// What may be repeated of a route's requests.
@@ -130,7 +130,7 @@
     routes: Vec<Rc<Route>>,
     services: Vec<Service>,
     keys: Vec<(String, Rc<Organisation>)>,
-    short_names: Vec<(ShortName, Rc<Organisation>)>,
+    short_names: Vec<(NameHash, Rc<Organisation>)>,
     keyed: bool,
 }
 
@@ -151,7 +151,7 @@
         let mut short_names = Vec::new();
         for (organisation, held) in organisations.into_iter().flatten() {
             let organisation = Rc::new(organisation);
-            short_names.push((short_name(&organisation.name), Rc::clone(&organisation)));
+            short_names.push((name_hash(&organisation.name), Rc::clone(&organisation)));
             keys.extend(held.into_iter().map(|key| (key, Rc::clone(&organisation))));
         }
         keys.sort_by(|a, b| a.0.cmp(&b.0));
@@ -187,7 +187,7 @@
     }
 
     /// The organisation that peers mean by a short name.
-    pub fn organisation_by_short_name(&self, name: ShortName) -> Option<&Rc<Organisation>> {
+    pub fn organisation_by_short_name(&self, name: NameHash) -> Option<&Rc<Organisation>> {
         let at = self
             .short_names
             .binary_search_by(|(short, _)| short.cmp(&name))
--- a/crates/entry/tests/limits.rs
+++ b/crates/entry/tests/limits.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::credit::{Charge, Distance, Ledger, Limit, Message, Verdict};
-use kingcupfield_decisions::id::ShortName;
+use kingcupfield_decisions::id::NameHash;
 use kingcupfield_entry::peers::{Digest, Nearness, Peers};
 use rand::seq::IndexedRandom as _;
 use rand::{RngExt as _, SeedableRng as _};
@@ -461,7 +461,7 @@
             digest.greeting = true;
             digest.settled = me.peers.is_settled(self.now);
             let fresh = me.peers.all().iter().filter(|p| p.is_fresh(self.now));
-            let mut by_zone: BTreeMap<ShortName, Vec<Ipv4Addr>> = BTreeMap::new();
+            let mut by_zone: BTreeMap<NameHash, Vec<Ipv4Addr>> = BTreeMap::new();
             for peer in fresh {
                 by_zone
                     .entry(peer.digest.zone)
@@ -611,8 +611,8 @@
 }
 
 /// Short names of a zone and of its region; two zones make a region.
-fn place(zone: usize) -> (ShortName, ShortName) {
-    (zone as ShortName + 1, (zone / 2) as ShortName + 1)
+fn place(zone: usize) -> (NameHash, NameHash) {
+    (zone as NameHash + 1, (zone / 2) as NameHash + 1)
 }
 
 const FAULTS: [Fault; 11] = [
--- a/crates/spec/src/cold.rs
+++ b/crates/spec/src/cold.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::cold::{COUNTING_WINDOW, ColdGate, ColdLimit, designated_instance};
-use kingcupfield_decisions::id::{Member, UpstreamId};
+use kingcupfield_decisions::id::{InstanceAddress, UpstreamId};
 use tokio::time::Instant;
 
 use crate::Model;
@@ -121,7 +121,7 @@
             return false;
         }
         let forgets = self.variant == Variant::ForgetsTheSilent && self.cut;
-        let members: Vec<Member> = (0..INSTANCES)
+        let members: Vec<InstanceAddress> = (0..INSTANCES)
             .filter(|m| *m == at || instance.known[*m] && !forgets)
             .map(member)
             .collect();
@@ -257,6 +257,6 @@
     "replica".into()
 }
 
-fn member(at: usize) -> Member {
-    at as Member + 1
+fn member(at: usize) -> InstanceAddress {
+    at as InstanceAddress + 1
 }
--- a/crates/spec/src/credit.rs
+++ b/crates/spec/src/credit.rs
@@ -9,7 +9,7 @@
 use kingcupfield_decisions::credit::{
     Charge, Distance, Ledger, Limit, Message, Pace, Roster, Tolerance, Verdict, Zone,
 };
-use kingcupfield_decisions::id::{Member, ShortName};
+use kingcupfield_decisions::id::{InstanceAddress, NameHash};
 use tokio::time::Instant;
 
 use crate::Model;
@@ -30,7 +30,7 @@
     fixed: 0.0,
 };
 
-const ORGANISATION: ShortName = 7;
+const ORGANISATION: NameHash = 7;
 
 /// What a request costs: a little less than both instances mint in a step.
 const COST: f64 = 150.0;
@@ -314,6 +314,6 @@
     ledger
 }
 
-fn member(at: usize) -> Member {
-    at as Member + 1
+fn member(at: usize) -> InstanceAddress {
+    at as InstanceAddress + 1
 }
--- a/crates/spec/src/slots.rs
+++ b/crates/spec/src/slots.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use kingcupfield_decisions::concurrency::Limit;
+use kingcupfield_decisions::concurrency::ConcurrencyLimit;
 use kingcupfield_decisions::holder::{Ask, Holder, HolderAction, Reply};
 use kingcupfield_decisions::id::{InstanceId, RequestId, UpstreamId};
 use kingcupfield_decisions::slots::{
@@ -124,7 +124,7 @@
 }
 
 fn owner(now: Instant) -> SlotQueue {
-    let limit = Limit::new().with_max(1).with_start(1);
+    let limit = ConcurrencyLimit::new().with_max(1).with_start(1);
     SlotQueue::new(replica(), None, now).with_limit(limit)
 }
 
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -18,7 +18,7 @@
 use kingcupfield_decisions::id::{
     Incarnation, InstanceId, PrefixHash, RegionId, RequestId, ServiceId, Tokens, UpstreamId, ZoneId,
 };
-use kingcupfield_decisions::length::Lengths;
+use kingcupfield_decisions::length::LengthPredictor;
 use kingcupfield_decisions::routing::{LINK_BYTES_PER_S, LinkBudget};
 use kingcupfield_decisions::shedding::{ToLevelMember, ToLevelOwner};
 use kingcupfield_decisions::slots::{Outcome, Rejection, ToHolder, ToOwner};
@@ -196,7 +196,7 @@
     pools: Vec<Pool>,
     waiters: Vec<Waiter>,
     running: Vec<Running>,
-    lengths: Lengths,
+    lengths: LengthPredictor,
     link: LinkBudget,
     digests: DigestClock,
     rng: ChaCha8Rng,
@@ -220,7 +220,7 @@
             pools: Vec::new(),
             waiters: Vec::new(),
             running: Vec::new(),
-            lengths: Lengths::new(),
+            lengths: LengthPredictor::new(),
             link: LinkBudget::new(LINK_BYTES_PER_S),
             digests: DigestClock::new(now),
             rng,
--- a/src/scheduler/placing.rs
+++ b/src/scheduler/placing.rs
@@ -6,7 +6,7 @@
 use kingcupfield_decisions::id::{InstanceId, RequestId, UpstreamId};
 use kingcupfield_decisions::pace::Pace;
 use kingcupfield_decisions::regions::Regions;
-use kingcupfield_decisions::routing::{Candidate, RouteRequest, choose};
+use kingcupfield_decisions::routing::{Candidate, RouteRequest, choose_replicas};
 use kingcupfield_decisions::shedding::{Estimate, is_hopeless};
 use kingcupfield_decisions::slots::{Rejection, Reservation};
 use kingcupfield_decisions::values::ServiceKind;
@@ -168,7 +168,7 @@
             bytes: need.bytes,
         };
         let lowest = self.bottom();
-        choose(
+        choose_replicas(
             now,
             &route,
             candidates,
@@ -222,5 +222,5 @@
     if known.len() < candidates.len() {
         return None;
     }
-    known.iter().map(|pace| pace.service(work)).min()
+    known.iter().map(|pace| pace.service_time(work)).min()
 }
--- a/src/scheduler/replicas.rs
+++ b/src/scheduler/replicas.rs
@@ -6,10 +6,10 @@
     InstanceId, PrefixHash, RegionId, ServiceId, Tokens, UpstreamId, ZoneId,
 };
 use kingcupfield_decisions::ownership::owner;
-use kingcupfield_decisions::pace::{ASSUMED, Pace};
+use kingcupfield_decisions::pace::{DEFAULT_PACE, Pace};
 use kingcupfield_decisions::prefixes::PrefixCache;
 use kingcupfield_decisions::regions::Regions;
-use kingcupfield_decisions::routing::{CACHED_AT_HOME, Candidate, home};
+use kingcupfield_decisions::routing::{CACHED_SHARE_AT_HOME, Candidate, home_replica};
 use kingcupfield_decisions::slots::Digest;
 use kingcupfield_decisions::values::{Role, State};
 use serde_json::{Value, json};
@@ -146,13 +146,16 @@
         let rows = || self.rows.iter().filter(serves);
         let near = rows().filter(|r| r.zone == me.zone);
         let near: Vec<UpstreamId> = near.map(|r| r.upstream.clone()).collect();
-        let home = need.prefixes.first().and_then(|first| home(*first, &near));
-        let at_home = (need.prompt as f64 * CACHED_AT_HOME) as Tokens;
+        let home = need
+            .prefixes
+            .first()
+            .and_then(|first| home_replica(*first, &near));
+        let at_home = (need.prompt as f64 * CACHED_SHARE_AT_HOME) as Tokens;
         rows()
             .map(|r| {
                 let mut candidate = r.candidate(now, me, &need.prefixes, need.prompt);
                 if home == Some(&r.upstream) {
-                    candidate.cached = candidate.cached.max(at_home);
+                    candidate.cached_tokens = candidate.cached_tokens.max(at_home);
                 }
                 candidate
             })
@@ -212,17 +215,17 @@
         prompt: Tokens,
     ) -> Candidate {
         let cached = self.prefixes.cached(prefixes) as u64;
-        let pace = self.digest.and_then(|d| d.pace).unwrap_or(ASSUMED);
+        let pace = self.digest.and_then(|d| d.pace).unwrap_or(DEFAULT_PACE);
         let near = self.zone == me.zone;
         Candidate {
             upstream: self.upstream.clone(),
             owner: self.owner.clone(),
             zone: self.zone.clone(),
             digest: self.digest,
-            age: self
+            digest_age: self
                 .heard
                 .map_or(Duration::MAX, |h| now.saturating_duration_since(h)),
-            cached: prompt * cached / prefixes.len().max(1) as u64,
+            cached_tokens: prompt * cached / prefixes.len().max(1) as u64,
             pace,
             round_trip: if near {
                 Duration::ZERO
