--- a/crates/decisions/src/credit.rs
+++ b/crates/decisions/src/credit.rs
@@ -6,15 +6,15 @@
 //! already; with a fixed part for each, an organisation whose callers come to one instance is refused
 //! far below its limit.
 //!
-//! **In any span an organisation gets at most [`Pace::bound`] units.** It follows from four facts, of
+//! **In any span an organisation gets at most [`Accrual::max_spend`] units.** It follows from four facts, of
 //! which none depends on a message that comes in time:
 //!
-//! - The running time of an instance is worth credit: [`Pace::rate`], divided by the number of zones
+//! - The running time of an instance is worth credit: [`Accrual::rate`], divided by the number of zones
 //!   and by the largest number of instances of its zone that it or the keeper knew meanwhile.
 //! - It is given away once. Who collects it has it from then on; what is lost on the way is spent by nobody.
-//! - It is worthless [`Pace::life`] after it was minted, by the clock of who holds it, counted from
+//! - It is worthless [`Accrual::lifetime`] after it was minted, by the clock of who holds it, counted from
 //!   before it was asked for.
-//! - A request uses it within [`ANSWER`] after its last message that the keeper had.
+//! - A request uses it within [`GRANT_VALIDITY`] after its last message that the keeper had.
 //!
 //! An instance that starts has no time to give, so nothing of the past has to be known or assumed, and
 //! a fleet that was killed whole serves at the full rate again as soon as its instances know each other.
@@ -26,20 +26,20 @@
 use std::time::Duration;
 
 mod account;
+mod accrual;
+mod batches;
+mod fleet_view;
 mod ledger;
-mod lots;
 mod message;
-mod mint;
-mod pace;
 mod precedence;
-mod roster;
+mod running_time;
 mod sources;
 
+pub use accrual::{Accrual, Limit, Tolerance};
+pub use batches::Batch;
+pub use fleet_view::{Distance, FleetView, Zone};
 pub use ledger::Ledger;
-pub use lots::Lot;
-pub use message::{Credit, Message, Number, Verdict};
-pub use pace::{Limit, Pace, Tolerance};
-pub use roster::{Distance, Roster, Zone};
+pub use message::{Credit, Message, MessageNumber, Verdict};
 
 /// A request that is to be charged.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -48,10 +48,10 @@
     pub cost: f64,
     /// Its place in the order of service, in halves of a tier: its tier, and its size beside those
     /// of its service.
-    pub class: u32,
+    pub priority_class: u32,
     /// How long it may wait for credit.
-    pub patience: Duration,
+    pub max_wait: Duration,
 }
 
 /// Longest time between a message that asks for credit and the use of what it brings.
-pub const ANSWER: Duration = Duration::from_millis(400);
+pub const GRANT_VALIDITY: Duration = Duration::from_millis(400);
--- a/crates/decisions/src/credit/account.rs
+++ b/crates/decisions/src/credit/account.rs
@@ -4,11 +4,11 @@
 
 use tokio::time::Instant;
 
-use super::lots::{Lot, Lots};
-use super::pace::{Limit, Pace, Tolerance};
+use super::accrual::{Accrual, Limit, Tolerance};
+use super::batches::{Batch, Batches};
 use super::precedence::{Precedence, is_cheap, needed};
 use super::sources::{Context, Sources};
-use super::{Charge, Credit, Number, Verdict};
+use super::{Charge, Credit, MessageNumber, Verdict};
 use crate::id::{Member, ShortName};
 
 /// Time over which an organisation's use is averaged.
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Waiting {
     pub(super) member: Member,
-    pub(super) number: Number,
+    pub(super) number: MessageNumber,
     /// The last of its messages.
     pub(super) tries: u32,
     charge: Charge,
@@ -50,8 +50,8 @@
 pub(super) struct Account {
     pub(super) name: ShortName,
     limit: Option<Limit>,
-    pace: Pace,
-    pub(super) lots: Lots,
+    pace: Accrual,
+    pub(super) lots: Batches,
     /// The own time up to here was given away.
     given: Option<Instant>,
     precedence: Precedence,
@@ -67,7 +67,7 @@
         Self {
             name,
             limit: None,
-            pace: Pace::new(
+            pace: Accrual::new(
                 Limit {
                     rate: 0.0,
                     burst: 0.0,
@@ -75,7 +75,7 @@
                 Duration::from_secs(1),
                 Tolerance::default(),
             ),
-            lots: Lots::default(),
+            lots: Batches::default(),
             given: None,
             precedence: Precedence::default(),
             used: 0.0,
@@ -87,7 +87,7 @@
 
     /// Takes the limit in force. Credit of a higher one shrinks with it.
     pub(super) fn set_limit(&mut self, limit: Limit, span: Duration, tolerance: Tolerance) {
-        let pace = Pace::new(limit, span, tolerance);
+        let pace = Accrual::new(limit, span, tolerance);
         if self.limit.is_some() && pace.rate < self.pace.rate {
             self.lots.scale(pace.rate / self.pace.rate);
         }
@@ -96,14 +96,20 @@
     }
 
     /// Credit of all instances at the most.
-    pub(super) fn pace(&self) -> Pace {
+    pub(super) fn pace(&self) -> Accrual {
         self.pace
     }
 
     /// Lets a request wait.
-    pub(super) fn wait(&mut self, now: Instant, member: Member, number: Number, charge: Charge) {
+    pub(super) fn wait(
+        &mut self,
+        now: Instant,
+        member: Member,
+        number: MessageNumber,
+        charge: Charge,
+    ) {
         let burst = self.limit.map_or(0.0, |l| l.burst.max(l.rate));
-        let kept = self.precedence.kept(&charge, burst, self.pace.depth());
+        let kept = self.precedence.kept(&charge, burst, self.pace.max_stock());
         self.waiting.push(Waiting {
             member,
             number,
@@ -112,7 +118,7 @@
             kept,
             cheap: is_cheap(charge.cost, burst),
             since: now,
-            until: now + charge.patience,
+            until: now + charge.max_wait,
         });
     }
 
@@ -123,8 +129,8 @@
         self.take_own(now, cx);
         self.sources.forget_late(now);
         self.waiting
-            .sort_by_key(|w| (!w.cheap, w.charge.class, w.since));
-        let depth = self.pace.depth();
+            .sort_by_key(|w| (!w.cheap, w.charge.priority_class, w.since));
+        let depth = self.pace.max_stock();
         let home_depth = depth / cx.zones();
         let mut level = self.lots.level(now);
         let stock = self.sources.stock(now, cx, self.pace, level);
@@ -193,7 +199,7 @@
         let time = now.saturating_duration_since(from);
         let amount = cx.worth(self.pace, time, size);
         self.lots
-            .add_minted(now, (from, now), amount, self.pace.life);
+            .add_minted(now, (from, now), amount, self.pace.lifetime);
     }
 
     /// Gives away what this instance has; as a keeper, what its own zone does not need.
@@ -201,7 +207,7 @@
         &mut self,
         now: Instant,
         cx: &Context<'_>,
-        number: Number,
+        number: MessageNumber,
         is_keeper: bool,
     ) -> Credit {
         let kept = if is_keeper {
@@ -242,15 +248,15 @@
         };
         let zone = cx.roster.zone_of(from);
         let size = zone.map_or(credit.size, |z| z.size.max(credit.size));
-        let time = Duration::from_micros(credit.time_us).min(super::mint::KEEPS);
+        let time = Duration::from_micros(credit.time_us).min(super::running_time::KEEPS);
         let worth = cx.worth(self.pace, time, size);
         let sent = collection.sent;
         let began = sent.checked_sub(time).unwrap_or(sent);
         self.lots
-            .add_minted(now, (began, sent), worth, self.pace.life);
+            .add_minted(now, (began, sent), worth, self.pace.lifetime);
         let mut got = worth;
         for (left_ms, amount) in &credit.lots {
-            let left = Duration::from_millis(u64::from(*left_ms)).min(self.pace.life);
+            let left = Duration::from_millis(u64::from(*left_ms)).min(self.pace.lifetime);
             let expires = sent + left;
             let amount = if amount.is_finite() {
                 amount.max(0.0)
@@ -258,7 +264,7 @@
                 0.0
             };
             got += amount;
-            self.lots.add(now, Lot { expires, amount });
+            self.lots.add(now, Batch { expires, amount });
         }
         if let Some(zone) = zone {
             self.sources
--- a/crates/decisions/src/credit/lots.rs
+++ b/crates/decisions/src/credit/batches.rs
@@ -5,32 +5,32 @@
 
 use tokio::time::Instant;
 
-/// Lots that expire within this time of each other are one, which expires with the first.
+/// Batches that expire within this time of each other are one, which expires with the first.
 const GRID: Duration = Duration::from_millis(100);
 
 /// Credit that expires at one time.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Lot {
+pub struct Batch {
     /// When it is worthless.
     pub expires: Instant,
     /// Units.
     pub amount: f64,
 }
 
-impl Lot {
+impl Batch {
     /// Milliseconds until it expires.
     pub(super) fn left_ms(&self, now: Instant) -> u32 {
         self.expires.saturating_duration_since(now).as_millis() as u32
     }
 }
 
-/// Lots, the first to expire in front.
+/// Batches, the first to expire in front.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Lots {
-    lots: VecDeque<Lot>,
+pub(super) struct Batches {
+    lots: VecDeque<Batch>,
 }
 
-impl Lots {
+impl Batches {
     /// Units at hand.
     pub(super) fn level(&self, now: Instant) -> f64 {
         let valid = self.lots.iter().filter(|l| l.expires > now);
@@ -38,7 +38,7 @@
     }
 
     /// Takes up a lot.
-    pub(super) fn add(&mut self, now: Instant, lot: Lot) {
+    pub(super) fn add(&mut self, now: Instant, lot: Batch) {
         while self.lots.front().is_some_and(|l| l.expires <= now) {
             self.lots.pop_front();
         }
@@ -70,7 +70,7 @@
             let begins = from + whole * slice / slices;
             self.add(
                 now,
-                Lot {
+                Batch {
                     expires: begins + life,
                     amount: amount / f64::from(slices),
                 },
@@ -80,7 +80,7 @@
 
     /// Takes `cost` out, the first to expire first; returns a lot of that size that expires with the
     /// first unit, or nothing if there is not enough.
-    pub(super) fn take(&mut self, now: Instant, cost: f64) -> Option<Lot> {
+    pub(super) fn take(&mut self, now: Instant, cost: f64) -> Option<Batch> {
         if cost > self.level(now) {
             return None;
         }
@@ -97,14 +97,14 @@
             rest -= first.amount;
             self.lots.pop_front();
         }
-        Some(Lot {
+        Some(Batch {
             expires,
             amount: cost,
         })
     }
 
     /// Hands over up to `most` units, the last to expire first.
-    pub(super) fn hand_over(&mut self, now: Instant, most: f64) -> Vec<Lot> {
+    pub(super) fn hand_over(&mut self, now: Instant, most: f64) -> Vec<Batch> {
         let mut left = most;
         let mut given = Vec::new();
         while left > 0.0
@@ -112,7 +112,7 @@
         {
             if last.amount > left {
                 let kept = last.amount - left;
-                self.lots.push_back(Lot {
+                self.lots.push_back(Batch {
                     amount: kept,
                     ..last
                 });
--- a/crates/decisions/src/credit/roster.rs
+++ b/crates/decisions/src/credit/fleet_view.rs
@@ -11,11 +11,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
     /// The instance's own zone.
-    Home,
+    SameZone,
     /// Another zone of the region.
-    Near,
+    SameRegion,
     /// Another region.
-    Far,
+    OtherRegion,
 }
 
 /// The instances of one zone.
@@ -33,16 +33,16 @@
 
 /// The fleet as one instance sees it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Roster {
+pub struct FleetView {
     /// Zones, the nearest first. The own one comes first.
     pub zones: Vec<Zone>,
     /// Since when the instance may mint; not before it and its zone know each other.
-    pub mints_since: Option<Instant>,
+    pub accrues_since: Option<Instant>,
 }
 
-impl Roster {
+impl FleetView {
     /// Instances of the own zone, with the silent ones and this one.
-    pub fn size(&self) -> u32 {
+    pub fn zone_size(&self) -> u32 {
         self.zones.first().map_or(1, |z| z.size)
     }
 
@@ -60,13 +60,13 @@
     /// The keeper of an organisation, by rendezvous hashing over the instances of the own zone.
     ///
     /// Instances that disagree about it ask two of them, which is slower and not less safe.
-    pub(super) fn keeper<F>(&self, organisation: ShortName, own: Member, usable: F) -> Member
+    pub(super) fn coordinator<F>(&self, organisation: ShortName, own: Member, usable: F) -> Member
     where
         F: Fn(Member) -> bool,
     {
         let home = self.zones.first().map_or(&[][..], |z| &z.members);
         let others = home.iter().copied().filter(|m| usable(*m));
-        let ranked = others.chain(self.mints_since.map(|_| own));
+        let ranked = others.chain(self.accrues_since.map(|_| own));
         let rank = |m: &Member| xxh3_64_with_seed(&m.to_be_bytes(), u64::from(organisation));
         ranked.min_by_key(|m| Reverse(rank(m))).unwrap_or(own)
     }
--- a/crates/decisions/src/credit/ledger.rs
+++ b/crates/decisions/src/credit/ledger.rs
@@ -5,12 +5,12 @@
 use tokio::time::Instant;
 
 use super::account::{Account, Outcome, Waiting};
-use super::lots::Lot;
-use super::mint::Mint;
-use super::pace::{Limit, Pace, Tolerance};
-use super::roster::Roster;
+use super::accrual::{Accrual, Limit, Tolerance};
+use super::batches::Batch;
+use super::fleet_view::FleetView;
+use super::running_time::RunningTime;
 use super::sources::Context;
-use super::{ANSWER, Charge, Credit, Message, Number, Verdict};
+use super::{Charge, Credit, GRANT_VALIDITY, Message, MessageNumber, Verdict};
 use crate::id::{Member, ShortName};
 
 /// Time after which a keeper that did not answer is asked again, or another one is.
@@ -31,7 +31,7 @@
 /// A request of this instance that a keeper decides on.
 #[derive(Debug, Clone)]
 struct Pending {
-    number: Number,
+    number: MessageNumber,
     organisation: ShortName,
     charge: Charge,
     began: Instant,
@@ -45,14 +45,15 @@
 
 impl Pending {
     fn is_over(&self, now: Instant) -> bool {
-        now >= self.heard + ANSWER || now >= self.began + self.charge.patience + ANSWER
+        now >= self.heard + GRANT_VALIDITY
+            || now >= self.began + self.charge.max_wait + GRANT_VALIDITY
     }
 
     /// Whether credit that was granted upon one of its messages may still be used.
     fn is_in_time(&self, now: Instant, tries: u32) -> bool {
         let at = (tries as usize).checked_sub(1);
         let asked = at.and_then(|at| self.asked.get(at));
-        asked.is_some_and(|asked| now < *asked + ANSWER)
+        asked.is_some_and(|asked| now < *asked + GRANT_VALIDITY)
     }
 }
 
@@ -60,7 +61,7 @@
 #[derive(Debug, Clone)]
 struct Answered {
     member: Member,
-    number: Number,
+    number: MessageNumber,
     tries: u32,
     verdict: Verdict,
     at: Instant,
@@ -74,17 +75,17 @@
     own: Member,
     span: Duration,
     tolerance: Tolerance,
-    roster: Roster,
-    mint: Mint,
+    roster: FleetView,
+    mint: RunningTime,
     /// When others were known first.
     since: Option<Instant>,
     accounts: Vec<Account>,
     pending: Vec<Pending>,
     answered: Vec<Answered>,
     suspects: Vec<(Member, Instant)>,
-    next: Number,
+    next: MessageNumber,
     messages: Vec<(Member, Message)>,
-    verdicts: Vec<(Number, Verdict)>,
+    verdicts: Vec<(MessageNumber, Verdict)>,
 }
 
 impl Ledger {
@@ -94,8 +95,8 @@
             own,
             span: Duration::from_secs(1),
             tolerance: Tolerance::default(),
-            roster: Roster::default(),
-            mint: Mint::default(),
+            roster: FleetView::default(),
+            mint: RunningTime::default(),
             since: None,
             accounts: Vec::new(),
             pending: Vec::new(),
@@ -114,8 +115,9 @@
     }
 
     /// Takes the fleet as it is seen now.
-    pub fn set_roster(&mut self, now: Instant, roster: &Roster) {
-        self.mint.observe(now, roster.size(), roster.mints_since);
+    pub fn set_fleet(&mut self, now: Instant, roster: &FleetView) {
+        self.mint
+            .observe(now, roster.zone_size(), roster.accrues_since);
         let knows = roster.zones.iter().any(|z| !z.members.is_empty());
         if self.since.is_none() && knows {
             self.since = Some(now);
@@ -130,8 +132,8 @@
     }
 
     /// Whether this instance mints credit.
-    pub fn mints(&self) -> bool {
-        self.roster.mints_since.is_some()
+    pub fn accrues(&self) -> bool {
+        self.roster.accrues_since.is_some()
     }
 
     /// Asks for credit for a request; the verdict bears the number.
@@ -141,11 +143,11 @@
         organisation: ShortName,
         limit: Limit,
         charge: Charge,
-    ) -> Number {
+    ) -> MessageNumber {
         let number = self.number();
         let at = self.account(now, organisation);
         self.accounts[at].set_limit(limit, self.span, self.tolerance);
-        let keeper = self.keeper(now, organisation);
+        let keeper = self.coordinator(now, organisation);
         if keeper == self.own {
             self.accounts[at].wait(now, self.own, number, charge);
             self.serve(now, organisation);
@@ -192,8 +194,8 @@
             } => {
                 let charge = Charge {
                     cost,
-                    class,
-                    patience: Duration::from_millis(u64::from(patience_ms)).min(LONGEST_PATIENCE),
+                    priority_class: class,
+                    max_wait: Duration::from_millis(u64::from(patience_ms)).min(LONGEST_PATIENCE),
                 };
                 self.on_ask(now, (from, number, tries), organisation, charge, limit);
             }
@@ -214,12 +216,12 @@
     fn on_ask(
         &mut self,
         now: Instant,
-        (from, number, tries): (Member, Number, u32),
+        (from, number, tries): (Member, MessageNumber, u32),
         organisation: ShortName,
         charge: Charge,
         limit: Option<Limit>,
     ) {
-        self.answered.retain(|a| a.at + ANSWER > now);
+        self.answered.retain(|a| a.at + GRANT_VALIDITY > now);
         let same = |a: &&Answered| a.member == from && a.number == number;
         if let Some(answered) = self.answered.iter().find(same) {
             let message = Message::Verdict {
@@ -254,16 +256,22 @@
         }
     }
 
-    fn on_held(&mut self, now: Instant, number: Number) {
+    fn on_held(&mut self, now: Instant, number: MessageNumber) {
         if let Some(pending) = self.pending.iter_mut().find(|p| p.number == number) {
             pending.unheard = 0;
             pending.heard = now;
         }
     }
 
-    fn on_collect(&mut self, now: Instant, from: Member, number: Number, organisation: ShortName) {
+    fn on_collect(
+        &mut self,
+        now: Instant,
+        from: Member,
+        number: MessageNumber,
+        organisation: ShortName,
+    ) {
         let at = self.account(now, organisation);
-        let is_keeper = self.keeper(now, organisation) == self.own;
+        let is_keeper = self.coordinator(now, organisation) == self.own;
         let cx = context(&self.roster, &self.mint, self.since.unwrap_or(now));
         let credit = self.accounts[at].give(now, &cx, number, is_keeper);
         self.messages.push((from, Message::Credit(credit)));
@@ -277,7 +285,7 @@
         }
     }
 
-    fn on_verdict(&mut self, now: Instant, number: Number, tries: u32, verdict: Verdict) {
+    fn on_verdict(&mut self, now: Instant, number: MessageNumber, tries: u32, verdict: Verdict) {
         let Some(at) = self.pending.iter().position(|p| p.number == number) else {
             return;
         };
@@ -291,7 +299,7 @@
     }
 
     /// Looks at what waits; to be called every few milliseconds while something does.
-    pub fn tick(&mut self, now: Instant) {
+    pub fn on_tick(&mut self, now: Instant) {
         let waits = |a: &Account| !a.waiting.is_empty();
         let waiting: Vec<ShortName> = self
             .accounts
@@ -316,7 +324,7 @@
             if pending.unheard > TRIES {
                 self.suspects.push((pending.keeper, now + SUSPECT));
             }
-            pending.keeper = self.keeper(now, pending.organisation);
+            pending.keeper = self.coordinator(now, pending.organisation);
             if pending.keeper == self.own {
                 self.keep_own(now, &pending);
             } else {
@@ -339,7 +347,7 @@
     }
 
     /// Takes back the credit of a request that did not run.
-    pub fn give_back(&mut self, now: Instant, organisation: ShortName, lot: Lot) {
+    pub fn refund(&mut self, now: Instant, organisation: ShortName, lot: Batch) {
         let at = self.account(now, organisation);
         self.accounts[at].lots.add(now, lot);
     }
@@ -350,35 +358,35 @@
     }
 
     /// Verdicts on requests of this instance.
-    pub fn take_verdicts(&mut self) -> Vec<(Number, Verdict)> {
+    pub fn take_verdicts(&mut self) -> Vec<(MessageNumber, Verdict)> {
         std::mem::take(&mut self.verdicts)
     }
 
     /// The instance that is asked for an organisation's credit.
-    pub fn keeper(&self, now: Instant, organisation: ShortName) -> Member {
+    pub fn coordinator(&self, now: Instant, organisation: ShortName) -> Member {
         let usable = |m: Member| {
             !self
                 .suspects
                 .iter()
                 .any(|(s, until)| *s == m && *until > now)
         };
-        self.roster.keeper(organisation, self.own, usable)
+        self.roster.coordinator(organisation, self.own, usable)
     }
 
     /// Credit of an organisation over the fleet, by the limit that was seen last.
-    pub fn pace(&self, organisation: ShortName) -> Option<Pace> {
+    pub fn accrual(&self, organisation: ShortName) -> Option<Accrual> {
         let at = self.position(organisation).ok()?;
         Some(self.accounts[at].pace())
     }
 
     fn ask(&mut self, now: Instant, pending: &Pending) {
         let waited = now.saturating_duration_since(pending.began);
-        let patience = pending.charge.patience.saturating_sub(waited);
+        let patience = pending.charge.max_wait.saturating_sub(waited);
         let message = Message::Ask {
             number: pending.number,
             organisation: pending.organisation,
             cost: pending.charge.cost,
-            class: pending.charge.class,
+            class: pending.charge.priority_class,
             patience_ms: patience.as_millis() as u32,
             tries: pending.asked.len() as u32,
         };
@@ -427,7 +435,7 @@
         self.messages.push((ask.member, message));
     }
 
-    fn number(&mut self) -> Number {
+    fn number(&mut self) -> MessageNumber {
         self.next = self.next.wrapping_add(1);
         self.next
     }
@@ -445,7 +453,7 @@
     }
 }
 
-fn context<'a>(roster: &'a Roster, mint: &'a Mint, since: Instant) -> Context<'a> {
+fn context<'a>(roster: &'a FleetView, mint: &'a RunningTime, since: Instant) -> Context<'a> {
     Context {
         roster,
         mint,
--- a/crates/decisions/src/credit/message.rs
+++ b/crates/decisions/src/credit/message.rs
@@ -5,7 +5,7 @@
 use crate::id::ShortName;
 
 /// Tells messages of one sender apart, over its restarts.
-pub type Number = u64;
+pub type MessageNumber = u64;
 
 /// A message about credit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -13,7 +13,7 @@
     /// To a keeper: a request wants credit.
     Ask {
         /// Number of the request at the sender.
-        number: Number,
+        number: MessageNumber,
         /// Whose limit it counts towards.
         organisation: ShortName,
         /// Units.
@@ -28,12 +28,12 @@
     /// From a keeper: the request waits there, its verdict follows.
     Held {
         /// Number of the request.
-        number: Number,
+        number: MessageNumber,
     },
     /// From a keeper: the decision on a request.
     Verdict {
         /// Number of the request.
-        number: Number,
+        number: MessageNumber,
         /// The last of its messages that the keeper had by then.
         tries: u32,
         /// What was decided.
@@ -42,7 +42,7 @@
     /// From a keeper: give what you have of an organisation.
     Collect {
         /// Number of the collection at the sender.
-        number: Number,
+        number: MessageNumber,
         /// Whose credit is wanted.
         organisation: ShortName,
     },
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Credit {
     /// Number of the collection that it answers.
-    pub number: Number,
+    pub number: MessageNumber,
     /// Whose credit it is.
     pub organisation: ShortName,
     /// Microseconds of its running time that it had not given away yet.
@@ -68,7 +68,7 @@
 /// What a keeper decides on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It may run, if it starts within [`super::ANSWER`] of the message that was answered.
+    /// It may run, if it starts within [`super::GRANT_VALIDITY`] of the message that was answered.
     Granted {
         /// Milliseconds until the credit that it took expires.
         left_ms: u32,
--- a/crates/decisions/src/credit/precedence.rs
+++ b/crates/decisions/src/credit/precedence.rs
@@ -35,7 +35,7 @@
 impl Precedence {
     /// Notes the class of a request, and returns the part of the limit that it leaves to others.
     pub(super) fn kept(&mut self, charge: &Charge, burst: f64, depth: f64) -> f64 {
-        let class = f64::from(charge.class);
+        let class = f64::from(charge.priority_class);
         let part = charge.cost / depth.max(f64::MIN_POSITIVE);
         let weight = (part * USUAL_WEIGHT).clamp(0.0, MOST_WEIGHT);
         let usual = self.usual.get_or_insert(class);
--- a/crates/decisions/src/credit/mint.rs
+++ b/crates/decisions/src/credit/running_time.rs
@@ -10,13 +10,13 @@
 
 /// Time that an instance may give away, and what it is worth.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Mint {
+pub(super) struct RunningTime {
     since: Option<Instant>,
     /// Instances of the zone, with this one, and from when on.
     sizes: VecDeque<(Instant, u32)>,
 }
 
-impl Mint {
+impl RunningTime {
     /// Notes how many instances the zone has and from when on this one mints.
     pub(super) fn observe(&mut self, now: Instant, size: u32, since: Option<Instant>) {
         self.since = since.map(|at| at.min(now));
--- a/crates/decisions/src/credit/sources.rs
+++ b/crates/decisions/src/credit/sources.rs
@@ -4,10 +4,10 @@
 
 use tokio::time::Instant;
 
-use super::Number;
-use super::mint::Mint;
-use super::pace::Pace;
-use super::roster::{Distance, Roster, Zone};
+use super::MessageNumber;
+use super::accrual::Accrual;
+use super::fleet_view::{Distance, FleetView, Zone};
+use super::running_time::RunningTime;
 use crate::id::{Member, ShortName};
 
 /// Time that the answer to a collection may take, by distance.
@@ -33,8 +33,8 @@
 /// What an account has to know of its instance.
 #[derive(Debug, Clone)]
 pub(super) struct Context<'a> {
-    pub(super) roster: &'a Roster,
-    pub(super) mint: &'a Mint,
+    pub(super) roster: &'a FleetView,
+    pub(super) mint: &'a RunningTime,
     /// Since when others are known.
     pub(super) since: Instant,
 }
@@ -45,7 +45,7 @@
     }
 
     /// Units that some running time of an instance is worth, in a zone of `size` instances.
-    pub(super) fn worth(&self, pace: Pace, time: Duration, size: u32) -> f64 {
+    pub(super) fn worth(&self, pace: Accrual, time: Duration, size: u32) -> f64 {
         pace.rate * time.as_secs_f64() / (self.zones() * f64::from(size.max(1)))
     }
 }
@@ -53,7 +53,7 @@
 /// A collection that was not answered yet.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Collection {
-    number: Number,
+    number: MessageNumber,
     from: Member,
     pub(super) sent: Instant,
     pub(super) expected: f64,
@@ -101,12 +101,12 @@
     }
 
     /// Forgets instances that are not heard any more.
-    pub(super) fn keep_members(&mut self, roster: &Roster) {
+    pub(super) fn keep_members(&mut self, roster: &FleetView) {
         self.asked.retain(|(m, _)| roster.has(*m));
     }
 
     /// Where credit is, with `level` at hand.
-    pub(super) fn stock(&self, now: Instant, cx: &Context<'_>, pace: Pace, level: f64) -> Stock {
+    pub(super) fn stock(&self, now: Instant, cx: &Context<'_>, pace: Accrual, level: f64) -> Stock {
         let on_the_way: f64 = self.collections.iter().map(|c| c.expected).sum();
         let mut stock = Stock {
             here: level + on_the_way,
@@ -119,7 +119,7 @@
             let expected = members.map(|m| self.expected(now, cx, pace, zone, *m));
             let sum = expected.sum::<f64>() * part;
             match zone.distance {
-                Distance::Home => stock.home += sum,
+                Distance::SameZone => stock.home += sum,
                 _ => stock.abroad += sum,
             }
         }
@@ -132,7 +132,7 @@
         &self,
         now: Instant,
         cx: &Context<'_>,
-        pace: Pace,
+        pace: Accrual,
         wanted: f64,
     ) -> Vec<Member> {
         let mut chosen = Vec::new();
@@ -161,9 +161,9 @@
         &mut self,
         now: Instant,
         cx: &Context<'_>,
-        pace: Pace,
+        pace: Accrual,
         from: Member,
-        number: Number,
+        number: MessageNumber,
     ) {
         let Some(zone) = cx.roster.zone_of(from) else {
             return;
@@ -187,7 +187,7 @@
         &mut self,
         now: Instant,
         from: Member,
-        number: Number,
+        number: MessageNumber,
     ) -> Option<Collection> {
         let is_it = |c: &Collection| c.number == number && c.from == from;
         let at = self.collections.iter().position(is_it)?;
@@ -217,14 +217,14 @@
         &self,
         now: Instant,
         cx: &Context<'_>,
-        pace: Pace,
+        pace: Accrual,
         zone: &Zone,
         member: Member,
     ) -> f64 {
         let since = self
             .asked_at(member)
             .map_or(cx.since, |at| at.max(cx.since));
-        let passed = now.saturating_duration_since(since).min(pace.life);
+        let passed = now.saturating_duration_since(since).min(pace.lifetime);
         cx.worth(pace, passed, zone.size)
     }
 
--- a/crates/decisions/tests/credit.rs
+++ b/crates/decisions/tests/credit.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::credit::{
-    ANSWER, Charge, Credit, Distance, Ledger, Limit, Lot, Message, Pace, Roster, Tolerance,
-    Verdict, Zone,
+    Accrual, Batch, Charge, Credit, Distance, FleetView, GRANT_VALIDITY, Ledger, Limit, Message,
+    Tolerance, Verdict, Zone,
 };
 use kingcupfield_decisions::id::Member;
 use proptest::prelude::*;
@@ -23,15 +23,15 @@
 const STEP: Duration = Duration::from_millis(20);
 
 /// A fleet of one zone; `heard` are those whose messages come.
-fn roster(now: Instant, size: u32, heard: &[Member]) -> Roster {
-    Roster {
+fn roster(now: Instant, size: u32, heard: &[Member]) -> FleetView {
+    FleetView {
         zones: vec![Zone {
             name: 1,
-            distance: Distance::Home,
+            distance: Distance::SameZone,
             size,
             members: heard.to_vec(),
         }],
-        mints_since: Some(now),
+        accrues_since: Some(now),
     }
 }
 
@@ -39,7 +39,7 @@
 fn alone(now: Instant) -> Ledger {
     let mut ledger = Ledger::new(1, 1);
     ledger.set_bounds(SPAN, TOLERANCE);
-    ledger.set_roster(now, &roster(now, 1, &[]));
+    ledger.set_fleet(now, &roster(now, 1, &[]));
     ledger
 }
 
@@ -47,8 +47,8 @@
 fn ask(class: u32) -> Charge {
     Charge {
         cost: COST,
-        class,
-        patience: PATIENCE,
+        priority_class: class,
+        max_wait: PATIENCE,
     }
 }
 
@@ -58,7 +58,7 @@
     let mut later = now;
     while !ledger.is_idle() {
         later += Duration::from_millis(10);
-        ledger.tick(later);
+        ledger.on_tick(later);
     }
     let verdicts = ledger.take_verdicts();
     verdicts.last().expect("it was decided").1
@@ -116,11 +116,11 @@
             let heard: Vec<Member> = all.iter().copied().filter(|m| m != own).collect();
             let heard = if case.cut { &[] } else { &heard[..] };
             ledger.set_bounds(SPAN, TOLERANCE);
-            ledger.set_roster(now, &roster(start, case.instances, heard));
+            ledger.set_fleet(now, &roster(start, case.instances, heard));
             if due != before {
                 ledger.request(now, ORGANISATION, SMALL, ask(0));
             }
-            ledger.tick(now);
+            ledger.on_tick(now);
             let granted = ledger.take_verdicts().into_iter().filter(|v| granted(v.1));
             admitted.extend(granted.map(|_| (now, COST)));
             let sent = ledger.take_messages().into_iter();
@@ -169,7 +169,7 @@
         for (at, class) in [(1, 4), (0, 0)] {
             ledger.request(now, ORGANISATION, SMALL, ask(class));
             while !ledger.is_idle() {
-                ledger.tick(now + Duration::from_millis(300));
+                ledger.on_tick(now + Duration::from_millis(300));
             }
             admitted[at] += granted_cost(&mut ledger);
         }
@@ -185,7 +185,7 @@
     let mut ledger = alone(now);
     assert!(spend_all(&mut ledger, now) <= 0.0);
     let soon = now + Duration::from_millis(300);
-    ledger.tick(soon);
+    ledger.on_tick(soon);
     let spent = granted_cost(&mut ledger) + spend_all(&mut ledger, soon);
     assert!(spent <= SMALL.rate * 0.3 * 1.2, "{spent}");
 }
@@ -229,8 +229,8 @@
     let mut ledger = alone(start);
     let large = Charge {
         cost: COST * 10.0,
-        class: 0,
-        patience: PATIENCE,
+        priority_class: 0,
+        max_wait: PATIENCE,
     };
     let wait_ms = loop {
         match decide(&mut ledger, now, large) {
@@ -254,13 +254,13 @@
     let mut ledger = alone(start);
     spend_all(&mut ledger, now);
     while !ledger.is_idle() {
-        ledger.tick(now + Duration::from_millis(300));
+        ledger.on_tick(now + Duration::from_millis(300));
     }
     ledger.take_verdicts();
     let order = Charge {
         cost: 200.0,
-        class: 8,
-        patience: PATIENCE,
+        priority_class: 8,
+        max_wait: PATIENCE,
     };
     let then = now + Duration::from_millis(305);
     assert!(granted(decide(&mut ledger, then, order)));
@@ -279,11 +279,11 @@
         ledger.request(now, ORGANISATION, SMALL, ask(0));
         let charge = Charge {
             cost: 200.0,
-            class: 8,
-            patience: PATIENCE,
+            priority_class: 8,
+            max_wait: PATIENCE,
         };
         cheap.push(ledger.request(now, ORGANISATION, SMALL, charge));
-        ledger.tick(now);
+        ledger.on_tick(now);
         for (number, verdict) in ledger.take_verdicts() {
             served += usize::from(granted(verdict) && cheap.contains(&number));
         }
@@ -299,21 +299,21 @@
     let start = Instant::now();
     let now = start + SPAN;
     let mut ledger = alone(start);
-    let pace = Pace::new(SMALL, SPAN, TOLERANCE);
+    let pace = Accrual::new(SMALL, SPAN, TOLERANCE);
     let refused = spend_all(&mut ledger, now);
-    let lot = Lot {
-        expires: now + pace.life / 2,
+    let lot = Batch {
+        expires: now + pace.lifetime / 2,
         amount: refused,
     };
-    let then = now + pace.life / 4;
-    ledger.give_back(then, ORGANISATION, lot);
+    let then = now + pace.lifetime / 4;
+    ledger.refund(then, ORGANISATION, lot);
     let used = spend_all(&mut ledger, then);
     assert!(used >= refused - COST, "{used} of {refused}");
-    ledger.give_back(then, ORGANISATION, lot);
-    let after = spend_all(&mut ledger, now + pace.life / 2 + STEP);
-    let minted = pace.rate * pace.life.as_secs_f64() / 2.0;
+    ledger.refund(then, ORGANISATION, lot);
+    let after = spend_all(&mut ledger, now + pace.lifetime / 2 + STEP);
+    let minted = pace.rate * pace.lifetime.as_secs_f64() / 2.0;
     assert!(after <= minted, "{after} after it expired");
-    assert!(used + after <= pace.bound(SPAN), "{used} and {after}");
+    assert!(used + after <= pace.max_spend(SPAN), "{used} and {after}");
 }
 
 /// An organisation has spent its limit through another instance when its first caller connects here,
@@ -354,8 +354,8 @@
     let keeper = |own: Member| {
         let mut ledger = Ledger::new(own, 1);
         ledger.set_bounds(SPAN, TOLERANCE);
-        ledger.set_roster(start, &roster(start, 2, &[99]));
-        (ledger.keeper(now, ORGANISATION) == own).then_some(ledger)
+        ledger.set_fleet(start, &roster(start, 2, &[99]));
+        (ledger.coordinator(now, ORGANISATION) == own).then_some(ledger)
     };
     let mut ledger = (1..50).find_map(keeper).expect("one of them is the keeper");
     spend_all(&mut ledger, now);
@@ -375,7 +375,7 @@
         ledger.on_message(then, 99, Message::Credit(credit.clone()), None);
     }
     let got = granted_cost(&mut ledger) + spend_all(&mut ledger, then);
-    let half = Pace::new(SMALL, SPAN, TOLERANCE).rate / 2.0;
+    let half = Accrual::new(SMALL, SPAN, TOLERANCE).rate / 2.0;
     let own = half * after.as_secs_f64();
     let most = if counts { half } else { 0.0 };
     // What was left of before the collection is less than one request.
@@ -390,11 +390,11 @@
     let start = Instant::now();
     let mut ledger = Ledger::new(1, 1);
     ledger.set_bounds(SPAN, TOLERANCE);
-    ledger.set_roster(start, &roster(start, 10, &[]));
+    ledger.set_fleet(start, &roster(start, 10, &[]));
     let now = start + Duration::from_secs(4);
-    ledger.set_roster(now, &roster(start, 5, &[]));
+    ledger.set_fleet(now, &roster(start, 5, &[]));
     let spent = spend_all(&mut ledger, now);
-    let tenth = Pace::new(SMALL, SPAN, TOLERANCE).rate * 4.0 / 10.0;
+    let tenth = Accrual::new(SMALL, SPAN, TOLERANCE).rate * 4.0 / 10.0;
     assert!(spent <= tenth, "{spent} of {tenth}");
     assert!(spent >= tenth - COST, "{spent} of {tenth}");
 }
@@ -408,20 +408,20 @@
     let mut ledger = Ledger::new(1, 1);
     ledger.set_bounds(SPAN, TOLERANCE);
     let mut roster = roster(start, 4, &others);
-    roster.mints_since = None;
-    ledger.set_roster(start, &roster);
-    let dead = ledger.keeper(start, ORGANISATION);
+    roster.accrues_since = None;
+    ledger.set_fleet(start, &roster);
+    let dead = ledger.coordinator(start, ORGANISATION);
     let number = ledger.request(start, ORGANISATION, SMALL, ask(0));
     let mut next = None;
     let mut now = start;
-    while now < start + ANSWER && next.is_none() {
+    while now < start + GRANT_VALIDITY && next.is_none() {
         now += Duration::from_millis(10);
-        ledger.tick(now);
+        ledger.on_tick(now);
         let mut asked = ledger.take_messages().into_iter().map(|(to, _)| to);
         next = asked.next_back().filter(|to| *to != dead);
     }
     let next = next.expect("another one is asked in time");
-    assert_ne!(ledger.keeper(now, ORGANISATION), dead);
+    assert_ne!(ledger.coordinator(now, ORGANISATION), dead);
     let verdict = Verdict::Granted { left_ms: 100 };
     ledger.on_message(
         now,
@@ -447,10 +447,10 @@
     ) {
         let span = Duration::from_secs_f64(span_s);
         let limit = Limit { rate, burst };
-        let pace = Pace::new(limit, span, Tolerance { part, fixed });
-        let tolerated = limit.over(span) * (1.0 + part) + fixed;
-        prop_assert!(pace.bound(span) <= tolerated * (1.0 + 1e-6) + 1e-3);
+        let pace = Accrual::new(limit, span, Tolerance { part, fixed });
+        let tolerated = limit.allowance(span) * (1.0 + part) + fixed;
+        prop_assert!(pace.max_spend(span) <= tolerated * (1.0 + 1e-6) + 1e-3);
         let holds = burst.min(pace.rate * span_s);
-        prop_assert!(pace.depth() >= holds * (1.0 - 1e-6) - 1e-3, "{} of {holds}", pace.depth());
+        prop_assert!(pace.max_stock() >= holds * (1.0 - 1e-6) - 1e-3, "{} of {holds}", pace.max_stock());
     }
 }
--- a/crates/decisions/tests/credit_use.rs
+++ b/crates/decisions/tests/credit_use.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::credit::{
-    Charge, Distance, Ledger, Limit, Message, Roster, Verdict, Zone,
+    Charge, Distance, FleetView, Ledger, Limit, Message, Verdict, Zone,
 };
 use kingcupfield_decisions::id::Member;
 use rand::{RngExt as _, SeedableRng as _};
@@ -73,11 +73,11 @@
     fn distance(&self, one: Member, other: Member) -> Distance {
         let (one, other) = (one % self.zones(), other % self.zones());
         if one == other {
-            Distance::Home
+            Distance::SameZone
         } else if one / 2 == other / 2 {
-            Distance::Near
+            Distance::SameRegion
         } else {
-            Distance::Far
+            Distance::OtherRegion
         }
     }
 
@@ -89,13 +89,13 @@
             .map(|member| {
                 let mut ledger = Ledger::new(member, life);
                 ledger.set_bounds(SPAN, TOLERANCE);
-                ledger.set_roster(now, &self.roster(member, now));
+                ledger.set_fleet(now, &self.roster(member, now));
                 ledger
             })
             .collect();
     }
 
-    fn roster(&self, own: Member, since: Instant) -> Roster {
+    fn roster(&self, own: Member, since: Instant) -> FleetView {
         let mut zones: Vec<Zone> = (0..self.zones())
             .map(|zone| {
                 let members: Vec<Member> = (0..self.case.instances)
@@ -110,9 +110,9 @@
             })
             .collect();
         zones.sort_by_key(|z| (z.distance, z.name));
-        Roster {
+        FleetView {
             zones,
-            mints_since: Some(since),
+            accrues_since: Some(since),
         }
     }
 
@@ -158,8 +158,8 @@
             let at = self.rng.random_range(0..self.case.instances);
             let charge = Charge {
                 cost,
-                class: 0,
-                patience: Duration::from_millis(400),
+                priority_class: 0,
+                max_wait: Duration::from_millis(400),
             };
             let limit = self.case.limit;
             self.ledgers[at as usize].request(now, ORGANISATION, limit, charge);
@@ -170,7 +170,7 @@
     fn tick(&mut self, now: Instant) {
         for at in 0..self.case.instances {
             if self.up && !self.ledgers[at as usize].is_idle() {
-                self.ledgers[at as usize].tick(now);
+                self.ledgers[at as usize].on_tick(now);
                 self.flush(now, at);
             }
         }
@@ -200,8 +200,8 @@
             .extend(verdicts.iter().map(|(_, v)| (now, granted(v))));
         for (to, message) in messages {
             let way = match self.distance(at, to) {
-                Distance::Home | Distance::Near => 1,
-                Distance::Far => 30,
+                Distance::SameZone | Distance::SameRegion => 1,
+                Distance::OtherRegion => 30,
             };
             let late = self.rng.random_range(0..10);
             let due = now + Duration::from_millis(way + late);
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -129,8 +129,8 @@
     };
     let charge = Charge {
         cost: cost(organisation, call),
-        class: class(node, route, service, call),
-        patience: route.objective.mul_f64(FOR_CREDIT).min(MOST_FOR_CREDIT),
+        priority_class: class(node, route, service, call),
+        max_wait: route.objective.mul_f64(FOR_CREDIT).min(MOST_FOR_CREDIT),
     };
     let taken = credit::take(node, organisation, limit, charge).await;
     taken.map_err(|uncharged| refuse(node, organisation, route, charge, uncharged))
@@ -154,7 +154,7 @@
         organisation.name,
         charge.cost,
         route.rank,
-        charge.class,
+        charge.priority_class,
         waited.as_millis(),
     );
     let Verdict::Denied { wait_ms, stock } = verdict else {
@@ -162,8 +162,8 @@
             .with_message(format!("{wanted}, no answer"))
             .with_retry_after(COME_BACK_SOON);
     };
-    let pace = node.ledger.borrow().pace(short_name(&organisation.name));
-    let depth = pace.map_or(0.0, |p| p.depth());
+    let pace = node.ledger.borrow().accrual(short_name(&organisation.name));
+    let depth = pace.map_or(0.0, |p| p.max_stock());
     let size = node.peers.borrow().zone_size();
     let reason = format!(
         "{wanted}, {stock:.0} of at most {depth:.0} there, {size} instances known in the zone",
--- a/crates/entry/src/credit.rs
+++ b/crates/entry/src/credit.rs
@@ -4,7 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcupfield_decisions::credit::{Charge, Distance, Limit, Lot, Message, Number, Verdict};
+use kingcupfield_decisions::credit::{
+    Batch, Charge, Distance, Limit, Message, MessageNumber, Verdict,
+};
 use kingcupfield_decisions::id::{Member, ShortName, short_name};
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep};
@@ -22,7 +24,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Charged {
     /// What it took of the limit; nothing where there is no limit.
-    pub lot: Option<Lot>,
+    pub lot: Option<Batch>,
     /// How long it waited for the credit.
     pub waited: Duration,
     /// The instance that gave it.
@@ -50,11 +52,11 @@
 pub fn zones(cfg: &Settings) -> Vec<(ShortName, Distance)> {
     let distance = |zone: &str, region: &str| {
         if zone == &*cfg.availability_zone {
-            Distance::Home
+            Distance::SameZone
         } else if region == &*cfg.region {
-            Distance::Near
+            Distance::SameRegion
         } else {
-            Distance::Far
+            Distance::OtherRegion
         }
     };
     let mut zones: Vec<_> = cfg
@@ -63,7 +65,7 @@
         .map(|(zone, region)| (short_name(zone), distance(zone, region)))
         .collect();
     if !cfg.regions_by_zone.contains_key(&*cfg.availability_zone) {
-        zones.push((short_name(&cfg.availability_zone), Distance::Home));
+        zones.push((short_name(&cfg.availability_zone), Distance::SameZone));
     }
     zones
 }
@@ -78,7 +80,7 @@
     let name = short_name(&organisation.name);
     let began = now(node);
     let (tx, rx) = oneshot::channel();
-    let keeper = Ipv4Addr::from_bits(node.ledger.borrow().keeper(began, name));
+    let keeper = Ipv4Addr::from_bits(node.ledger.borrow().coordinator(began, name));
     let number = node.ledger.borrow_mut().request(began, name, limit, charge);
     node.verdicts.borrow_mut().push((number, tx));
     flush(node);
@@ -92,7 +94,7 @@
             keeper,
         });
     };
-    let lot = Lot {
+    let lot = Batch {
         expires: began + Duration::from_millis(u64::from(left_ms)),
         amount: charge.cost,
     };
@@ -107,7 +109,7 @@
 pub fn give_back(node: &Node, organisation: &Organisation, charged: &Charged) {
     if let Some(lot) = charged.lot {
         let name = short_name(&organisation.name);
-        node.ledger.borrow_mut().give_back(now(node), name, lot);
+        node.ledger.borrow_mut().refund(now(node), name, lot);
     }
 }
 
@@ -130,28 +132,28 @@
     let mut roster = node.peers.borrow_mut().roster(Instant::now());
     // Instances that end have left the others' counts.
     if node.stage() >= Stage::Closing {
-        roster.mints_since = None;
+        roster.accrues_since = None;
     }
-    let known = roster.mints_since.is_some();
+    let known = roster.accrues_since.is_some();
     let members = node.peers.borrow().zone_members();
     let members = Some(members).filter(|_| known);
     node.dispatch
         .borrow_mut()
         .set_members(Instant::now(), members);
     let slept = node.clock.suspended();
-    roster.mints_since = roster.mints_since.map(|at| at + slept);
+    roster.accrues_since = roster.accrues_since.map(|at| at + slept);
     let mut ledger = node.ledger.borrow_mut();
-    if ledger.mints() != roster.mints_since.is_some() {
+    if ledger.accrues() != roster.accrues_since.is_some() {
         node.log.line(
             Weight::Notable,
             format_args!(
                 "event=credit mints={} zone_size={}",
-                roster.mints_since.is_some(),
-                roster.size()
+                roster.accrues_since.is_some(),
+                roster.zone_size()
             ),
         );
     }
-    ledger.set_roster(now(node), &roster);
+    ledger.set_fleet(now(node), &roster);
 }
 
 /// Looks after the requests that wait for credit until the process ends.
@@ -160,7 +162,7 @@
         node.credit_waits.notified().await;
         while !node.ledger.borrow().is_idle() {
             sleep(LOOK).await;
-            node.ledger.borrow_mut().tick(now(&node));
+            node.ledger.borrow_mut().on_tick(now(&node));
             flush(&node);
         }
     }
@@ -199,7 +201,7 @@
     let _ = socket.try_send_to(&message, to);
 }
 
-fn waiter(node: &Node, number: Number) -> Option<oneshot::Sender<Verdict>> {
+fn waiter(node: &Node, number: MessageNumber) -> Option<oneshot::Sender<Verdict>> {
     let mut waiters = node.verdicts.borrow_mut();
     let at = waiters.iter().position(|(n, _)| *n == number)?;
     Some(waiters.swap_remove(at).1)
@@ -208,7 +210,7 @@
 /// Forgets a request whose caller goes away.
 struct Forget<'a> {
     node: &'a Node,
-    number: Number,
+    number: MessageNumber,
 }
 
 impl Drop for Forget<'_> {
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -151,7 +151,7 @@
         } else {
             self.tell(node, socket, Telling::Change);
         }
-        let knows_fleet = node.ledger.borrow().mints();
+        let knows_fleet = node.ledger.borrow().accrues();
         let gap = if knows_fleet { AT_REST } else { UNTIL_FOUND };
         if past(self.contacts_at, gap) {
             self.contacts_at = Some(now);
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcupfield_decisions::credit::{Ledger, Number, Verdict as CreditVerdict};
+use kingcupfield_decisions::credit::{Ledger, MessageNumber, Verdict as CreditVerdict};
 use kingcupfield_decisions::dispatch::{Dispatch, JobId};
 use kingcupfield_decisions::emptied::EmptiedZones;
 use kingcupfield_decisions::id::{ServiceId, ShortName, UpstreamId, short_name};
@@ -68,7 +68,7 @@
     /// Credit of organisations' limits.
     pub ledger: RefCell<Ledger>,
     /// Requests that wait for credit.
-    pub verdicts: RefCell<Vec<(Number, oneshot::Sender<CreditVerdict>)>>,
+    pub verdicts: RefCell<Vec<(MessageNumber, oneshot::Sender<CreditVerdict>)>>,
     /// Wakes the timer of requests that wait for credit.
     pub credit_waits: Notify,
     /// Sends to the other instances.
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -86,7 +86,7 @@
     /// Since when it hears others.
     met: Option<Instant>,
     /// Since when this instance mints credit.
-    mints_since: Option<Instant>,
+    accrues_since: Option<Instant>,
     /// No instance falls silent before this, so that not each message has to look at all of them.
     none_silent_before: Instant,
 }
@@ -96,7 +96,7 @@
     pub fn new(now: Instant, own: Ipv4Addr, has_contacts: bool) -> Self {
         Self {
             own,
-            zones: vec![(ShortName::default(), Distance::Home)],
+            zones: vec![(ShortName::default(), Distance::SameZone)],
             has_contacts,
             others: Vec::new(),
             leavers: Vec::new(),
@@ -107,7 +107,7 @@
             introduced: false,
             introduced_home: false,
             met: None,
-            mints_since: None,
+            accrues_since: None,
             none_silent_before: now,
         }
     }
--- a/crates/entry/src/peers/acquaintance.rs
+++ b/crates/entry/src/peers/acquaintance.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kingcupfield_decisions::credit::{Distance, Roster, Zone};
+use kingcupfield_decisions::credit::{Distance, FleetView, Zone};
 use kingcupfield_decisions::id::{Member, ShortName};
 use tokio::time::Instant;
 
@@ -30,13 +30,13 @@
 
 impl Peers {
     /// The fleet as far as credit of limits goes by it.
-    pub fn roster(&mut self, now: Instant) -> Roster {
-        if self.mints_since.is_none() && self.are_acquainted(now) {
-            self.mints_since = Some(self.first_minted(now));
+    pub fn roster(&mut self, now: Instant) -> FleetView {
+        if self.accrues_since.is_none() && self.are_acquainted(now) {
+            self.accrues_since = Some(self.first_minted(now));
         }
-        Roster {
+        FleetView {
             zones: self.roster_zones(now),
-            mints_since: self.mints_since,
+            accrues_since: self.accrues_since,
         }
     }
 
@@ -57,7 +57,7 @@
         let zone = |(name, distance): &(ShortName, Distance)| Zone {
             name: *name,
             distance: *distance,
-            size: u32::from(*distance == Distance::Home),
+            size: u32::from(*distance == Distance::SameZone),
             members: Vec::new(),
         };
         let mut zones: Vec<Zone> = self.zones.iter().map(zone).collect();
@@ -123,7 +123,7 @@
 
     /// Whether this instance knows the others, and those of its zone know it.
     pub fn is_settled(&self, now: Instant) -> bool {
-        self.mints_since.is_some() && !self.is_gathering(now)
+        self.accrues_since.is_some() && !self.is_gathering(now)
     }
 
     /// Whether this instance has not found the others yet.
--- a/crates/entry/tests/limits.rs
+++ b/crates/entry/tests/limits.rs
@@ -383,7 +383,7 @@
     fn look_after_credit(&mut self) {
         for at in 0..self.instances.len() {
             if self.instances[at].up && !self.instances[at].ledger.is_idle() {
-                self.instances[at].ledger.tick(self.now);
+                self.instances[at].ledger.on_tick(self.now);
                 self.flush(self.now, at);
             }
         }
@@ -405,9 +405,9 @@
             me.peers.forget(now);
             let mut roster = me.peers.roster(now);
             if me.leaving {
-                roster.mints_since = None;
+                roster.accrues_since = None;
             }
-            me.ledger.set_roster(now, &roster);
+            me.ledger.set_fleet(now, &roster);
             if !me.tick.is_multiple_of(10) {
                 continue;
             }
@@ -530,8 +530,8 @@
         let me = &mut self.instances[at];
         let charge = Charge {
             cost,
-            class: 0,
-            patience: PATIENCE,
+            priority_class: 0,
+            max_wait: PATIENCE,
         };
         let asked = me
             .ledger
@@ -581,11 +581,11 @@
     ledger.set_bounds(SPAN, TOLERANCE);
     let distance = |other: usize| {
         if other == zone {
-            Distance::Home
+            Distance::SameZone
         } else if place(other).1 == place(zone).1 {
-            Distance::Near
+            Distance::SameRegion
         } else {
-            Distance::Far
+            Distance::OtherRegion
         }
     };
     let layout = (0..zones).map(|other| (place(other).0, distance(other)));
--- a/crates/entry/tests/peers.rs
+++ b/crates/entry/tests/peers.rs
@@ -37,7 +37,7 @@
 #[test]
 fn a_silent_peer_keeps_its_share_but_not_its_load() {
     let now = Instant::now();
-    let mut peers = Peers::new(now, OWN, true).with_zones([(1, Distance::Home)]);
+    let mut peers = Peers::new(now, OWN, true).with_zones([(1, Distance::SameZone)]);
     peers.on_digest(now, address(1), digest(1));
     peers.on_digest(now, address(2), digest(1));
     let load = |running, prompt| Sum { running, prompt };
@@ -61,8 +61,8 @@
 )]
 fn an_instance_that_hears_nobody_does_not_mint(contacts: bool, after: Duration, mints: bool) {
     let now = Instant::now();
-    let mut peers = Peers::new(now, OWN, contacts).with_zones([(1, Distance::Home)]);
-    assert_eq!(peers.roster(now + after).mints_since.is_some(), mints);
+    let mut peers = Peers::new(now, OWN, contacts).with_zones([(1, Distance::SameZone)]);
+    assert_eq!(peers.roster(now + after).accrues_since.is_some(), mints);
 }
 
 /// An instance started behind a cut and heard nobody for seconds. When the cut heals it hears one after the
@@ -71,18 +71,18 @@
 #[test]
 fn an_instance_claims_nothing_of_the_time_behind_a_cut() {
     let start = Instant::now();
-    let mut peers = Peers::new(start, OWN, true).with_zones([(1, Distance::Home)]);
+    let mut peers = Peers::new(start, OWN, true).with_zones([(1, Distance::SameZone)]);
     let healed = start + Duration::from_secs(10);
-    assert_eq!(peers.roster(healed).mints_since, None);
+    assert_eq!(peers.roster(healed).accrues_since, None);
     let mut elsewhere = digest(1);
     elsewhere.zone = 2;
     peers.on_digest(healed, address(9), elsewhere);
-    assert_eq!(peers.roster(healed).mints_since, None);
+    assert_eq!(peers.roster(healed).accrues_since, None);
     let now = healed + Duration::from_millis(500);
     let mut near = digest(1);
     near.zone_size = 2;
     peers.on_digest(healed, address(1), near);
-    assert_eq!(peers.roster(now).mints_since, Some(now));
+    assert_eq!(peers.roster(now).accrues_since, Some(now));
 }
 
 /// A fleet starts at once. Each instance mints once those of its zone know as many as it does: one that
@@ -90,34 +90,34 @@
 #[test]
 fn an_instance_mints_once_its_zone_knows_it() {
     let start = Instant::now();
-    let mut peers = Peers::new(start, OWN, true).with_zones([(1, Distance::Home)]);
+    let mut peers = Peers::new(start, OWN, true).with_zones([(1, Distance::SameZone)]);
     let now = start + Duration::from_secs(1);
     let mut elsewhere = digest(1);
     elsewhere.zone = 2;
     peers.on_digest(start, address(9), elsewhere);
-    assert_eq!(peers.roster(start).mints_since, None);
+    assert_eq!(peers.roster(start).accrues_since, None);
     assert_eq!(
-        peers.roster(now).mints_since,
+        peers.roster(now).accrues_since,
         None,
         "it hears nobody of its zone"
     );
     peers.on_digest(start, address(1), digest(1));
     assert_eq!(
-        peers.roster(now).mints_since,
+        peers.roster(now).accrues_since,
         None,
         "the other one knows itself alone"
     );
     let mut knows = digest(1);
     knows.zone_size = 2;
     peers.on_digest(now, address(1), knows);
-    assert!(peers.roster(now).mints_since.is_some());
-    assert_eq!(peers.roster(now).size(), 2);
+    assert!(peers.roster(now).accrues_since.is_some());
+    assert_eq!(peers.roster(now).zone_size(), 2);
     peers.on_digest(now, address(2), digest(1));
     assert!(
-        peers.roster(now).mints_since.is_some(),
+        peers.roster(now).accrues_since.is_some(),
         "it goes on when another one joins"
     );
-    assert_eq!(peers.roster(now).size(), 3);
+    assert_eq!(peers.roster(now).zone_size(), 3);
 }
 
 struct Readers {
@@ -153,7 +153,7 @@
 #[test]
 fn new_instances_are_greeted_once() {
     let now = Instant::now();
-    let mut peers = Peers::new(now, OWN, true).with_zones([(1, Distance::Home)]);
+    let mut peers = Peers::new(now, OWN, true).with_zones([(1, Distance::SameZone)]);
     let mut first = digest(1);
     first.members = vec![(1, vec![address(7), OWN])];
     assert_eq!(
@@ -173,8 +173,8 @@
 #[test]
 fn those_of_other_zones_are_greeted_if_they_ask() {
     let now = Instant::now();
-    let mut peers =
-        Peers::new(now, OWN, true).with_zones([(7, Distance::Home), (1, Distance::Far)]);
+    let mut peers = Peers::new(now, OWN, true)
+        .with_zones([(7, Distance::SameZone), (1, Distance::OtherRegion)]);
     let mut asks = digest(1);
     asks.greeting = true;
     asks.members = vec![(1, vec![address(3)])];
--- a/crates/spec/src/credit.rs
+++ b/crates/spec/src/credit.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::credit::{
-    Charge, Distance, Ledger, Limit, Message, Pace, Roster, Tolerance, Verdict, Zone,
+    Accrual, Charge, Distance, FleetView, Ledger, Limit, Message, Tolerance, Verdict, Zone,
 };
 use kingcupfield_decisions::id::{Member, ShortName};
 use tokio::time::Instant;
@@ -138,23 +138,23 @@
     fn look(&mut self, now: Instant) {
         for at in 0..2 {
             let roster = self.roster(at);
-            self.ledgers[at].set_roster(now, &roster);
+            self.ledgers[at].set_fleet(now, &roster);
         }
     }
 
-    fn roster(&self, at: usize) -> Roster {
+    fn roster(&self, at: usize) -> FleetView {
         let other = member(1 - at);
         let hears = !self.cut && !self.left;
         let knows = !self.left && !self.ignorant[at];
         let ended = self.left && at == 1;
-        Roster {
+        FleetView {
             zones: vec![Zone {
                 name: 1,
-                distance: Distance::Home,
+                distance: Distance::SameZone,
                 size: if knows { 2 } else { 1 },
                 members: if hears { vec![other] } else { Vec::new() },
             }],
-            mints_since: (!ended).then_some(self.since[at]),
+            accrues_since: (!ended).then_some(self.since[at]),
         }
     }
 
@@ -167,7 +167,7 @@
             _ => self.now,
         };
         let roster = self.roster(at);
-        self.ledgers[at].set_roster(self.now, &roster);
+        self.ledgers[at].set_fleet(self.now, &roster);
     }
 
     fn deliver(&mut self, packet: Packet) {
@@ -250,8 +250,8 @@
                 self.bounds.requests -= 1;
                 let charge = Charge {
                     cost: COST,
-                    class: 0,
-                    patience: STEP,
+                    priority_class: 0,
+                    max_wait: STEP,
                 };
                 self.ledgers[*at].request(self.now, ORGANISATION, self.limit, charge);
                 self.take(*at);
@@ -267,7 +267,7 @@
                 self.now += STEP;
                 self.look(self.now);
                 for at in 0..2 {
-                    self.ledgers[at].tick(self.now);
+                    self.ledgers[at].on_tick(self.now);
                     self.take(at);
                 }
                 return;
@@ -295,13 +295,13 @@
     }
 
     fn broken(&self) -> Option<&'static str> {
-        let pace = Pace::new(LIMIT, SPAN, TOLERANCE);
+        let pace = Accrual::new(LIMIT, SPAN, TOLERANCE);
         let passed = self.now.saturating_duration_since(self.start);
         let all: f64 = self.spent.iter().map(|(_, cost)| cost).sum();
         if all > pace.rate * passed.as_secs_f64() + 1e-6 {
             return Some("no more is spent than was minted");
         }
-        if self.most_in_a_span() > pace.bound(SPAN) + 1e-6 {
+        if self.most_in_a_span() > pace.max_spend(SPAN) + 1e-6 {
             return Some("no span gets more than the bound");
         }
         None
