--- a/crates/decisions/src/limits.rs
+++ b/crates/decisions/src/limits.rs
@@ -18,23 +18,23 @@
 
 use crate::id::{OrganisationId, Sequence};
 
-pub use member::{LimitMember, Limited, MAX_ORGANISATIONS};
+pub use member::{LimitMember, LimitReached, MAX_ORGANISATIONS};
 pub use owner::LimitOwner;
 
 /// How long an instance may spend a leased quota, by its own clock, from when it asked.
 ///
 /// The sum may pass the limit for this long after a change of owner, so it is kept short; each
-/// active organisation costs an instance one message in [`ASK_EVERY`].
+/// active organisation costs an instance one message in [`ASK_INTERVAL`].
 pub const QUOTA_LEASE: Duration = Duration::from_secs(3);
 
 /// How often an instance asks for an organisation that is active there.
-pub const ASK_EVERY: Duration = Duration::from_secs(1);
+pub const ASK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// An ask without an answer for this long means that the owner is cut off, dead or paused.
-pub const ANSWER_WITHIN: Duration = Duration::from_secs(1);
+pub const ASK_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Unspent rate is kept for this long, so that a burst of a second passes.
-pub const BURST: Duration = Duration::from_secs(1);
+pub const BURST_WINDOW: Duration = Duration::from_secs(1);
 
 /// Limits of one organisation over some part of the fleet; nothing means no limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
@@ -55,7 +55,7 @@
 
     /// The part `part` of `parts` equal parts; running requests that do not divide go to the
     /// first parts, so that the sum is exact.
-    pub fn part(&self, part: u32, parts: u32) -> Self {
+    pub fn share(&self, part: u32, parts: u32) -> Self {
         let parts = parts.max(1);
         let equal = |rate: f64| rate / f64::from(parts);
         let whole = |n: u32| n / parts + u32::from(part < n % parts);
@@ -69,25 +69,25 @@
 
 /// A zone's place among the zones of the fleet, by which the fleet's limits are divided.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ZonePart {
+pub struct ZoneShare {
     /// Position of the zone among the zones, from 0.
     pub zone: u32,
     /// Number of zones.
     pub zones: u32,
 }
 
-impl ZonePart {
+impl ZoneShare {
     /// The only zone.
-    pub const WHOLE: Self = Self { zone: 0, zones: 1 };
+    pub const SINGLE_ZONE: Self = Self { zone: 0, zones: 1 };
 
     /// The part of an organisation's `limit` that the zone has.
     ///
     /// Running requests that do not divide go to other zones for each organisation. Rounded down
     /// instead, an organisation with fewer than one for each zone would never be served at all.
-    pub fn of(self, organisation: &OrganisationId, limit: &Quota) -> Quota {
+    pub fn zone_quota(self, organisation: &OrganisationId, limit: &Quota) -> Quota {
         let first = xxh3_64(organisation.as_bytes()) % u64::from(self.zones.max(1));
         let part = (u64::from(self.zone) + first) % u64::from(self.zones.max(1));
-        limit.part(part as u32, self.zones)
+        limit.share(part as u32, self.zones)
     }
 }
 
--- a/crates/decisions/src/limits/member.rs
+++ b/crates/decisions/src/limits/member.rs
@@ -7,8 +7,8 @@
 use crate::id::{InstanceId, OrganisationId, Sequence, Tokens};
 use crate::limits::owner::time_for;
 use crate::limits::{
-    ANSWER_WITHIN, ASK_EVERY, BURST, Demand, QUOTA_LEASE, Quota, ToLimitMember, ToLimitOwner,
-    ZonePart,
+    ASK_INTERVAL, ASK_TIMEOUT, BURST_WINDOW, Demand, QUOTA_LEASE, Quota, ToLimitMember,
+    ToLimitOwner, ZoneShare,
 };
 use crate::values::Organisation;
 
@@ -21,7 +21,7 @@
 /// The organisation has used what this instance may give it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the organisation's limit is reached for {retry_after:?}")]
-pub struct Limited {
+pub struct LimitReached {
     /// When the next request may pass.
     pub retry_after: Duration,
 }
@@ -66,12 +66,12 @@
     /// Position of this instance among the zone's, and their number.
     part: u32,
     parts: u32,
-    zone: ZonePart,
+    zone: ZoneShare,
 }
 
 impl LimitMember {
     /// Makes the side of instance number `part` of `parts` in `zone`.
-    pub fn new(zone: ZonePart, part: u32, parts: u32) -> Self {
+    pub fn new(zone: ZoneShare, part: u32, parts: u32) -> Self {
         Self {
             accounts: Vec::new(),
             part,
@@ -81,7 +81,7 @@
     }
 
     /// Takes the zone's last known entry instances and the zone's share.
-    pub fn set_zone(&mut self, zone: ZonePart, own: &InstanceId, instances: &[InstanceId]) {
+    pub fn set_zone(&mut self, zone: ZoneShare, own: &InstanceId, instances: &[InstanceId]) {
         let before = instances.iter().filter(|i| *i < own).count();
         self.part = before as u32;
         self.parts = instances.len().max(1) as u32;
@@ -117,17 +117,17 @@
     ///
     /// An organisation that the table does not name has no limit here; authentication is where it
     /// is turned away.
-    pub fn take(
+    pub fn admit(
         &mut self,
         now: Instant,
         organisation: &OrganisationId,
         tokens: Tokens,
-    ) -> Result<(), Limited> {
+    ) -> Result<(), LimitReached> {
         let Ok(at) = self.search(organisation) else {
             return Ok(());
         };
         let fallback = self.fallback(at);
-        self.accounts[at].take(now, fallback, tokens)
+        self.accounts[at].admit(now, fallback, tokens)
     }
 
     /// Ends an admitted request and corrects the tokens it was charged.
@@ -184,8 +184,8 @@
 
     /// The part that is safe alone: the zone's share over its last known instances.
     fn fallback_of(&self, account: &Account) -> Quota {
-        let zone = self.zone.of(&account.organisation, &account.limit);
-        zone.part(self.part, self.parts)
+        let zone = self.zone.zone_quota(&account.organisation, &account.limit);
+        zone.share(self.part, self.parts)
     }
 }
 
@@ -248,7 +248,7 @@
         }
     }
 
-    fn take(&mut self, now: Instant, fallback: Quota, tokens: Tokens) -> Result<(), Limited> {
+    fn admit(&mut self, now: Instant, fallback: Quota, tokens: Tokens) -> Result<(), LimitReached> {
         let age = now.saturating_duration_since(self.at);
         self.at = now;
         self.active = true;
@@ -256,7 +256,7 @@
         let quota = self.quota(now, fallback);
         self.fill(&quota, age);
         if let Some(retry_after) = self.missing(&quota) {
-            return Err(Limited { retry_after });
+            return Err(LimitReached { retry_after });
         }
         self.requests.level -= 1.0;
         self.tokens.level -= tokens as f64;
@@ -273,11 +273,11 @@
 
     fn fill(&mut self, quota: &Quota, age: Duration) {
         if let Some(rate) = quota.requests_per_s {
-            let depth = (rate * BURST.as_secs_f64()).max(1.0);
+            let depth = (rate * BURST_WINDOW.as_secs_f64()).max(1.0);
             self.requests.fill(rate, age, depth);
         }
         if let Some(rate) = quota.tokens_per_s {
-            let depth = (rate * BURST.as_secs_f64()).max(1.0);
+            let depth = (rate * BURST_WINDOW.as_secs_f64()).max(1.0);
             self.tokens.fill(rate, age, depth);
         }
     }
@@ -286,7 +286,7 @@
     fn missing(&mut self, quota: &Quota) -> Option<Duration> {
         if quota.running.is_some_and(|most| self.running >= most) {
             self.turned_away += 1;
-            return Some(ASK_EVERY);
+            return Some(ASK_INTERVAL);
         }
         if let Some(rate) = quota.requests_per_s.filter(|_| self.requests.level < 1.0) {
             return Some(time_for(1.0 - self.requests.level, rate));
@@ -301,7 +301,7 @@
         let active = self.active || self.running > 0;
         let rested = self
             .asked
-            .is_none_or(|at| now.saturating_duration_since(at) >= ASK_EVERY);
+            .is_none_or(|at| now.saturating_duration_since(at) >= ASK_INTERVAL);
         !self.limit.is_unlimited() && active && rested
     }
 
@@ -331,7 +331,7 @@
         let Some(at) = self.asked.filter(|_| asked == self.number) else {
             return;
         };
-        if now.saturating_duration_since(at) > ANSWER_WITHIN || lacks(&quota, &self.limit) {
+        if now.saturating_duration_since(at) > ASK_TIMEOUT || lacks(&quota, &self.limit) {
             return;
         }
         self.leased = Some(quota);
--- a/crates/decisions/src/retries.rs
+++ b/crates/decisions/src/retries.rs
@@ -12,10 +12,10 @@
 use crate::id::OrganisationId;
 
 /// Shortest advice; below it a retry meets the same burst (bursts last about ten seconds).
-pub const SHORTEST: Duration = Duration::from_secs(1);
+pub const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Longest advice; a person who waits for a draft gives up after about a minute.
-pub const LONGEST: Duration = Duration::from_mins(1);
+pub const MAX_RETRY_AFTER: Duration = Duration::from_mins(1);
 
 /// Over this time the refused and the served requests are smoothed.
 const SMOOTHING: Duration = Duration::from_secs(5);
@@ -31,7 +31,7 @@
 pub const RETRIES_PER_S: f64 = 0.5;
 
 /// Most retries that an organisation can save up.
-pub const MOST_RETRIES: f64 = 10.0;
+pub const MAX_SAVED_RETRIES: f64 = 10.0;
 
 /// Most organisations whose budget is kept; the design aims at 7,100.
 pub const MAX_ORGANISATIONS: usize = 10_000;
@@ -86,9 +86,12 @@
     {
         self.refused.add(now, 1.0);
         let pressure = self.refused.get(now) / self.served.get(now).max(1.0);
-        let advice = wait.min(LONGEST) + SHORTEST.mul_f64(1.0 + SPREAD * pressure.min(10.0));
+        let advice =
+            wait.min(MAX_RETRY_AFTER) + MIN_RETRY_AFTER.mul_f64(1.0 + SPREAD * pressure.min(10.0));
         let jitter = rng.random_range(1.0..1.5);
-        advice.mul_f64(jitter).min(LONGEST.mul_f64(jitter / 1.5))
+        advice
+            .mul_f64(jitter)
+            .min(MAX_RETRY_AFTER.mul_f64(jitter / 1.5))
     }
 }
 
@@ -141,9 +144,9 @@
         let budget = &mut self.budgets[at];
         let age = now.saturating_duration_since(budget.at).as_secs_f64();
         budget.at = now;
-        budget.retries = (budget.retries + age * RETRIES_PER_S).min(MOST_RETRIES);
+        budget.retries = (budget.retries + age * RETRIES_PER_S).min(MAX_SAVED_RETRIES);
         if attempt <= 1 {
-            budget.retries = (budget.retries + RETRIES_PER_ATTEMPT).min(MOST_RETRIES);
+            budget.retries = (budget.retries + RETRIES_PER_ATTEMPT).min(MAX_SAVED_RETRIES);
             return Ok(());
         }
         if budget.retries >= 1.0 {
@@ -170,7 +173,7 @@
             at,
             Budget {
                 organisation,
-                retries: MOST_RETRIES,
+                retries: MAX_SAVED_RETRIES,
                 at: now,
             },
         );
--- a/crates/decisions/tests/limits.rs
+++ b/crates/decisions/tests/limits.rs
@@ -4,7 +4,7 @@
 
 use kingcupfield_decisions::id::{InstanceId, OrganisationId};
 use kingcupfield_decisions::limits::{
-    Demand, LimitMember, LimitOwner, QUOTA_LEASE, Quota, ToLimitMember, ToLimitOwner, ZonePart,
+    Demand, LimitMember, LimitOwner, QUOTA_LEASE, Quota, ToLimitMember, ToLimitOwner, ZoneShare,
 };
 use kingcupfield_decisions::values::Organisation;
 use rand::{RngExt, SeedableRng};
@@ -56,7 +56,8 @@
             .collect();
         let mut members = Vec::new();
         for part in 0..INSTANCES {
-            let mut member = LimitMember::new(ZonePart::WHOLE, part as u32, INSTANCES as u32);
+            let mut member =
+                LimitMember::new(ZoneShare::SINGLE_ZONE, part as u32, INSTANCES as u32);
             member.set_limits(now, std::slice::from_ref(published));
             members.push(member);
         }
@@ -104,7 +105,7 @@
             }
             if self.rng.random_bool((per_s * STEP.as_secs_f64()).min(1.0)) {
                 let at = only.unwrap_or_else(|| self.rng.random_range(0..INSTANCES));
-                if self.members[at].take(self.now, &organisation, 100).is_ok() {
+                if self.members[at].admit(self.now, &organisation, 100).is_ok() {
                     admitted += 1;
                     self.running[at].push(self.now + Duration::from_secs(1));
                 }
@@ -206,18 +207,18 @@
 fn running_requests_outlive_a_changed_table() {
     let now = Instant::now();
     let hot = published(None, None, Some(2));
-    let mut member = LimitMember::new(ZonePart::WHOLE, 0, 1);
+    let mut member = LimitMember::new(ZoneShare::SINGLE_ZONE, 0, 1);
     member.set_limits(now, std::slice::from_ref(&hot));
     let name = OrganisationId::from("hot");
-    assert!(member.take(now, &name, 10).is_ok() && member.take(now, &name, 10).is_ok());
+    assert!(member.admit(now, &name, 10).is_ok() && member.admit(now, &name, 10).is_ok());
     let other = Organisation {
         organisation: "other".into(),
         ..hot.clone()
     };
     member.set_limits(now, &[other, hot]);
-    assert!(member.take(now, &name, 10).is_err());
+    assert!(member.admit(now, &name, 10).is_err());
     member.finish(&name, 10, 10);
-    assert!(member.take(now, &name, 10).is_ok());
+    assert!(member.admit(now, &name, 10).is_ok());
 }
 
 /// An instance was paused and gets an answer to an ask of long ago. Its lease has ended for
@@ -226,10 +227,10 @@
 fn a_late_lease_is_dropped() {
     let now = Instant::now();
     let hot = published(Some(70.0), None, None);
-    let mut member = LimitMember::new(ZonePart::WHOLE, 0, 7);
+    let mut member = LimitMember::new(ZoneShare::SINGLE_ZONE, 0, 7);
     member.set_limits(now, std::slice::from_ref(&hot));
     member
-        .take(now, &"hot".into(), 1)
+        .admit(now, &"hot".into(), 1)
         .expect("the first request");
     let ToLimitOwner::Ask {
         organisation,
@@ -250,7 +251,7 @@
         },
     );
     let admitted = (0..100)
-        .filter(|_| member.take(later, &"hot".into(), 1).is_ok())
+        .filter(|_| member.admit(later, &"hot".into(), 1).is_ok())
         .count();
     assert_eq!(admitted, 10);
 }
@@ -274,7 +275,7 @@
                 tokens_per_s: 0.0,
                 running: 1,
             },
-            holds: share.part(number as u32, INSTANCES as u32),
+            holds: share.share(number as u32, INSTANCES as u32),
         };
         let from = format!("instance-{number}").as_str().into();
         let ToLimitMember::Lease { quota, .. } =
@@ -297,7 +298,7 @@
                 ..Quota::default()
             };
             let parts = (0..zones).map(|zone| {
-                let part = ZonePart { zone, zones }.of(&organisation, &limit);
+                let part = ZoneShare { zone, zones }.zone_quota(&organisation, &limit);
                 part.running.expect("limited")
             });
             assert_eq!(parts.sum::<u32>(), running, "{name}");
--- a/crates/decisions/tests/retries.rs
+++ b/crates/decisions/tests/retries.rs
@@ -4,7 +4,7 @@
 
 use kingcupfield_decisions::id::OrganisationId;
 use kingcupfield_decisions::retries::{
-    LONGEST, MAX_ORGANISATIONS, MOST_RETRIES, RetryAfter, RetryBudget, SHORTEST,
+    MAX_ORGANISATIONS, MAX_RETRY_AFTER, MAX_SAVED_RETRIES, MIN_RETRY_AFTER, RetryAfter, RetryBudget,
 };
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -22,7 +22,7 @@
     advice.sort();
     advice.dedup();
     assert!(advice.len() > 90);
-    assert!(advice[0] >= SHORTEST && advice[advice.len() - 1] <= LONGEST);
+    assert!(advice[0] >= MIN_RETRY_AFTER && advice[advice.len() - 1] <= MAX_RETRY_AFTER);
 }
 
 /// The overload grows. Callers that are told to come back after the same time keep it alive.
@@ -41,7 +41,7 @@
     };
     assert!(advice(300) > advice(100));
     assert!(advice(100) > advice(1));
-    assert!(advice(100_000) <= Some(LONGEST));
+    assert!(advice(100_000) <= Some(MAX_RETRY_AFTER));
 }
 
 /// Callers retry each refusal at once. Their retries would multiply the overload that refused them.
@@ -59,7 +59,7 @@
         }
     }
     assert!(
-        (100..=100 + MOST_RETRIES as u32 + 5).contains(&retries),
+        (100..=100 + MAX_SAVED_RETRIES as u32 + 5).contains(&retries),
         "{retries}"
     );
 }
--- a/src/limits.rs
+++ b/src/limits.rs
@@ -5,7 +5,7 @@
 
 use kingcupfield_decisions::id::{InstanceId, OrganisationId, Tokens, ZoneId};
 use kingcupfield_decisions::limits::{
-    LimitMember, LimitOwner, Limited, Quota, ToLimitMember, ToLimitOwner, ZonePart,
+    LimitMember, LimitOwner, LimitReached, Quota, ToLimitMember, ToLimitOwner, ZoneShare,
 };
 use kingcupfield_decisions::ownership::owner;
 use kingcupfield_decisions::retries::{RetryBudget, RetryBudgetSpent};
@@ -64,7 +64,7 @@
     member: LimitMember,
     budget: RetryBudget,
     owned: Vec<Owned>,
-    part: ZonePart,
+    part: ZoneShare,
     listed: u32,
     reachable: u32,
     snapshot: Arc<Snapshot>,
@@ -83,10 +83,10 @@
     /// Makes the service of instance `me` in `zone`.
     pub fn new(me: InstanceId, zone: ZoneId) -> Self {
         let state = State {
-            member: LimitMember::new(ZonePart::WHOLE, 0, 1),
+            member: LimitMember::new(ZoneShare::SINGLE_ZONE, 0, 1),
             budget: RetryBudget::new(),
             owned: Vec::new(),
-            part: ZonePart::WHOLE,
+            part: ZoneShare::SINGLE_ZONE,
             listed: 1,
             reachable: 1,
             snapshot: Arc::default(),
@@ -104,10 +104,10 @@
         &self,
         organisation: &OrganisationId,
         tokens: Tokens,
-    ) -> Result<Admission, Limited> {
+    ) -> Result<Admission, LimitReached> {
         self.lock()
             .member
-            .take(Instant::now(), organisation, tokens)?;
+            .admit(Instant::now(), organisation, tokens)?;
         Ok(Admission {
             limits: self.clone(),
             organisation: organisation.clone(),
@@ -213,7 +213,7 @@
             .collect();
         listed.sort();
         let zone = zones.binary_search(&&self.zone).unwrap_or(0) as u32;
-        state.part = ZonePart {
+        state.part = ZoneShare {
             zone,
             zones: zones.len().max(1) as u32,
         };
@@ -285,7 +285,7 @@
             tokens_per_s: row.tokens_per_s,
             running: row.max_running,
         };
-        Some(self.part.of(organisation, &fleet))
+        Some(self.part.zone_quota(organisation, &fleet))
     }
 }
 
