--- a/crates/decisions/src/fanout.rs
+++ b/crates/decisions/src/fanout.rs
@@ -22,7 +22,7 @@
 const SERVED: usize = 12;
 
 /// Most instances of a zone in which each tells each: messages grow with the square of their number.
-pub const SMALL: usize = 24;
+pub const MAX_FULL_MESH: usize = 24;
 
 /// A relay that was not heard for this long is passed over, and for how long: before anybody that it
 /// serves counts as silent.
@@ -42,7 +42,13 @@
     /// Looks who the relays are now; `heard` are the other members of the zone, `sent_at` tells when one
     /// sent something itself last. Returns those of
     /// them that send nothing although they are relays.
-    pub fn see<F>(&mut self, now: Instant, own: Member, heard: &[Member], sent_at: F) -> Vec<Member>
+    pub fn update<F>(
+        &mut self,
+        now: Instant,
+        own: Member,
+        heard: &[Member],
+        sent_at: F,
+    ) -> Vec<Member>
     where
         F: Fn(Member) -> Option<Instant>,
     {
@@ -63,20 +69,20 @@
         members.push(own);
         let before = std::mem::take(&mut self.chosen);
         let since = |relay| before.iter().find(|(r, _)| *r == relay).map(|(_, at)| *at);
-        let chosen = relays(&members).into_iter();
+        let chosen = choose_relays(&members).into_iter();
         self.chosen = chosen.map(|r| (r, since(r).unwrap_or(now))).collect();
         lost
     }
 
     /// Whether an instance is one of them.
-    pub fn has(&self, member: Member) -> bool {
+    pub fn contains(&self, member: Member) -> bool {
         self.chosen.iter().any(|(r, _)| *r == member)
     }
 
     /// Whom an instance tells, `others` being the rest of its zone.
     pub fn receivers(&self, own: Member, others: &[Member]) -> Receivers {
-        let relay = self.of(own).filter(|relay| *relay != own);
-        let is_small = others.len() < SMALL;
+        let relay = self.relay_for(own).filter(|relay| *relay != own);
+        let is_small = others.len() < MAX_FULL_MESH;
         let neighbours = others.iter().copied().filter(|m| Some(*m) != relay);
         Receivers {
             relay,
@@ -85,7 +91,7 @@
     }
 
     /// The one that serves a member.
-    pub fn of(&self, member: Member) -> Option<Member> {
+    pub fn relay_for(&self, member: Member) -> Option<Member> {
         let relays: Vec<Member> = self.chosen.iter().map(|(r, _)| *r).collect();
         relay_of(member, &relays)
     }
@@ -101,7 +107,7 @@
 }
 
 /// The relays of a zone with these members, the first in rank first.
-pub fn relays(members: &[Member]) -> Vec<Member> {
+pub fn choose_relays(members: &[Member]) -> Vec<Member> {
     let mut ranked = members.to_vec();
     ranked.sort_unstable_by_key(|m| Reverse((rank(*m, 0), *m)));
     ranked.dedup();
--- a/crates/decisions/src/store_view.rs
+++ b/crates/decisions/src/store_view.rs
@@ -21,19 +21,19 @@
 
 /// All entries, sorted by key, and the revision up to which they are complete.
 #[derive(Debug, Clone, Default)]
-pub struct Known {
+pub struct StoreView {
     upto: Revision,
     entries: Vec<Entry>,
 }
 
-impl Known {
+impl StoreView {
     /// Knows nothing.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Revision up to which nothing is missing; 0 before the first list.
-    pub fn upto(&self) -> Revision {
+    pub fn complete_up_to(&self) -> Revision {
         self.upto
     }
 
@@ -45,7 +45,7 @@
     /// Takes a whole list that is complete up to `upto`; returns the keys that changed.
     ///
     /// What the list lacks was removed by then, unless it is known to have changed later.
-    pub fn take_list(&mut self, upto: Revision, list: Vec<Entry>) -> Vec<String> {
+    pub fn apply_list(&mut self, upto: Revision, list: Vec<Entry>) -> Vec<String> {
         let mut changed = Vec::new();
         for entry in &mut self.entries {
             let listed = list.iter().any(|e| e.key == entry.key);
@@ -55,15 +55,15 @@
                 changed.push(entry.key.clone());
             }
         }
-        changed.extend(self.take_changes(upto, list));
+        changed.extend(self.apply_changes(upto, list));
         changed
     }
 
     /// Takes changes that follow what is known, up to `upto`; returns the keys that changed.
-    pub fn take_changes(&mut self, upto: Revision, entries: Vec<Entry>) -> Vec<String> {
+    pub fn apply_changes(&mut self, upto: Revision, entries: Vec<Entry>) -> Vec<String> {
         let mut changed = Vec::new();
         for entry in entries {
-            if self.take(entry.clone()) {
+            if self.apply(entry.clone()) {
                 changed.push(entry.key);
             }
         }
@@ -71,7 +71,7 @@
         changed
     }
 
-    fn take(&mut self, change: Entry) -> bool {
+    fn apply(&mut self, change: Entry) -> bool {
         match self.entries.binary_search_by(|e| e.key.cmp(&change.key)) {
             Ok(at) if self.entries[at].revision >= change.revision => false,
             Ok(at) => {
--- a/crates/decisions/src/upstream_retries.rs
+++ b/crates/decisions/src/upstream_retries.rs
@@ -19,7 +19,7 @@
 
 /// The operator's bounds on repeats.
 #[derive(Debug, Clone, Copy)]
-pub struct RepeatBounds {
+pub struct UpstreamRetryBounds {
     /// Repeats for each request.
     pub ratio: f64,
     /// Span over which both are counted.
@@ -36,14 +36,14 @@
 
 /// Repeats that one instance may still send, by service.
 #[derive(Debug)]
-pub struct Repeats {
-    bounds: RepeatBounds,
+pub struct UpstreamRetryBudget {
+    bounds: UpstreamRetryBounds,
     services: Vec<(ServiceId, Counts)>,
 }
 
-impl Repeats {
+impl UpstreamRetryBudget {
     /// Makes the budget of an instance that has seen nothing yet.
-    pub fn new(bounds: RepeatBounds) -> Self {
+    pub fn new(bounds: UpstreamRetryBounds) -> Self {
         Self {
             bounds,
             services: Vec::new(),
@@ -51,7 +51,7 @@
     }
 
     /// Takes other bounds from the operator; what was spent stays spent.
-    pub fn set_bounds(&mut self, bounds: RepeatBounds) {
+    pub fn set_bounds(&mut self, bounds: UpstreamRetryBounds) {
         self.bounds = bounds;
     }
 
@@ -64,7 +64,7 @@
     }
 
     /// Takes one repeat from the budget, if there is one; `instances` share the fixed part.
-    pub fn take(&mut self, now: Instant, service: &ServiceId, instances: usize) -> bool {
+    pub fn try_spend(&mut self, now: Instant, service: &ServiceId, instances: usize) -> bool {
         let bounds = self.bounds;
         let counts = self.counts(service);
         forget(&mut counts.requests, now, bounds.window);
--- a/crates/decisions/tests/fanout.rs
+++ b/crates/decisions/tests/fanout.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kingcupfield_decisions::fanout::{Relays, SMALL, relay_of, relays};
+use kingcupfield_decisions::fanout::{MAX_FULL_MESH, Relays, choose_relays, relay_of};
 use kingcupfield_decisions::id::Member;
 use tokio::time::Instant;
 use yare::parameterized;
@@ -22,7 +22,7 @@
 )]
 fn a_zone_has_few_relays(case: Zone) {
     let members: Vec<Member> = (0..case.members).collect();
-    let relays = relays(&members);
+    let relays = choose_relays(&members);
     assert_eq!(relays.len(), case.relays);
     let served = |relay: &Member| {
         let served = members
@@ -40,10 +40,10 @@
 #[test]
 fn few_change_their_relay_when_one_leaves() {
     let members: Vec<Member> = (0..50).collect();
-    let before = relays(&members);
+    let before = choose_relays(&members);
     let dead = before[0];
     let rest: Vec<Member> = members.iter().copied().filter(|m| *m != dead).collect();
-    let after = relays(&rest);
+    let after = choose_relays(&rest);
     let moved = rest.iter().filter(|m| {
         let relay = relay_of(**m, &before);
         relay != Some(dead) && relay != relay_of(**m, &after)
@@ -55,7 +55,7 @@
 /// Nobody is known: there is no relay to ask.
 #[test]
 fn nobody_has_no_relay() {
-    assert_eq!(relay_of(1, &relays(&[])), None);
+    assert_eq!(relay_of(1, &choose_relays(&[])), None);
 }
 
 /// The relay of a zone stands still. Whoever it serves tells another one before the rest of the fleet takes
@@ -64,22 +64,22 @@
 fn a_relay_that_sends_nothing_is_passed_over_for_a_while() {
     let start = Instant::now();
     let members: Vec<Member> = (0..8).collect();
-    let first = relays(&members)[0];
+    let first = choose_relays(&members)[0];
     let own = members[usize::from(first == 0)];
     let heard: Vec<Member> = members.iter().copied().filter(|m| *m != own).collect();
     let mut seen = Relays::default();
     let still = |_| Some(start);
-    assert!(seen.see(start, own, &heard, still).is_empty());
-    assert_eq!(seen.of(own), Some(first));
+    assert!(seen.update(start, own, &heard, still).is_empty());
+    assert_eq!(seen.relay_for(own), Some(first));
     let later = start + Duration::from_millis(800);
-    assert!(seen.see(later, own, &heard, still).is_empty());
+    assert!(seen.update(later, own, &heard, still).is_empty());
     let lost = start + Duration::from_secs(1);
-    assert_eq!(seen.see(lost, own, &heard, still), [first]);
-    assert!(seen.of(own).is_some_and(|relay| relay != first));
-    assert!(!seen.has(first));
+    assert_eq!(seen.update(lost, own, &heard, still), [first]);
+    assert!(seen.relay_for(own).is_some_and(|relay| relay != first));
+    assert!(!seen.contains(first));
     let back = lost + Duration::from_millis(3100);
-    seen.see(back, own, &heard, |_| Some(back));
-    assert_eq!(seen.of(own), Some(first));
+    seen.update(back, own, &heard, |_| Some(back));
+    assert_eq!(seen.relay_for(own), Some(first));
 }
 
 /// An instance that is a relay itself hears nothing of its own. It does not pass itself over.
@@ -89,8 +89,8 @@
     let mut seen = Relays::default();
     for second in 0..5 {
         let now = start + Duration::from_secs(second);
-        assert!(seen.see(now, 1, &[], |_| None).is_empty());
-        assert_eq!(seen.of(1), Some(1));
+        assert!(seen.update(now, 1, &[], |_| None).is_empty());
+        assert_eq!(seen.relay_for(1), Some(1));
     }
 }
 
@@ -100,16 +100,16 @@
 fn a_relay_that_left_is_not_lost() {
     let start = Instant::now();
     let members: Vec<Member> = (0..8).collect();
-    let first = relays(&members)[0];
+    let first = choose_relays(&members)[0];
     let own = members[usize::from(first == 0)];
     let heard: Vec<Member> = members.iter().copied().filter(|m| *m != own).collect();
     let mut seen = Relays::default();
-    seen.see(start, own, &heard, |_| Some(start));
+    seen.update(start, own, &heard, |_| Some(start));
     let rest: Vec<Member> = heard.iter().copied().filter(|m| *m != first).collect();
     let later = start + Duration::from_secs(2);
-    let lost = seen.see(later, own, &rest, |m| (m != first).then_some(later));
+    let lost = seen.update(later, own, &rest, |m| (m != first).then_some(later));
     assert!(lost.is_empty(), "{lost:?}");
-    assert!(!seen.has(first));
+    assert!(!seen.contains(first));
 }
 
 struct Told {
@@ -123,7 +123,7 @@
 #[parameterized(
     two = { Told { members: 2, directly: true } },
     fifteen = { Told { members: 15, directly: true } },
-    largest_small = { Told { members: SMALL as u32, directly: true } },
+    largest_small = { Told { members: MAX_FULL_MESH as u32, directly: true } },
     fifty = { Told { members: 50, directly: false } },
 )]
 fn a_small_zone_is_told_directly(case: Told) {
@@ -132,9 +132,9 @@
     for own in &members {
         let others: Vec<Member> = members.iter().copied().filter(|m| m != own).collect();
         let mut seen = Relays::default();
-        seen.see(now, *own, &others, |_| Some(now));
+        seen.update(now, *own, &others, |_| Some(now));
         let receivers = seen.receivers(*own, &others);
-        assert_eq!(receivers.relay.is_none(), seen.has(*own));
+        assert_eq!(receivers.relay.is_none(), seen.contains(*own));
         let neighbours = receivers.neighbours.clone().unwrap_or_default();
         assert_eq!(receivers.neighbours.is_some(), case.directly);
         let mut told: Vec<Member> = neighbours.into_iter().chain(receivers.relay).collect();
--- a/crates/decisions/tests/store_view.rs
+++ b/crates/decisions/tests/store_view.rs
@@ -1,6 +1,6 @@
 //! Published entries merged from the store and from peers.
 
-use kingcupfield_decisions::known::{Entry, Known};
+use kingcupfield_decisions::store_view::{Entry, StoreView};
 use yare::parameterized;
 
 fn entry(key: &str, revision: u64, value: Option<&str>) -> Entry {
@@ -11,7 +11,7 @@
     }
 }
 
-fn value<'a>(known: &'a Known, key: &str) -> Option<&'a str> {
+fn value<'a>(known: &'a StoreView, key: &str) -> Option<&'a str> {
     let entry = known.entries().iter().find(|e| e.key == key)?;
     entry
         .value
@@ -37,22 +37,22 @@
     the_same_again = { Case { late: entry("table", 7, Some("other")), table: Some("new"), replica: None } },
 )]
 fn a_late_change_never_wins(case: Case) {
-    let mut known = Known::new();
-    known.take_list(
+    let mut known = StoreView::new();
+    known.apply_list(
         5,
         vec![
             entry("table", 3, Some("first")),
             entry("replica", 2, Some("up")),
         ],
     );
-    known.take_changes(
+    known.apply_changes(
         8,
         vec![entry("table", 7, Some("new")), entry("replica", 8, None)],
     );
-    known.take_changes(6, vec![case.late]);
+    known.apply_changes(6, vec![case.late]);
     assert_eq!(value(&known, "table"), case.table);
     assert_eq!(value(&known, "replica"), case.replica);
-    assert!(known.upto() >= 8);
+    assert!(known.complete_up_to() >= 8);
 }
 
 /// The store drops its history and a new list is read. What the list lacks is gone, but an entry
@@ -60,16 +60,16 @@
 /// without work until its next change.
 #[test]
 fn a_list_removes_what_it_lacks_but_nothing_later() {
-    let mut known = Known::new();
-    known.take_list(
+    let mut known = StoreView::new();
+    known.apply_list(
         5,
         vec![entry("left", 2, Some("up")), entry("stays", 3, Some("up"))],
     );
-    known.take_changes(9, vec![entry("came", 9, Some("up"))]);
-    let changed = known.take_list(8, vec![entry("stays", 3, Some("up"))]);
+    known.apply_changes(9, vec![entry("came", 9, Some("up"))]);
+    let changed = known.apply_list(8, vec![entry("stays", 3, Some("up"))]);
     assert_eq!(changed, ["left"]);
     assert_eq!(value(&known, "left"), None);
     assert_eq!(value(&known, "stays"), Some("up"));
     assert_eq!(value(&known, "came"), Some("up"));
-    assert_eq!(known.upto(), 9);
+    assert_eq!(known.complete_up_to(), 9);
 }
--- a/crates/decisions/tests/upstream_retries.rs
+++ b/crates/decisions/tests/upstream_retries.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::id::ServiceId;
-use kingcupfield_decisions::repeats::{RepeatBounds, Repeats};
+use kingcupfield_decisions::upstream_retries::{UpstreamRetryBounds, UpstreamRetryBudget};
 use tokio::time::Instant;
 use yare::parameterized;
 
-const BOUNDS: RepeatBounds = RepeatBounds {
+const BOUNDS: UpstreamRetryBounds = UpstreamRetryBounds {
     ratio: 0.2,
     window: Duration::from_secs(10),
     extra: 54.0,
@@ -31,7 +31,9 @@
 fn instances_stay_within_the_bound_together(case: Case) {
     let service: ServiceId = "drafting".into();
     let start = Instant::now();
-    let mut fleet: Vec<Repeats> = (0..case.instances).map(|_| Repeats::new(BOUNDS)).collect();
+    let mut fleet: Vec<UpstreamRetryBudget> = (0..case.instances)
+        .map(|_| UpstreamRetryBudget::new(BOUNDS))
+        .collect();
     let mut requests = Vec::new();
     let mut repeats = Vec::new();
     for ms in (0..30_000).step_by(1000 / case.rate as usize) {
@@ -39,7 +41,7 @@
         for instance in &mut fleet {
             instance.on_request(now, &service);
             requests.push(now);
-            if instance.take(now, &service, case.instances) {
+            if instance.try_spend(now, &service, case.instances) {
                 repeats.push(now);
             }
         }
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -11,7 +11,7 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
-use kingcupfield_decisions::known::Revision;
+use kingcupfield_decisions::store_view::Revision;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
@@ -157,7 +157,7 @@
     let known = node.known.borrow();
     let changed = known.entries().iter().filter(|e| e.revision > after);
     let snapshot = Snapshot {
-        upto: known.upto(),
+        upto: known.complete_up_to(),
         store_trouble: node.reader.borrow().in_trouble(),
         entries: changed.cloned().collect(),
     };
--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::id::{UpstreamId, ZoneId, short_name};
-use kingcupfield_decisions::known::{Entry, Revision};
+use kingcupfield_decisions::store_view::{Entry, Revision};
 use rand::RngExt as _;
 use tokio::time::{Instant, sleep, sleep_until};
 
@@ -111,7 +111,7 @@
     let cfg = node.settings();
     let until = Instant::now() + HEARS_PEERS;
     let waits = cfg.first_start && !cfg.is_contact();
-    while waits && node.known.borrow().upto() == 0 && Instant::now() < until {
+    while waits && node.known.borrow().complete_up_to() == 0 && Instant::now() < until {
         sleep(ASK_PAUSE).await;
     }
 }
@@ -123,7 +123,7 @@
         while !node.reads() {
             sleep(READER_CHECK).await;
         }
-        let after = node.known.borrow().upto();
+        let after = node.known.borrow().complete_up_to();
         if after == 0 || node.relist.get() {
             listed = Instant::now();
             let listing = node.source.list().await?;
@@ -179,7 +179,7 @@
     let changed = node
         .known
         .borrow_mut()
-        .take_list(listing.upto, listing.entries);
+        .apply_list(listing.upto, listing.entries);
     node.log.line(
         Weight::Notable,
         format_args!(
@@ -196,7 +196,7 @@
     let changed = node
         .known
         .borrow_mut()
-        .take_changes(listing.upto, listing.entries);
+        .apply_changes(listing.upto, listing.entries);
     if !changed.is_empty() {
         apply(node);
         node.changed.notify_one();
@@ -219,7 +219,7 @@
 }
 
 async fn ask_peers(node: &Rc<Node>) {
-    let upto = node.known.borrow().upto();
+    let upto = node.known.borrow().complete_up_to();
     let cfg = node.settings();
     let place = (short_name(&cfg.availability_zone), short_name(&cfg.region));
     let salt = rand::rng().random();
@@ -257,10 +257,10 @@
 }
 
 fn take_snapshot(node: &Rc<Node>, upto: Revision, entries: Vec<Entry>) {
-    if upto <= node.known.borrow().upto() {
+    if upto <= node.known.borrow().complete_up_to() {
         return;
     }
-    node.known.borrow_mut().take_changes(upto, entries);
+    node.known.borrow_mut().apply_changes(upto, entries);
     apply(node);
     node.changed.notify_one();
 }
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -37,7 +37,7 @@
 const GATHERS: Duration = Duration::from_millis(100);
 
 /// Time between news to another zone of the region, and to one of another region; longer where a zone
-/// has more than [`fanout::SMALL`] instances, each of which has to be told.
+/// has more than [`fanout::MAX_FULL_MESH`] instances, each of which has to be told.
 const NEAR_GAP: Duration = Duration::from_millis(100);
 const FAR_GAP: Duration = Duration::from_millis(400);
 
@@ -219,7 +219,7 @@
         let heard = peers.all().iter().filter(there);
         let heard: Vec<Member> = heard.map(|p| p.address.to_bits()).collect();
         let sent_at = |m: Member| peers.sent_at(Ipv4Addr::from_bits(m));
-        let lost = self.relays.see(now, self.own.to_bits(), &heard, sent_at);
+        let lost = self.relays.update(now, self.own.to_bits(), &heard, sent_at);
         for relay in lost.into_iter().map(Ipv4Addr::from_bits) {
             node.log.line(
                 Weight::Notable,
@@ -229,7 +229,7 @@
     }
 
     fn is_relay(&self) -> bool {
-        self.relays.has(self.own.to_bits())
+        self.relays.contains(self.own.to_bits())
     }
 
     /// When news are to be sent to the zone, if there are any.
@@ -378,7 +378,7 @@
 fn relays_of(node: &Node, zone: ShortName) -> Vec<Member> {
     let there = node.peers.borrow().reachable(Instant::now(), zone);
     let there: Vec<Member> = there.iter().map(|a| a.to_bits()).collect();
-    fanout::relays(&there)
+    fanout::choose_relays(&there)
 }
 
 fn send_gathered(node: &Node, socket: &UdpSocket, gathered: Gathered, to: &[Ipv4Addr]) {
@@ -417,6 +417,6 @@
 /// Time between news to other zones, in a zone as large as this one.
 fn away_gap(node: &Node, gap: Duration) -> Duration {
     let members = node.peers.borrow().zone_size() as u32;
-    let small = fanout::SMALL as u32;
+    let small = fanout::MAX_FULL_MESH as u32;
     gap * members.max(small) / small
 }
--- a/crates/entry/src/gossip/own.rs
+++ b/crates/entry/src/gossip/own.rs
@@ -23,7 +23,7 @@
     News {
         loads: own_loads(node),
         waiting: own_waiting(node),
-        upto: node.known.borrow().upto(),
+        upto: node.known.borrow().complete_up_to(),
         zone_size: node.peers.borrow().zone_size() as u16,
         leaving: node.stage() >= Stage::Closing,
     }
--- a/crates/entry/src/hearing.rs
+++ b/crates/entry/src/hearing.rs
@@ -92,7 +92,7 @@
     }
     take_steps(node, &steps);
     take_unreachable(node, &unreachable);
-    if upto > node.known.borrow().upto() {
+    if upto > node.known.borrow().complete_up_to() {
         let pause = if node.reads() { BEHIND } else { Duration::ZERO };
         directory::ask_peers_later(node, pause);
     }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -12,8 +12,8 @@
 use kingcupfield_decisions::dispatch::{Dispatch, JobId};
 use kingcupfield_decisions::emptied::EmptiedZones;
 use kingcupfield_decisions::id::{ServiceId, ShortName, UpstreamId, short_name};
-use kingcupfield_decisions::known::Known;
-use kingcupfield_decisions::repeats::Repeats;
+use kingcupfield_decisions::store_view::StoreView;
+use kingcupfield_decisions::upstream_retries::UpstreamRetryBudget;
 use tokio::net::UdpSocket;
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
@@ -74,9 +74,9 @@
     /// Sends to the other instances.
     pub peer_socket: OnceCell<Rc<UdpSocket>>,
     /// Budget for repeats.
-    pub repeats: RefCell<Repeats>,
+    pub repeats: RefCell<UpstreamRetryBudget>,
     /// Published entries.
-    pub known: RefCell<Known>,
+    pub known: RefCell<StoreView>,
     /// The other instances.
     pub peers: RefCell<Peers>,
     /// Zones whose replicas get nothing new.
@@ -148,8 +148,8 @@
             verdicts: RefCell::new(Vec::new()),
             credit_waits: Notify::new(),
             peer_socket: OnceCell::new(),
-            repeats: RefCell::new(Repeats::new(cfg.repeat_bounds())),
-            known: RefCell::new(Known::new()),
+            repeats: RefCell::new(UpstreamRetryBudget::new(cfg.repeat_bounds())),
+            known: RefCell::new(StoreView::new()),
             peers: RefCell::new(
                 Peers::new(now, cfg.address(), cfg.has_other_contacts())
                     .with_zones(credit::zones(&cfg)),
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -15,7 +15,7 @@
 use kingcupfield_decisions::dispatch::Class;
 use kingcupfield_decisions::elsewhere::{Elsewhere, Sum};
 use kingcupfield_decisions::id::ShortName;
-use kingcupfield_decisions::known::Revision;
+use kingcupfield_decisions::store_view::Revision;
 use tokio::time::Instant;
 
 pub use digest::{Digest, PeerMessage, Reach};
--- a/crates/entry/src/peers/digest.rs
+++ b/crates/entry/src/peers/digest.rs
@@ -6,7 +6,7 @@
 use kingcupfield_decisions::dispatch::Class;
 use kingcupfield_decisions::elsewhere::Load;
 use kingcupfield_decisions::id::ShortName;
-use kingcupfield_decisions::known::Revision;
+use kingcupfield_decisions::store_view::Revision;
 use serde::{Deserialize, Serialize};
 
 /// A datagram from one instance to another.
--- a/crates/entry/src/port.rs
+++ b/crates/entry/src/port.rs
@@ -8,7 +8,7 @@
 use http::response::Parts as ResponseParts;
 use http::{HeaderMap, StatusCode};
 use kingcupfield_decisions::id::ZoneId;
-use kingcupfield_decisions::known::{Entry, Revision};
+use kingcupfield_decisions::store_view::{Entry, Revision};
 
 use crate::kind::Refusal;
 use crate::replica::Published;
--- a/crates/entry/src/request/sending.rs
+++ b/crates/entry/src/request/sending.rs
@@ -219,7 +219,7 @@
         let instances = node.peers.borrow().known();
         node.repeats
             .borrow_mut()
-            .take(Instant::now(), &self.service, instances)
+            .try_spend(Instant::now(), &self.service, instances)
     }
 
     /// Head fields for the replica.
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -8,7 +8,7 @@
 use kingcupfield_decisions::cold::Bearable;
 use kingcupfield_decisions::credit::Tolerance;
 use kingcupfield_decisions::id::{InstanceId, RegionId, ZoneId};
-use kingcupfield_decisions::repeats::RepeatBounds;
+use kingcupfield_decisions::upstream_retries::UpstreamRetryBounds;
 use serde::Deserialize;
 
 /// A settings file that can't be used.
@@ -229,8 +229,8 @@
     }
 
     /// Bounds on repeats.
-    pub fn repeat_bounds(&self) -> RepeatBounds {
-        RepeatBounds {
+    pub fn repeat_bounds(&self) -> UpstreamRetryBounds {
+        UpstreamRetryBounds {
             ratio: self.repeats.ratio,
             window: Duration::from_secs_f64(self.repeats.window_s),
             extra: self.repeats.extra,
--- a/crates/entry/src/snapshot.rs
+++ b/crates/entry/src/snapshot.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
-use kingcupfield_decisions::known::{Entry, Revision};
+use kingcupfield_decisions::store_view::{Entry, Revision};
 use serde::{Deserialize, Serialize};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
