--- a/crates/decisions/benches/scenarios/node.rs
+++ b/crates/decisions/benches/scenarios/node.rs
@@ -12,8 +12,8 @@
     CACHED_AT_HOME, Candidate, LinkBudget, RouteRequest, WIDEN_AFTER, choose, home,
 };
 use kingcupfield_decisions::shedding::{
-    Estimate, Level, LevelMember, LevelSend, Refusal, ToLevelMember, ToLevelOwner, can_meet,
-    is_hopeless,
+    Estimate, LevelMember, LevelMessage, LevelOwner, RefusalStep, ToLevelMember, ToLevelOwner,
+    can_meet, is_unmeetable,
 };
 use kingcupfield_decisions::slots::{
     Digest, LoadReport, Outcome, Rejection, Reservation, Send, SlotQueue, ToHolder, ToOwner,
@@ -82,7 +82,7 @@
     queues: Vec<Option<SlotQueue>>,
     owners: Vec<usize>,
     member: LevelMember,
-    level: Option<Level>,
+    level: Option<LevelOwner>,
     level_owner: usize,
     digests: Vec<Option<(Digest, Instant)>>,
     caches: Vec<PrefixCache>,
@@ -197,7 +197,7 @@
         let new = owner("pool", zone).map_or(usize::MAX, |name| number(name));
         if self.nodes[node].level_owner != new {
             self.nodes[node].level_owner = new;
-            self.nodes[node].level = (new == node).then(|| Level::new(BOTTOM));
+            self.nodes[node].level = (new == node).then(|| LevelOwner::new(BOTTOM));
         }
         if let Some(level) = &mut self.nodes[node].level {
             level.set_members(net.now, zone.clone());
@@ -350,7 +350,9 @@
         match self.nodes[node].holder.dispatch(net.now, request) {
             Ok(dispatch) => {
                 let engine = number(&dispatch.upstream);
-                self.nodes[node].member.leave(request, net.jobs[n].rank);
+                self.nodes[node]
+                    .member
+                    .remove_waiting(request, net.jobs[n].rank);
                 self.nodes[node].caches[engine].on_grant(&net.jobs[n].prefixes);
                 net.dispatch(n, engine);
                 self.ask(net, node, dispatch.sends);
@@ -365,7 +367,7 @@
         let (request, rank) = (RequestId::clone(&net.jobs[n].request), net.jobs[n].rank);
         let asks = self.nodes[node].holder.withdraw(&request);
         self.ask(net, node, asks);
-        self.nodes[node].member.leave(&request, rank);
+        self.nodes[node].member.remove_waiting(&request, rank);
         if why == Rejection::Shed || !self.mechanisms.level {
             net.refuse(n);
             return;
@@ -379,10 +381,13 @@
         doomed.sort_by_key(|n| std::cmp::Reverse(net.jobs[*n].rank));
         doomed.retain(|n| {
             loop {
-                match self.nodes[node].member.refuse(net.now, net.jobs[*n].rank) {
-                    Refusal::Evict(request) => self.evict(net, node, &request),
-                    Refusal::RaiseFirst => return true,
-                    Refusal::Now => {
+                match self.nodes[node]
+                    .member
+                    .request_refusal(net.now, net.jobs[*n].rank)
+                {
+                    RefusalStep::EvictFirst(request) => self.evict(net, node, &request),
+                    RefusalStep::RaiseFirst => return true,
+                    RefusalStep::Allowed => {
                         net.refuse(*n);
                         return false;
                     }
@@ -395,7 +400,9 @@
 
     fn evict(&mut self, net: &mut Net, node: usize, request: &RequestId) {
         let n = number(request);
-        self.nodes[node].member.leave(request, net.jobs[n].rank);
+        self.nodes[node]
+            .member
+            .remove_waiting(request, net.jobs[n].rank);
         let asks = self.nodes[node].holder.withdraw(request);
         self.ask(net, node, asks);
         net.refuse(n);
@@ -403,15 +410,15 @@
 
     fn tell_level(&mut self, net: &mut Net, node: usize) {
         let to = self.nodes[node].level_owner;
-        for message in self.nodes[node].member.outgoing() {
+        for message in self.nodes[node].member.take_outgoing() {
             if to != usize::MAX {
                 net.send(node, to, Packet::ToLevelOwner(message));
             }
         }
     }
 
-    fn tell_members(net: &mut Net, node: usize, sends: Vec<LevelSend>) {
-        for LevelSend { to, message } in sends {
+    fn tell_members(net: &mut Net, node: usize, sends: Vec<LevelMessage>) {
+        for LevelMessage { to, message } in sends {
             net.send(node, number(&to), Packet::ToLevelMember(message));
         }
     }
@@ -521,13 +528,13 @@
     fn on_arrive(&mut self, net: &mut Net, job: usize) {
         let n = job;
         let (node, rank) = (net.jobs[n].node, net.jobs[n].rank);
-        if !self.nodes[node].member.allowed(net.now, rank) {
+        if !self.nodes[node].member.admits(net.now, rank) {
             net.refuse(n);
             return;
         }
         let service = self.service_time(node, &net.jobs[n]);
         let left = net.jobs[n].deadline.saturating_duration_since(net.now);
-        if is_hopeless(
+        if is_unmeetable(
             left,
             Estimate {
                 wait: Duration::ZERO,
@@ -539,7 +546,7 @@
             return;
         }
         let request = RequestId::clone(&net.jobs[n].request);
-        self.nodes[node].member.wait(&request, rank);
+        self.nodes[node].member.add_waiting(&request, rank);
         self.place(net, node, n);
     }
 
@@ -615,7 +622,7 @@
                 Self::tell_members(net, node, sends.unwrap_or_default());
             }
             Packet::ToLevelMember(message) => {
-                for request in self.nodes[node].member.on_set(net.now, &message) {
+                for request in self.nodes[node].member.on_message(net.now, &message) {
                     self.evict(net, node, &request);
                 }
                 self.obey_level(net, node);
--- a/crates/decisions/src/shedding.rs
+++ b/crates/decisions/src/shedding.rs
@@ -1,11 +1,11 @@
-//! Refusal for want of capacity, lowest tier first.
+//! RefusalStep for want of capacity, lowest tier first.
 //!
 //! Load pattern: overload for longer than any queue can absorb, on several instances at once.
 //! Without this, the instance that happens to hold a request of a high tier refuses it while
 //! another instance still queues and serves a lower tier of the same pool.
 //!
 //! A pool (the replicas of one service in one availability zone) has a *level*: the lowest tier
-//! that is still admitted. [`Level`] is kept by the pool's owner, [`LevelMember`] by every
+//! that is still admitted. [`LevelOwner`] is kept by the pool's owner, [`LevelMember`] by every
 //! instance of the zone. A tier may be refused only after every reachable instance said that it
 //! admits nothing lower; the level falls the same way, so that at no moment one instance admits
 //! what stands below a tier that another still refuses.
@@ -23,11 +23,11 @@
 /// hands, and must find it lapsed once a higher tier was refused without its acknowledgement. The
 /// specification shows the inversion with a quarter of a second. Zones are a millisecond or two
 /// wide, so only a pause or a cut ever takes this long.
-pub const ACKNOWLEDGE_WITHIN: Duration = crate::slots::GRANT_LEASE;
+pub const ACKNOWLEDGE_TIMEOUT: Duration = crate::slots::GRANT_LEASE;
 
 /// A change is told again after this long; twice before an instance counts as unreachable, so
 /// that one lost message does not make it so.
-pub const REMIND_AFTER: Duration = Duration::from_millis(100);
+pub const RESEND_AFTER: Duration = Duration::from_millis(100);
 
 /// The level falls one step after this long without a refusal at the level.
 ///
@@ -36,17 +36,17 @@
 pub const FALL_AFTER: Duration = Duration::from_millis(500);
 
 /// A raised level is confirmed this often.
-pub const REFRESH_EVERY: Duration = Duration::from_secs(1);
+pub const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The right to refuse lapses this long after it was confirmed.
-pub const RIGHT_LEASE: Duration = Duration::from_secs(2);
+pub const REFUSAL_RIGHT_LEASE: Duration = Duration::from_secs(2);
 
 /// A raised level lapses this long after its last message; later than every right that rests on
 /// it, so that a lost message or a dead owner never leaves a right without its level.
 pub const LEVEL_LEASE: Duration = Duration::from_secs(3);
 
 /// How often an instance reports that it refuses at the level.
-pub const PRESSURE_EVERY: Duration = Duration::from_millis(200);
+pub const PRESSURE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Most requests that may wait at one instance for one pool.
 pub const MAX_WAITING: usize = 10_000;
@@ -94,7 +94,7 @@
 
 /// A message for one instance of the zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct LevelSend {
+pub struct LevelMessage {
     /// Whom it goes to.
     pub to: InstanceId,
     /// The message.
@@ -109,8 +109,8 @@
 }
 
 impl Member {
-    fn send(&self, message: &ToLevelMember) -> LevelSend {
-        LevelSend {
+    fn send(&self, message: &ToLevelMember) -> LevelMessage {
+        LevelMessage {
             to: InstanceId::clone(&self.instance),
             message: message.clone(),
         }
@@ -128,7 +128,7 @@
 
 /// The owner's side of a pool's level.
 #[derive(Debug, Clone)]
-pub struct Level {
+pub struct LevelOwner {
     bottom: Rank,
     lowest_rank: Rank,
     /// What was in force when the last change settled.
@@ -140,7 +140,7 @@
     pressed_at: Option<Instant>,
 }
 
-impl Level {
+impl LevelOwner {
     /// Makes a level that admits everything down to `bottom`, the lowest tier of the table.
     pub fn new(bottom: Rank) -> Self {
         Self {
@@ -164,7 +164,7 @@
     }
 
     /// Takes the reachable entry instances of the zone; a newcomer is told a raised level.
-    pub fn set_members<I>(&mut self, now: Instant, instances: I) -> Vec<LevelSend>
+    pub fn set_members<I>(&mut self, now: Instant, instances: I) -> Vec<LevelMessage>
     where
         I: IntoIterator<Item = InstanceId>,
     {
@@ -182,7 +182,7 @@
             .any(|m| self.confirmed(&m.instance).is_none());
         self.members = members;
         if joined && self.lowest_rank < self.bottom {
-            return self.start(now, ACKNOWLEDGE_WITHIN);
+            return self.start(now, ACKNOWLEDGE_TIMEOUT);
         }
         self.settle(now)
     }
@@ -193,7 +193,7 @@
         now: Instant,
         from: &InstanceId,
         message: &ToLevelOwner,
-    ) -> Vec<LevelSend> {
+    ) -> Vec<LevelMessage> {
         match *message {
             ToLevelOwner::Raise { rank } => self.raise(now, from, rank),
             ToLevelOwner::Acknowledge { epoch } => self.acknowledge(now, from, epoch),
@@ -207,7 +207,7 @@
     }
 
     /// Ends an overdue round, confirms a raised level, or lets it fall by one step.
-    pub fn on_tick(&mut self, now: Instant) -> Vec<LevelSend> {
+    pub fn on_tick(&mut self, now: Instant) -> Vec<LevelMessage> {
         if self.round.is_some() {
             return self.remind(now);
         }
@@ -219,35 +219,40 @@
             self.pressed_at = Some(now);
             // Whoever has not heard of the fall may still refuse at the old level. Lower tiers come
             // back when all have answered, or when no such right can be left.
-            return self.start(now, RIGHT_LEASE);
+            return self.start(now, REFUSAL_RIGHT_LEASE);
         }
-        if elapsed(self.set_at, now) >= REFRESH_EVERY {
-            return self.start(now, ACKNOWLEDGE_WITHIN);
+        if elapsed(self.set_at, now) >= REFRESH_INTERVAL {
+            return self.start(now, ACKNOWLEDGE_TIMEOUT);
         }
         Vec::new()
     }
 
-    fn raise(&mut self, now: Instant, from: &InstanceId, rank: Rank) -> Vec<LevelSend> {
+    fn raise(&mut self, now: Instant, from: &InstanceId, rank: Rank) -> Vec<LevelMessage> {
         self.pressed_at = Some(now);
         if rank < self.lowest_rank {
             self.lowest_rank = rank;
-            return self.start(now, ACKNOWLEDGE_WITHIN);
+            return self.start(now, ACKNOWLEDGE_TIMEOUT);
         }
         if self.round.is_some() {
             return Vec::new();
         }
-        vec![LevelSend {
+        vec![LevelMessage {
             to: InstanceId::clone(from),
             message: self.settled(),
         }]
     }
 
-    fn acknowledge(&mut self, now: Instant, from: &InstanceId, epoch: Sequence) -> Vec<LevelSend> {
+    fn acknowledge(
+        &mut self,
+        now: Instant,
+        from: &InstanceId,
+        epoch: Sequence,
+    ) -> Vec<LevelMessage> {
         // A new owner starts at epoch 0 while members remember the dead owner's epochs. They
         // would ignore it for ever; their answer carries what they remember, and it goes beyond.
         if epoch > self.epoch {
             self.epoch = epoch;
-            return self.start(now, ACKNOWLEDGE_WITHIN);
+            return self.start(now, ACKNOWLEDGE_TIMEOUT);
         }
         if let Ok(at) = self.members.binary_search_by(|m| m.instance.cmp(from)) {
             self.members[at].epoch = self.members[at].epoch.max(epoch);
@@ -255,7 +260,7 @@
         self.settle(now)
     }
 
-    fn start(&mut self, now: Instant, patience: Duration) -> Vec<LevelSend> {
+    fn start(&mut self, now: Instant, patience: Duration) -> Vec<LevelMessage> {
         self.epoch += 1;
         self.round = Some(Round {
             since: now,
@@ -267,12 +272,12 @@
     }
 
     /// Ends a complete or overdue round, or tells those again that have not answered.
-    fn remind(&mut self, now: Instant) -> Vec<LevelSend> {
+    fn remind(&mut self, now: Instant) -> Vec<LevelMessage> {
         let settled = self.settle(now);
         let Some(round) = &mut self.round else {
             return settled;
         };
-        if now < round.told + REMIND_AFTER {
+        if now < round.told + RESEND_AFTER {
             return settled;
         }
         round.told = now;
@@ -282,7 +287,7 @@
         silent.map(|m| m.send(&set)).collect()
     }
 
-    fn settle(&mut self, now: Instant) -> Vec<LevelSend> {
+    fn settle(&mut self, now: Instant) -> Vec<LevelMessage> {
         let Some(round) = &self.round else {
             return Vec::new();
         };
@@ -309,7 +314,7 @@
         }
     }
 
-    fn to_all(&self, message: &ToLevelMember) -> Vec<LevelSend> {
+    fn to_all(&self, message: &ToLevelMember) -> Vec<LevelMessage> {
         self.members.iter().map(|m| m.send(message)).collect()
     }
 
@@ -324,13 +329,13 @@
 
 /// What has to happen before a request may be refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Refusal {
+pub enum RefusalStep {
     /// Refuse this waiting request of a lower tier first, then ask again.
-    Evict(RequestId),
+    EvictFirst(RequestId),
     /// Lower tiers are being refused everywhere; ask again on the next message or tick.
     RaiseFirst,
     /// The request may be refused.
-    Now,
+    Allowed,
 }
 
 /// A request that waits at this instance.
@@ -380,7 +385,7 @@
     }
 
     /// Whether a request of `rank` may be queued or dispatched.
-    pub fn allowed(&self, now: Instant, rank: Rank) -> bool {
+    pub fn admits(&self, now: Instant, rank: Rank) -> bool {
         rank <= self.lowest_rank(now)
     }
 
@@ -394,7 +399,7 @@
     }
 
     /// Notes a waiting request; false when [`MAX_WAITING`] requests wait already.
-    pub fn wait(&mut self, request: &RequestId, rank: Rank) -> bool {
+    pub fn add_waiting(&mut self, request: &RequestId, rank: Rank) -> bool {
         if self.waiting.len() >= MAX_WAITING {
             return false;
         }
@@ -409,7 +414,7 @@
     }
 
     /// Forgets a request that was granted, refused or given up.
-    pub fn leave(&mut self, request: &RequestId, rank: Rank) {
+    pub fn remove_waiting(&mut self, request: &RequestId, rank: Rank) {
         let waiting = Waiting {
             rank,
             request: RequestId::clone(request),
@@ -422,8 +427,8 @@
     /// Handles a message of the level's owner.
     ///
     /// Returns and forgets the waiting requests that stand below the level; the caller refuses
-    /// them before it sends what [`LevelMember::outgoing`] holds.
-    pub fn on_set(&mut self, now: Instant, message: &ToLevelMember) -> Vec<RequestId> {
+    /// them before it sends what [`LevelMember::take_outgoing`] holds.
+    pub fn on_message(&mut self, now: Instant, message: &ToLevelMember) -> Vec<RequestId> {
         match *message {
             ToLevelMember::Set { epoch, lowest_rank } => {
                 if epoch >= self.epoch {
@@ -437,7 +442,7 @@
             ToLevelMember::Settled { epoch, lowest_rank } if epoch == self.epoch => {
                 self.admit(now, lowest_rank);
                 self.refusable = lowest_rank;
-                self.refusable_until = Some(now + RIGHT_LEASE);
+                self.refusable_until = Some(now + REFUSAL_RIGHT_LEASE);
                 // Answered, be it by a level that has fallen again since. Kept, an old raise would
                 // look like one that the owner never answered, and end in a refusal without it.
                 self.raise = None;
@@ -448,44 +453,44 @@
     }
 
     /// Says what has to happen before a request of `rank` may be refused for want of capacity.
-    pub fn refuse(&mut self, now: Instant, rank: Rank) -> Refusal {
+    pub fn request_refusal(&mut self, now: Instant, rank: Rank) -> RefusalStep {
         if let Some(lowest) = self.waiting.last().filter(|w| w.rank > rank) {
-            return Refusal::Evict(RequestId::clone(&lowest.request));
+            return RefusalStep::EvictFirst(RequestId::clone(&lowest.request));
         }
         if rank >= self.bottom || rank > self.lowest_rank(now) {
-            return Refusal::Now;
+            return RefusalStep::Allowed;
         }
         if self.may_refuse(now, rank) {
             self.press(now, rank);
-            return Refusal::Now;
+            return RefusalStep::Allowed;
         }
         match &self.raise {
             Some(raise) if raise.rank <= rank => self.overdue(now, rank),
             _ => {
                 self.raise = Some(Raise { rank, since: now });
                 self.outgoing.push(ToLevelOwner::Raise { rank });
-                Refusal::RaiseFirst
+                RefusalStep::RaiseFirst
             }
         }
     }
 
     /// Messages for the level's owner, in order; empties the list.
-    pub fn outgoing(&mut self) -> Vec<ToLevelOwner> {
+    pub fn take_outgoing(&mut self) -> Vec<ToLevelOwner> {
         std::mem::take(&mut self.outgoing)
     }
 
     /// The owner is cut off, dead or paused when neither a level nor its completion came in time.
     /// The caller would then wait for an answer until its deadline, so the instance goes on alone.
-    fn overdue(&mut self, now: Instant, rank: Rank) -> Refusal {
+    fn overdue(&mut self, now: Instant, rank: Rank) -> RefusalStep {
         let since = self.raise.as_ref().map(|raise| raise.since);
-        if elapsed(since, now) < ACKNOWLEDGE_WITHIN * 2 {
-            return Refusal::RaiseFirst;
+        if elapsed(since, now) < ACKNOWLEDGE_TIMEOUT * 2 {
+            return RefusalStep::RaiseFirst;
         }
         self.raise = None;
         self.lower(now, rank);
         self.refusable = rank;
-        self.refusable_until = Some(now + RIGHT_LEASE);
-        Refusal::Now
+        self.refusable_until = Some(now + REFUSAL_RIGHT_LEASE);
+        RefusalStep::Allowed
     }
 
     /// The owner lives, so a raise that waits is not overdue yet; one that a fall has undone must
@@ -514,7 +519,7 @@
     }
 
     fn press(&mut self, now: Instant, rank: Rank) {
-        if elapsed(self.pressed_at, now) >= PRESSURE_EVERY {
+        if elapsed(self.pressed_at, now) >= PRESSURE_INTERVAL {
             self.pressed_at = Some(now);
             self.outgoing.push(ToLevelOwner::Pressure { rank });
         }
@@ -547,7 +552,7 @@
 ///
 /// Such a refusal is the deadline's fault and no shed; it must not raise the level, or a caller
 /// with absurd deadlines could have every lower tier refused.
-pub fn is_hopeless(time_left: Duration, estimate: Estimate) -> bool {
+pub fn is_unmeetable(time_left: Duration, estimate: Estimate) -> bool {
     estimate.service > time_left
 }
 
--- a/crates/decisions/tests/shedding.rs
+++ b/crates/decisions/tests/shedding.rs
@@ -4,8 +4,8 @@
 
 use kingcupfield_decisions::id::{InstanceId, Rank, RequestId};
 use kingcupfield_decisions::shedding::{
-    ACKNOWLEDGE_WITHIN, Estimate, FALL_AFTER, Level, LevelMember, LevelSend, RIGHT_LEASE, Refusal,
-    ToLevelMember, ToLevelOwner, can_meet, is_hopeless,
+    ACKNOWLEDGE_TIMEOUT, Estimate, FALL_AFTER, LevelMember, LevelMessage, LevelOwner,
+    REFUSAL_RIGHT_LEASE, RefusalStep, ToLevelMember, ToLevelOwner, can_meet, is_unmeetable,
 };
 use tokio::time::Instant;
 use yare::parameterized;
@@ -15,7 +15,7 @@
 /// A level with members; messages arrive at once, except to and from those that are cut off.
 struct Pool {
     now: Instant,
-    level: Level,
+    level: LevelOwner,
     names: Vec<InstanceId>,
     members: Vec<LevelMember>,
     cut: Vec<usize>,
@@ -25,7 +25,7 @@
     fn new(members: usize) -> Self {
         let now = Instant::now();
         let names: Vec<InstanceId> = (0..members).map(|n| format!("entry-{n}").into()).collect();
-        let mut level = Level::new(BOTTOM);
+        let mut level = LevelOwner::new(BOTTOM);
         level.set_members(now, names.clone());
         let members = names.iter().map(|_| LevelMember::new(BOTTOM)).collect();
         Self {
@@ -38,17 +38,17 @@
     }
 
     /// Delivers until nothing is under way; returns what the members refused.
-    fn deliver(&mut self, mut sends: Vec<LevelSend>) -> Vec<RequestId> {
+    fn deliver(&mut self, mut sends: Vec<LevelMessage>) -> Vec<RequestId> {
         let mut refused = Vec::new();
         loop {
             for send in std::mem::take(&mut sends) {
                 let at = self.names.binary_search(&send.to).expect("a member");
                 if !self.cut.contains(&at) {
-                    refused.extend(self.members[at].on_set(self.now, &send.message));
+                    refused.extend(self.members[at].on_message(self.now, &send.message));
                 }
             }
             for at in 0..self.members.len() {
-                for message in self.members[at].outgoing() {
+                for message in self.members[at].take_outgoing() {
                     if !self.cut.contains(&at) {
                         sends.extend(self.level.on_message(self.now, &self.names[at], &message));
                     }
@@ -78,17 +78,23 @@
 #[test]
 fn lower_tiers_of_all_instances_go_first() {
     let mut pool = Pool::new(3);
-    pool.members[1].wait(&"low".into(), 3);
-    pool.members[1].wait(&"urgent".into(), 0);
+    pool.members[1].add_waiting(&"low".into(), 3);
+    pool.members[1].add_waiting(&"urgent".into(), 0);
 
-    assert_eq!(pool.members[0].refuse(pool.now, 1), Refusal::RaiseFirst);
+    assert_eq!(
+        pool.members[0].request_refusal(pool.now, 1),
+        RefusalStep::RaiseFirst
+    );
     assert_eq!(pool.deliver(Vec::new()), vec![RequestId::from("low")]);
 
-    assert_eq!(pool.members[0].refuse(pool.now, 1), Refusal::Now);
+    assert_eq!(
+        pool.members[0].request_refusal(pool.now, 1),
+        RefusalStep::Allowed
+    );
     let allowed = |rank| {
         pool.members
             .iter()
-            .filter(|m| m.allowed(pool.now, rank))
+            .filter(|m| m.admits(pool.now, rank))
             .count()
     };
     assert_eq!([0, 1, 2, 3].map(allowed), [3, 3, 0, 0]);
@@ -101,16 +107,19 @@
 fn own_lower_tiers_are_evicted_from_the_lowest_up() {
     let mut pool = Pool::new(1);
     for (request, rank) in [("a", 2), ("b", 3), ("c", 1)] {
-        pool.members[0].wait(&request.into(), rank);
+        pool.members[0].add_waiting(&request.into(), rank);
     }
     let mut evicted = Vec::new();
-    while let Refusal::Evict(request) = pool.members[0].refuse(pool.now, 1) {
+    while let RefusalStep::EvictFirst(request) = pool.members[0].request_refusal(pool.now, 1) {
         let rank = if &*request == "b" { 3 } else { 2 };
-        pool.members[0].leave(&request, rank);
+        pool.members[0].remove_waiting(&request, rank);
         evicted.push(request);
     }
     assert_eq!(evicted, vec![RequestId::from("b"), RequestId::from("a")]);
-    assert_eq!(pool.members[0].refuse(pool.now, 1), Refusal::RaiseFirst);
+    assert_eq!(
+        pool.members[0].request_refusal(pool.now, 1),
+        RefusalStep::RaiseFirst
+    );
 }
 
 /// One instance is paused and cannot acknowledge. Callers of the others must not wait for it until
@@ -119,11 +128,20 @@
 fn a_paused_instance_delays_a_refusal_by_a_bounded_time() {
     let mut pool = Pool::new(3);
     pool.cut.push(2);
-    assert_eq!(pool.members[0].refuse(pool.now, 0), Refusal::RaiseFirst);
+    assert_eq!(
+        pool.members[0].request_refusal(pool.now, 0),
+        RefusalStep::RaiseFirst
+    );
     pool.deliver(Vec::new());
-    assert_eq!(pool.members[0].refuse(pool.now, 0), Refusal::RaiseFirst);
-    pool.pass(ACKNOWLEDGE_WITHIN);
-    assert_eq!(pool.members[0].refuse(pool.now, 0), Refusal::Now);
+    assert_eq!(
+        pool.members[0].request_refusal(pool.now, 0),
+        RefusalStep::RaiseFirst
+    );
+    pool.pass(ACKNOWLEDGE_TIMEOUT);
+    assert_eq!(
+        pool.members[0].request_refusal(pool.now, 0),
+        RefusalStep::Allowed
+    );
 }
 
 /// The instance that owns the level is cut off from one that is overloaded. Its callers would get
@@ -132,11 +150,17 @@
 fn an_instance_without_an_owner_goes_on_alone() {
     let mut pool = Pool::new(2);
     pool.cut.push(0);
-    assert_eq!(pool.members[0].refuse(pool.now, 1), Refusal::RaiseFirst);
-    pool.pass(ACKNOWLEDGE_WITHIN * 2);
-    assert_eq!(pool.members[0].refuse(pool.now, 1), Refusal::Now);
-    assert!(!pool.members[0].allowed(pool.now, 2));
-    assert!(pool.members[1].allowed(pool.now, 2));
+    assert_eq!(
+        pool.members[0].request_refusal(pool.now, 1),
+        RefusalStep::RaiseFirst
+    );
+    pool.pass(ACKNOWLEDGE_TIMEOUT * 2);
+    assert_eq!(
+        pool.members[0].request_refusal(pool.now, 1),
+        RefusalStep::Allowed
+    );
+    assert!(!pool.members[0].admits(pool.now, 2));
+    assert!(pool.members[1].admits(pool.now, 2));
 }
 
 /// The overload ends. Low tiers would stay refused for ever, or all come back in one moment and
@@ -144,7 +168,7 @@
 #[test]
 fn the_level_falls_one_step_at_a_time() {
     let mut pool = Pool::new(2);
-    pool.members[0].refuse(pool.now, 0);
+    pool.members[0].request_refusal(pool.now, 0);
     pool.deliver(Vec::new());
     let mut levels = Vec::new();
     for _ in 0..4 {
@@ -152,7 +176,7 @@
         pool.pass(FALL_AFTER);
     }
     assert_eq!(levels, vec![0, 1, 2, 3]);
-    assert!(pool.members.iter().all(|m| m.allowed(pool.now, BOTTOM)));
+    assert!(pool.members.iter().all(|m| m.admits(pool.now, BOTTOM)));
 }
 
 /// Refusals go on. A level that fell between two of them would let in requests of a tier that is
@@ -160,11 +184,14 @@
 #[test]
 fn the_level_stays_while_refusals_go_on() {
     let mut pool = Pool::new(2);
-    pool.members[0].refuse(pool.now, 1);
+    pool.members[0].request_refusal(pool.now, 1);
     pool.deliver(Vec::new());
     for _ in 0..20 {
         pool.pass(Duration::from_millis(250));
-        assert_eq!(pool.members[0].refuse(pool.now, 1), Refusal::Now);
+        assert_eq!(
+            pool.members[0].request_refusal(pool.now, 1),
+            RefusalStep::Allowed
+        );
         pool.deliver(Vec::new());
     }
     assert_eq!(pool.level.lowest_rank(), 1);
@@ -175,7 +202,7 @@
 #[test]
 fn a_right_to_refuse_ends_before_lower_tiers_come_back() {
     let mut pool = Pool::new(2);
-    pool.members[0].refuse(pool.now, 1);
+    pool.members[0].request_refusal(pool.now, 1);
     pool.deliver(Vec::new());
     pool.now += FALL_AFTER;
     let set = pool.level.on_tick(pool.now);
@@ -183,16 +210,19 @@
         set[0].message,
         ToLevelMember::Set { lowest_rank: 2, .. }
     ));
-    pool.members[1].on_set(pool.now, &set[1].message);
-    let acknowledge = pool.members[1].outgoing();
+    pool.members[1].on_message(pool.now, &set[1].message);
+    let acknowledge = pool.members[1].take_outgoing();
     let early = pool
         .level
         .on_message(pool.now, &pool.names[1], &acknowledge[0]);
     assert!(early.is_empty());
-    assert!(!pool.members[1].allowed(pool.now, 2));
+    assert!(!pool.members[1].admits(pool.now, 2));
 
-    pool.members[0].on_set(pool.now, &set[0].message);
-    assert_eq!(pool.members[0].refuse(pool.now, 1), Refusal::RaiseFirst);
+    pool.members[0].on_message(pool.now, &set[0].message);
+    assert_eq!(
+        pool.members[0].request_refusal(pool.now, 1),
+        RefusalStep::RaiseFirst
+    );
 }
 
 /// The word of a fall is lost on the way to one instance, again and again. Until its right has
@@ -200,15 +230,21 @@
 #[test]
 fn a_lost_fall_waits_for_the_right_to_lapse() {
     let mut pool = Pool::new(2);
-    pool.members[0].refuse(pool.now, 1);
+    pool.members[0].request_refusal(pool.now, 1);
     pool.deliver(Vec::new());
     pool.cut.push(0);
-    pool.pass(FALL_AFTER + ACKNOWLEDGE_WITHIN * 2);
-    assert_eq!(pool.members[0].refuse(pool.now, 1), Refusal::Now);
-    assert!(!pool.members[1].allowed(pool.now, 2));
-    pool.pass(RIGHT_LEASE);
-    assert_eq!(pool.members[0].refuse(pool.now, 1), Refusal::RaiseFirst);
-    assert!(pool.members[1].allowed(pool.now, 2));
+    pool.pass(FALL_AFTER + ACKNOWLEDGE_TIMEOUT * 2);
+    assert_eq!(
+        pool.members[0].request_refusal(pool.now, 1),
+        RefusalStep::Allowed
+    );
+    assert!(!pool.members[1].admits(pool.now, 2));
+    pool.pass(REFUSAL_RIGHT_LEASE);
+    assert_eq!(
+        pool.members[0].request_refusal(pool.now, 1),
+        RefusalStep::RaiseFirst
+    );
+    assert!(pool.members[1].admits(pool.now, 2));
 }
 
 /// The level's owner dies. Rights and levels that rest on its word must end by themselves, the
@@ -216,11 +252,14 @@
 #[test]
 fn a_right_lapses_before_the_level() {
     let mut pool = Pool::new(2);
-    pool.members[0].refuse(pool.now, 1);
+    pool.members[0].request_refusal(pool.now, 1);
     pool.deliver(Vec::new());
-    pool.now += RIGHT_LEASE;
-    assert_eq!(pool.members[0].refuse(pool.now, 1), Refusal::RaiseFirst);
-    assert!(!pool.members[1].allowed(pool.now, 2));
+    pool.now += REFUSAL_RIGHT_LEASE;
+    assert_eq!(
+        pool.members[0].request_refusal(pool.now, 1),
+        RefusalStep::RaiseFirst
+    );
+    assert!(!pool.members[1].admits(pool.now, 2));
 }
 
 /// A new owner starts counting anew. The members remember the dead owner's higher numbers and
@@ -229,18 +268,21 @@
 fn a_new_owner_overtakes_the_dead_one() {
     let mut pool = Pool::new(2);
     for _ in 0..3 {
-        pool.members[0].refuse(pool.now, 1);
+        pool.members[0].request_refusal(pool.now, 1);
         pool.deliver(Vec::new());
         pool.pass(FALL_AFTER * 4);
     }
-    pool.level = Level::new(BOTTOM);
+    pool.level = LevelOwner::new(BOTTOM);
     let sends = pool.level.set_members(pool.now, pool.names.clone());
     pool.deliver(sends);
     let sends = pool
         .level
         .on_message(pool.now, &pool.names[0], &ToLevelOwner::Raise { rank: 0 });
     pool.deliver(sends);
-    assert_eq!(pool.members[1].refuse(pool.now, 0), Refusal::Now);
+    assert_eq!(
+        pool.members[1].request_refusal(pool.now, 0),
+        RefusalStep::Allowed
+    );
 }
 
 #[parameterized(
@@ -255,5 +297,5 @@
         service: ms(service),
     };
     assert_eq!(can_meet(ms(left), estimate), meets);
-    assert_eq!(is_hopeless(ms(left), estimate), hopeless);
+    assert_eq!(is_unmeetable(ms(left), estimate), hopeless);
 }
--- a/crates/spec/src/shedding.rs
+++ b/crates/spec/src/shedding.rs
@@ -11,7 +11,8 @@
 
 use kingcupfield_decisions::id::{InstanceId, Rank, RequestId};
 use kingcupfield_decisions::shedding::{
-    ACKNOWLEDGE_WITHIN, Level, LevelMember, LevelSend, Refusal, ToLevelMember, ToLevelOwner,
+    ACKNOWLEDGE_TIMEOUT, LevelMember, LevelMessage, LevelOwner, RefusalStep, ToLevelMember,
+    ToLevelOwner,
 };
 use kingcupfield_decisions::slots::GRANT_LEASE;
 use tokio::time::Instant;
@@ -86,7 +87,7 @@
     pauses: usize,
     cut: bool,
     paused: bool,
-    owner: Level,
+    owner: LevelOwner,
     members: [LevelMember; 2],
     names: [InstanceId; 2],
     packets: Vec<Packet>,
@@ -102,10 +103,10 @@
     pub fn new(variant: Variant, steps: usize, pauses: usize) -> Self {
         let now = Instant::now();
         let names: [InstanceId; 2] = ["first".into(), "second".into()];
-        let mut owner = Level::new(LOW);
+        let mut owner = LevelOwner::new(LOW);
         owner.set_members(now, names.clone());
         let mut members = [LevelMember::new(LOW), LevelMember::new(LOW)];
-        members[1].wait(&request(), LOW);
+        members[1].add_waiting(&request(), LOW);
         Self {
             variant,
             now,
@@ -137,7 +138,7 @@
         }
     }
 
-    fn post_all(&mut self, sends: Vec<LevelSend>) {
+    fn post_all(&mut self, sends: Vec<LevelMessage>) {
         for send in sends {
             let to = usize::from(send.to != self.names[0]);
             let message = send.message;
@@ -146,14 +147,14 @@
     }
 
     fn post_outgoing(&mut self, from: usize) {
-        for message in self.members[from].outgoing() {
+        for message in self.members[from].take_outgoing() {
             self.post(Packet::ToOwner { from, message });
         }
     }
 
     fn refuse(&mut self) {
-        let refusal = self.members[0].refuse(self.now, HIGH);
-        self.refused |= refusal == Refusal::Now || self.variant == Variant::NoLevel;
+        let refusal = self.members[0].request_refusal(self.now, HIGH);
+        self.refused |= refusal == RefusalStep::Allowed || self.variant == Variant::NoLevel;
         self.post_outgoing(0);
     }
 
@@ -164,12 +165,12 @@
                 let from = Arc::clone(&self.names[*from]);
                 let mut sends = self.owner.on_message(self.now, &from, message);
                 if self.variant == Variant::NoAcknowledgement {
-                    sends.extend(self.owner.on_tick(self.now + ACKNOWLEDGE_WITHIN));
+                    sends.extend(self.owner.on_tick(self.now + ACKNOWLEDGE_TIMEOUT));
                 }
                 self.post_all(sends);
             }
             Packet::ToMember { to, message } => {
-                let evicted = self.members[*to].on_set(self.now, message);
+                let evicted = self.members[*to].on_message(self.now, message);
                 if evicted.contains(&request()) {
                     self.granted = None;
                 }
@@ -182,13 +183,14 @@
     /// request that is served is no wrong to the high one that was refused before.
     fn still_refuses(&self) -> bool {
         let mut first = self.members[0].clone();
-        self.variant == Variant::NoLevel || first.refuse(self.now, HIGH) == Refusal::Now
+        self.variant == Variant::NoLevel
+            || first.request_refusal(self.now, HIGH) == RefusalStep::Allowed
     }
 
     /// Whether the low request may go out now, checked right before the first byte.
     fn may_dispatch(&self) -> bool {
         let granted = self.granted.is_some_and(|at| self.now < at + GRANT_LEASE);
-        !self.paused && !self.dispatched && granted && self.members[1].allowed(self.now, LOW)
+        !self.paused && !self.dispatched && granted && self.members[1].admits(self.now, LOW)
     }
 }
 
--- a/src/scheduler/placing.rs
+++ b/src/scheduler/placing.rs
@@ -7,7 +7,7 @@
 use kingcupfield_decisions::pace::Pace;
 use kingcupfield_decisions::regions::Regions;
 use kingcupfield_decisions::routing::{Candidate, RouteRequest, choose};
-use kingcupfield_decisions::shedding::{Estimate, is_hopeless};
+use kingcupfield_decisions::shedding::{Estimate, is_unmeetable};
 use kingcupfield_decisions::slots::{Rejection, Reservation};
 use kingcupfield_decisions::values::ServiceKind;
 use kingcupfield_decisions::work::Work;
@@ -25,7 +25,7 @@
     /// Lets a request wait for a grant; the decision comes through `decision`.
     pub fn acquire(&mut self, now: Instant, meta: Arc<Meta>, need: Need, decision: Decision) {
         let rank = meta.rank;
-        if !self.pool_mut(&meta.service).member.allowed(now, rank) {
+        if !self.pool_mut(&meta.service).member.admits(now, rank) {
             let after = self.retry_after(now, &meta.service, Duration::ZERO);
             decision
                 .send(Err(Refusal::new(Kind::Shed).with_retry_after(after)))
@@ -37,7 +37,11 @@
             decision.send(Err(Refusal::new(Kind::Unknown))).ok();
             return;
         };
-        if !self.pool_mut(&meta.service).member.wait(&request, rank) {
+        if !self
+            .pool_mut(&meta.service)
+            .member
+            .add_waiting(&request, rank)
+        {
             let after = self.retry_after(now, &meta.service, Duration::ZERO);
             decision
                 .send(Err(Refusal::new(Kind::Shed).with_retry_after(after)))
@@ -210,7 +214,7 @@
         wait: Duration::ZERO,
         service: best_service(candidates, work).unwrap_or_default(),
     };
-    is_hopeless(time_left, estimate).then_some(Rejection::Late)
+    is_unmeetable(time_left, estimate).then_some(Rejection::Late)
 }
 
 /// Time from dispatch to the end of the answer on the fastest candidate whose pace is known.
--- a/src/scheduler/pools.rs
+++ b/src/scheduler/pools.rs
@@ -4,7 +4,7 @@
 use kingcupfield_decisions::ownership::owner;
 use kingcupfield_decisions::retries::RetryAfter;
 use kingcupfield_decisions::shedding::{
-    Level, LevelMember, LevelSend, ToLevelMember, ToLevelOwner,
+    LevelMember, LevelMessage, LevelOwner, ToLevelMember, ToLevelOwner,
 };
 use serde_json::{Value, json};
 use tokio::time::Instant;
@@ -20,7 +20,7 @@
     pub(super) service: ServiceId,
     pub(super) member: LevelMember,
     pub(super) retry: RetryAfter,
-    level: Option<Level>,
+    level: Option<LevelOwner>,
     bottom: Rank,
 }
 
@@ -75,7 +75,7 @@
         let request = waiter.request.clone();
         self.pool_mut(&waiter.meta.service)
             .member
-            .leave(&request, rank);
+            .remove_waiting(&request, rank);
     }
 
     pub(super) fn on_to_level_owner(
@@ -90,7 +90,7 @@
         let pool = self.pool_mut(service);
         let mut sends = Vec::new();
         if pool.level.is_none() {
-            let mut level = Level::new(bottom);
+            let mut level = LevelOwner::new(bottom);
             sends.extend(level.set_members(now, members));
             pool.level = Some(level);
         }
@@ -106,7 +106,7 @@
         service: &ServiceId,
         message: &ToLevelMember,
     ) {
-        let below = self.pool_mut(service).member.on_set(now, message);
+        let below = self.pool_mut(service).member.on_message(now, message);
         for request in below {
             self.refuse_now(
                 now,
@@ -155,7 +155,7 @@
 
     /// Sends what the member has for its level's owner.
     pub(super) fn flush_level(&mut self, service: &ServiceId) {
-        let outgoing = self.pool_mut(service).member.outgoing();
+        let outgoing = self.pool_mut(service).member.take_outgoing();
         if outgoing.is_empty() {
             return;
         }
@@ -184,13 +184,13 @@
         let service = self.pools[at].service.clone();
         let mut pool = Pool::new(service.clone(), bottom);
         for waiter in self.waiters.iter().filter(|w| w.meta.service == service) {
-            pool.member.wait(&waiter.request, waiter.meta.rank);
+            pool.member.add_waiting(&waiter.request, waiter.meta.rank);
         }
         self.pools[at] = pool;
     }
 
-    fn send_levels(&mut self, service: &ServiceId, sends: Vec<LevelSend>) {
-        for LevelSend { to, message } in sends {
+    fn send_levels(&mut self, service: &ServiceId, sends: Vec<LevelMessage>) {
+        for LevelMessage { to, message } in sends {
             let service = service.clone();
             if to == self.me.instance {
                 self.local
--- a/src/scheduler/refusing.rs
+++ b/src/scheduler/refusing.rs
@@ -65,12 +65,15 @@
                 return;
             };
             let meta = self.waiters[at].meta.clone();
-            let step = self.pool_mut(&meta.service).member.refuse(now, meta.rank);
+            let step = self
+                .pool_mut(&meta.service)
+                .member
+                .request_refusal(now, meta.rank);
             self.flush_level(&meta.service);
             match step {
-                shedding::Refusal::Now => return self.refuse_now(now, request, given_up),
-                shedding::Refusal::RaiseFirst => return,
-                shedding::Refusal::Evict(lower) => {
+                shedding::RefusalStep::Allowed => return self.refuse_now(now, request, given_up),
+                shedding::RefusalStep::RaiseFirst => return,
+                shedding::RefusalStep::EvictFirst(lower) => {
                     let why = Rejection::Shed;
                     self.refuse_now(
                         now,
