--- a/crates/decisions/src/fairness.rs
+++ b/crates/decisions/src/fairness.rs
@@ -7,7 +7,7 @@
 //!
 //! A request is long if it costs at least eight times what a twentieth or more of the recent
 //! arrivals of its tier and above cost. The queue tells which are long; how many slots they may
-//! hold is [`long_slots`].
+//! hold is [`max_long_slots`].
 
 mod mix;
 mod tier;
@@ -17,7 +17,7 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-pub use self::tier::Size;
+pub use self::tier::SizeClass;
 use self::tier::{Arrival, TierQueue, cost};
 use crate::id::{OrganisationId, Rank, RequestId, Tokens};
 use crate::slots::Reservation;
@@ -31,7 +31,7 @@
 pub const SHORT_SLOTS_ONE_IN: u32 = 4;
 
 /// Of `limit` slots, how many long requests may hold.
-pub fn long_slots(limit: u32) -> u32 {
+pub fn max_long_slots(limit: u32) -> u32 {
     if limit < 2 {
         return limit;
     }
@@ -48,7 +48,7 @@
     /// When its caller no longer wants the answer, by the owner's clock.
     pub deadline: Instant,
     /// Whether it counts as long.
-    pub size: Size,
+    pub size: SizeClass,
 }
 
 /// Entry with its place in the order of arrival.
@@ -109,7 +109,7 @@
     }
 
     /// Work that waits in `rank` and above.
-    pub fn work_above(&self, rank: Rank) -> Work {
+    pub fn work_at_or_above(&self, rank: Rank) -> Work {
         let mut sum = Work::default();
         for tier in self.tiers.iter().take_while(|tier| tier.rank <= rank) {
             sum.prefill += tier.work.prefill;
@@ -149,7 +149,7 @@
     /// Takes out the next reservation and charges its organisation; a long one only if `long`.
     ///
     /// A long one that may not run yet holds back the tiers below: its slot is about to be free.
-    pub fn grant_next(&mut self, long: bool) -> Option<Box<Entry>> {
+    pub fn pop_next(&mut self, long: bool) -> Option<Box<Entry>> {
         let tier = self.tiers.iter().find(|tier| tier.len > 0)?;
         let arrival = tier.next(long)?;
         self.take(arrival, true)
@@ -164,7 +164,7 @@
     /// Takes out the latest reservation of the most greedy organisation in the lowest tier.
     ///
     /// By arrival alone, a flood of one organisation would push the others' requests out.
-    pub fn remove_last(&mut self) -> Option<Box<Entry>> {
+    pub fn evict(&mut self) -> Option<Box<Entry>> {
         let tier = self.tiers.iter().rev().find(|tier| tier.len > 0)?;
         let arrival = tier.last()?;
         self.take(arrival, false)
@@ -203,14 +203,14 @@
         }
     }
 
-    fn size(&mut self, reservation: &Reservation) -> Size {
+    fn size(&mut self, reservation: &Reservation) -> SizeClass {
         let (rank, cost) = (reservation.rank, cost(reservation.work));
         self.tier_mut(rank).mix.add(cost);
         let mut above = self.tiers.iter().take_while(|tier| tier.rank <= rank);
         if above.any(|tier| tier.mix.is_long(cost)) {
-            Size::Long
+            SizeClass::Long
         } else {
-            Size::Short
+            SizeClass::Short
         }
     }
 
--- a/crates/decisions/src/fairness/tier.rs
+++ b/crates/decisions/src/fairness/tier.rs
@@ -20,7 +20,7 @@
 
 /// Whether a reservation is long among those that arrive lately.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Size {
+pub enum SizeClass {
     /// Common or cheaper.
     Short,
     /// At least eight times as costly as a common short one.
@@ -39,17 +39,17 @@
 }
 
 impl Share {
-    fn queue(&self, size: Size) -> &VecDeque<Arrival> {
+    fn queue(&self, size: SizeClass) -> &VecDeque<Arrival> {
         match size {
-            Size::Short => &self.short,
-            Size::Long => &self.long,
+            SizeClass::Short => &self.short,
+            SizeClass::Long => &self.long,
         }
     }
 
-    fn queue_mut(&mut self, size: Size) -> &mut VecDeque<Arrival> {
+    fn queue_mut(&mut self, size: SizeClass) -> &mut VecDeque<Arrival> {
         match size {
-            Size::Short => &mut self.short,
-            Size::Long => &mut self.long,
+            SizeClass::Short => &mut self.short,
+            SizeClass::Long => &mut self.long,
         }
     }
 
@@ -102,10 +102,10 @@
             .binary_search_by(|share| share.organisation.cmp(organisation))
     }
 
-    fn turns_mut(&mut self, size: Size) -> &mut Vec<Turn> {
+    fn turns_mut(&mut self, size: SizeClass) -> &mut Vec<Turn> {
         match size {
-            Size::Short => &mut self.short_turns,
-            Size::Long => &mut self.long_turns,
+            SizeClass::Short => &mut self.short_turns,
+            SizeClass::Long => &mut self.long_turns,
         }
     }
 
@@ -118,7 +118,7 @@
 
     fn take_turns(&mut self, i: usize) {
         let turn = self.turn(i);
-        for size in [Size::Short, Size::Long] {
+        for size in [SizeClass::Short, SizeClass::Long] {
             let turns = self.turns_mut(size);
             if let Ok(at) = turns.binary_search(&turn) {
                 turns.remove(at);
@@ -127,7 +127,7 @@
     }
 
     fn put_turns(&mut self, i: usize) {
-        for size in [Size::Short, Size::Long] {
+        for size in [SizeClass::Short, SizeClass::Long] {
             if self.shares[i].queue(size).is_empty() {
                 continue;
             }
@@ -177,7 +177,7 @@
         &mut self,
         organisation: &OrganisationId,
         weight: u32,
-        size: Size,
+        size: SizeClass,
         work: Work,
         arrival: Arrival,
     ) {
@@ -200,9 +200,9 @@
         let short = self.short_turns.first();
         let other = self.long_turns.first().filter(|_| long);
         let (turn, size) = match (short, other) {
-            (Some(short), Some(other)) if other < short => (other, Size::Long),
-            (Some(short), _) => (short, Size::Short),
-            (None, Some(other)) => (other, Size::Long),
+            (Some(short), Some(other)) if other < short => (other, SizeClass::Long),
+            (Some(short), _) => (short, SizeClass::Short),
+            (None, Some(other)) => (other, SizeClass::Long),
             (None, None) => return None,
         };
         let i = self.position(&turn.organisation).ok()?;
@@ -221,7 +221,7 @@
     pub(super) fn remove(
         &mut self,
         organisation: &OrganisationId,
-        size: Size,
+        size: SizeClass,
         work: Work,
         arrival: Arrival,
         granted: bool,
@@ -283,10 +283,10 @@
 }
 
 /// Size of a share's entry that came first.
-fn older(share: &Share) -> Size {
+fn older(share: &Share) -> SizeClass {
     match (share.short.front(), share.long.front()) {
-        (Some(short), Some(long)) if long < short => Size::Long,
-        (None, Some(_)) => Size::Long,
-        _ => Size::Short,
+        (Some(short), Some(long)) if long < short => SizeClass::Long,
+        (None, Some(_)) => SizeClass::Long,
+        _ => SizeClass::Short,
     }
 }
--- a/crates/decisions/src/slots/events.rs
+++ b/crates/decisions/src/slots/events.rs
@@ -7,7 +7,7 @@
 use super::feedback::FirstToken;
 use super::taken::{Stage, Taken};
 use super::{GRANT_LEASE, Outcome, Rejection, Reservation, Send, SlotQueue};
-use crate::fairness::{Entry, Size};
+use crate::fairness::{Entry, SizeClass};
 use crate::id::{InstanceId, RequestId, Sequence};
 use crate::work::Work;
 
@@ -37,7 +37,7 @@
         let deadline = now + reservation.time_left;
         self.waiting.push(reservation, prompt, deadline);
         if self.waiting.len() > self.max_waiting
-            && let Some(last) = self.waiting.remove_last()
+            && let Some(last) = self.waiting.evict()
         {
             sends.push(self.reject(now, &last.reservation, Rejection::Full));
         }
@@ -109,7 +109,7 @@
             holder: InstanceId::clone(holder),
             asked: 0,
             charge: None,
-            size: Size::Short,
+            size: SizeClass::Short,
             work: Work::default(),
             prompt: 0,
             ahead: 0,
--- a/crates/decisions/src/slots/queue.rs
+++ b/crates/decisions/src/slots/queue.rs
@@ -10,7 +10,7 @@
 use super::wait;
 use super::{Digest, GRANT_LEASE, LoadReport, Rejection, Reservation, Send, ToHolder, ToOwner};
 use crate::concurrency::Limit;
-use crate::fairness::{Entry, FairQueue, long_slots};
+use crate::fairness::{Entry, FairQueue, max_long_slots};
 use crate::health::Stage as HealthStage;
 use crate::id::{InstanceId, PrefixHash, Rank, RequestId, UpstreamId};
 use crate::pace::Pace;
@@ -227,7 +227,7 @@
         });
         let waiting = match ahead {
             0 => Duration::ZERO,
-            _ => self.feedback.service(self.waiting.work_above(rank)),
+            _ => self.feedback.service(self.waiting.work_at_or_above(rank)),
         };
         wait::expected(ends_in.collect(), slots as usize, waiting).max(prefill)
     }
@@ -264,8 +264,8 @@
     fn grant(&mut self, now: Instant, sends: &mut Vec<Send>) {
         while !self.leaving && !self.waiting.is_empty() && self.has_room(now) {
             let slots = self.feedback.allowed(now, &self.taken);
-            let long = self.taken.long() < long_slots(slots);
-            let Some(entry) = self.waiting.grant_next(long) else {
+            let long = self.taken.long() < max_long_slots(slots);
+            let Some(entry) = self.waiting.pop_next(long) else {
                 return;
             };
             self.grant_entry(now, &entry, sends);
--- a/crates/decisions/src/slots/taken.rs
+++ b/crates/decisions/src/slots/taken.rs
@@ -2,7 +2,7 @@
 
 use tokio::time::Instant;
 
-use crate::fairness::{Charge, Size};
+use crate::fairness::{Charge, SizeClass};
 use crate::id::{InstanceId, RequestId, Sequence, Tokens};
 use crate::work::Work;
 
@@ -42,7 +42,7 @@
     pub(super) holder: InstanceId,
     pub(super) asked: Sequence,
     pub(super) charge: Option<Charge>,
-    pub(super) size: Size,
+    pub(super) size: SizeClass,
     pub(super) work: Work,
     /// Tokens of the whole prompt, cached or not.
     pub(super) prompt: Tokens,
@@ -67,7 +67,10 @@
     }
 
     pub(super) fn long(&self) -> u32 {
-        let long = self.slots.iter().filter(|taken| taken.size == Size::Long);
+        let long = self
+            .slots
+            .iter()
+            .filter(|taken| taken.size == SizeClass::Long);
         long.count() as u32
     }
 
--- a/crates/decisions/tests/fairness.rs
+++ b/crates/decisions/tests/fairness.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use kingcupfield_decisions::fairness::{FairQueue, Size, long_slots};
+use kingcupfield_decisions::fairness::{FairQueue, SizeClass, max_long_slots};
 use kingcupfield_decisions::id::Rank;
 use kingcupfield_decisions::slots::Reservation;
 use kingcupfield_decisions::work::Work;
@@ -50,7 +50,7 @@
 fn served(queue: &mut FairQueue, organisations: &[&str], served: u64) -> Vec<u64> {
     let mut sums = vec![0; organisations.len()];
     while sums.iter().sum::<u64>() < served {
-        let Some(entry) = queue.grant_next(true) else {
+        let Some(entry) = queue.pop_next(true) else {
             break;
         };
         let name = &*entry.reservation.organisation;
@@ -113,7 +113,7 @@
     }
     let mut grants = [0_u64; 2];
     for _ in 0..100 {
-        let entry = queue.grant_next(true).expect("requests wait");
+        let entry = queue.pop_next(true).expect("requests wait");
         let charge = FairQueue::charge(&entry.reservation);
         let modest = &*entry.reservation.organisation == "modest";
         grants[usize::from(modest)] += 1;
@@ -131,17 +131,17 @@
     let mut queue = FairQueue::new();
     for number in 0..30 {
         push(&mut queue, number, &Job::new("foremen", 10));
-        queue.grant_next(true);
+        queue.pop_next(true);
     }
     let mut low = Job::new("foremen", 10);
     low.rank = 1;
     push(&mut queue, 30, &low);
     push(&mut queue, 31, &Job::new("planners", 1_000));
-    assert!(queue.grant_next(false).is_none());
-    let next = queue.grant_next(true).expect("the long one waits");
-    assert_eq!((next.reservation.rank, next.size), (0, Size::Long));
-    let next = queue.grant_next(false).expect("the short one waits");
-    assert_eq!((next.reservation.rank, next.size), (1, Size::Short));
+    assert!(queue.pop_next(false).is_none());
+    let next = queue.pop_next(true).expect("the long one waits");
+    assert_eq!((next.reservation.rank, next.size), (0, SizeClass::Long));
+    let next = queue.pop_next(false).expect("the short one waits");
+    assert_eq!((next.reservation.rank, next.size), (1, SizeClass::Short));
 }
 
 #[test]
@@ -152,7 +152,7 @@
         job.rank = [2, 0, 1][number % 3];
         push(&mut queue, number, &job);
     }
-    let ranks: Vec<_> = std::iter::from_fn(|| queue.grant_next(true))
+    let ranks: Vec<_> = std::iter::from_fn(|| queue.pop_next(true))
         .map(|entry| entry.reservation.rank)
         .collect();
     assert_eq!(ranks.len(), 90);
@@ -167,18 +167,18 @@
         push(&mut queue, number, &Job::new("hot", 100));
     }
     push(&mut queue, 50, &Job::new("quiet", 100));
-    let last = queue.remove_last().expect("requests wait");
+    let last = queue.evict().expect("requests wait");
     assert_eq!(&*last.reservation.request, "r49");
     let mut low = Job::new("quiet", 100);
     low.rank = 1;
     push(&mut queue, 51, &low);
-    let last = queue.remove_last().expect("requests wait");
+    let last = queue.evict().expect("requests wait");
     assert_eq!(&*last.reservation.request, "r51");
 }
 
 /// Slots of a replica, each busy for as long as its job's cost.
 struct Slots {
-    until: Vec<(u64, Size)>,
+    until: Vec<(u64, SizeClass)>,
     slots: u32,
 }
 
@@ -211,9 +211,12 @@
         }
         busy.until.retain(|(until, _)| *until > now);
         while busy.until.len() < busy.slots as usize {
-            let long = busy.until.iter().filter(|(_, size)| *size == Size::Long);
-            let room = !capped || (long.count() as u32) < long_slots(busy.slots);
-            let Some(entry) = queue.grant_next(room) else {
+            let long = busy
+                .until
+                .iter()
+                .filter(|(_, size)| *size == SizeClass::Long);
+            let room = !capped || (long.count() as u32) < max_long_slots(busy.slots);
+            let Some(entry) = queue.pop_next(room) else {
                 break;
             };
             let cost = entry.reservation.work.cost();
@@ -254,7 +257,7 @@
         "the cap changes nothing: {uncapped}, {short}"
     );
     // The long ones get all slots that are theirs, a thousand units each.
-    let (long, most) = (with_flood.long.len(), long_slots(8) as usize * 100);
+    let (long, most) = (with_flood.long.len(), max_long_slots(8) as usize * 100);
     assert!(long * 12 >= most * 11, "{long} long served of {most}");
     println!(
         "short p99 wait: {alone} alone, {short} capped, {uncapped} uncapped; long served: {} capped, {} uncapped",
