--- a/crates/decisions/src/configuration.rs
+++ b/crates/decisions/src/configuration.rs
@@ -7,7 +7,7 @@
 //!
 //! A value is held with its text as published, so that fields which this build does not know
 //! still reach a newer peer. Peers announce versions with a hash of the text; whoever is behind
-//! asks, whoever is ahead gives (see [`ToPeer`]).
+//! asks, whoever is ahead gives (see [`ConfigurationMessage`]).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,8 +22,8 @@
 use crate::id::Version;
 use crate::values::{Instances, Role, Services, Table};
 
-pub use faults::{Check, Fault, Row, faults, unknown_places};
-pub use spread::{Reply, ToPeer, Versions};
+pub use faults::{Check, Fault, Row, faults, unknown_locations};
+pub use spread::{ConfigurationMessage, Reply, ValueVersion};
 
 mod faults;
 mod lookup;
@@ -38,7 +38,7 @@
 /// Name of a published value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Name {
+pub enum ValueName {
     /// Tiers, organisations, weights and limits.
     Table,
     /// Services and their non-idempotent calls.
@@ -47,7 +47,7 @@
     Instances,
 }
 
-impl Name {
+impl ValueName {
     /// Every name, in the order in which a start needs them.
     pub const ALL: [Self; 3] = [Self::Table, Self::Services, Self::Instances];
 
@@ -65,9 +65,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Accepted {
     /// The version is in force from now on.
-    InForce(Version),
+    Applied(Version),
     /// The version was in force already.
-    Known(Version),
+    Unchanged(Version),
 }
 
 /// Why an offered value was refused; what was in force stays in force.
@@ -83,7 +83,7 @@
     },
     /// Two different values carry one version: an alarm, since instances would differ for ever.
     #[error("version {version} was offered with another content than the one in force")]
-    Differs {
+    Conflict {
         /// The version of both.
         version: Version,
     },
@@ -102,7 +102,7 @@
     /// The list names no entry instance, or no upstream although there were some. Somebody runs,
     /// else nobody could read it, so the list is wrong and the last one stays.
     #[error("the list has lost every {}", if matches!(.role, Role::Entry) { "entry instance" } else { "upstream" })]
-    AllGone {
+    RoleMissing {
         /// What is missing.
         role: Role,
     },
@@ -128,7 +128,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
     /// The platform answered for this name, be it with a value or with "nothing newer".
-    Platform(Name),
+    Platform(ValueName),
     /// A peer answered with its versions.
     Peer,
 }
@@ -137,7 +137,7 @@
 #[derive(Debug, Clone)]
 pub struct Configuration {
     started: Instant,
-    platform: [bool; Name::ALL.len()],
+    platform: [bool; ValueName::ALL.len()],
     peer: bool,
     ready: bool,
     table: Option<Held<Table>>,
@@ -150,7 +150,7 @@
     pub fn new(now: Instant) -> Self {
         Self {
             started: now,
-            platform: [false; Name::ALL.len()],
+            platform: [false; ValueName::ALL.len()],
             peer: false,
             ready: false,
             table: None,
@@ -165,7 +165,7 @@
     /// The reason of the refusal; what was in force stays.
     pub fn offer(
         &mut self,
-        name: Name,
+        name: ValueName,
         version: Version,
         value: &Value,
     ) -> Result<Accepted, Rejected> {
@@ -179,26 +179,26 @@
             }
             if version == held.version {
                 return if hash == held.hash {
-                    Ok(Accepted::Known(version))
+                    Ok(Accepted::Unchanged(version))
                 } else {
-                    Err(Rejected::Differs { version })
+                    Err(Rejected::Conflict { version })
                 };
             }
         }
         match name {
-            Name::Table => self.table = Some(decode(version, hash, value)?),
-            Name::Services => self.services = Some(decode(version, hash, value)?),
-            Name::Instances => {
+            ValueName::Table => self.table = Some(decode(version, hash, value)?),
+            ValueName::Services => self.services = Some(decode(version, hash, value)?),
+            ValueName::Instances => {
                 let held = decode(version, hash, value)?;
                 not_all_gone(self.instances.as_ref().map(|h| &*h.value), &held.value)?;
                 self.instances = Some(held);
             }
         }
-        Ok(Accepted::InForce(version))
+        Ok(Accepted::Applied(version))
     }
 
     /// Notes that the platform or a peer answered, for the start.
-    pub fn heard(&mut self, source: Source) {
+    pub fn record_answer(&mut self, source: Source) {
         match source {
             Source::Platform(name) => self.platform[name as usize] = true,
             Source::Peer => self.peer = true,
@@ -206,7 +206,7 @@
     }
 
     /// Whether the platform or a peer has answered, for the dump.
-    pub fn has_heard(&self, source: Source) -> bool {
+    pub fn has_answered(&self, source: Source) -> bool {
         match source {
             Source::Platform(name) => self.platform[name as usize],
             Source::Peer => self.peer,
@@ -227,27 +227,27 @@
     }
 
     /// The version of a name that is in force.
-    pub fn version(&self, name: Name) -> Option<Versions> {
-        fn versions<T>(name: Name, held: Option<&Held<T>>) -> Option<Versions> {
-            held.map(|h| Versions {
+    pub fn version(&self, name: ValueName) -> Option<ValueVersion> {
+        fn versions<T>(name: ValueName, held: Option<&Held<T>>) -> Option<ValueVersion> {
+            held.map(|h| ValueVersion {
                 name,
                 version: h.version,
                 hash: h.hash,
             })
         }
         match name {
-            Name::Table => versions(name, self.table.as_ref()),
-            Name::Services => versions(name, self.services.as_ref()),
-            Name::Instances => versions(name, self.instances.as_ref()),
+            ValueName::Table => versions(name, self.table.as_ref()),
+            ValueName::Services => versions(name, self.services.as_ref()),
+            ValueName::Instances => versions(name, self.instances.as_ref()),
         }
     }
 
     /// The text of a name that is in force, as published.
-    pub fn raw(&self, name: Name) -> Option<Arc<Value>> {
+    pub fn raw_value(&self, name: ValueName) -> Option<Arc<Value>> {
         match name {
-            Name::Table => self.table.as_ref().map(|h| Arc::clone(&h.raw)),
-            Name::Services => self.services.as_ref().map(|h| Arc::clone(&h.raw)),
-            Name::Instances => self.instances.as_ref().map(|h| Arc::clone(&h.raw)),
+            ValueName::Table => self.table.as_ref().map(|h| Arc::clone(&h.raw)),
+            ValueName::Services => self.services.as_ref().map(|h| Arc::clone(&h.raw)),
+            ValueName::Instances => self.instances.as_ref().map(|h| Arc::clone(&h.raw)),
         }
     }
 }
@@ -283,5 +283,5 @@
     [Role::Entry, Role::Upstream]
         .into_iter()
         .find(|role| lost(*role))
-        .map_or(Ok(()), |role| Err(Rejected::AllGone { role }))
+        .map_or(Ok(()), |role| Err(Rejected::RoleMissing { role }))
 }
--- a/crates/decisions/src/configuration/faults.rs
+++ b/crates/decisions/src/configuration/faults.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Row {
     /// The value as a whole.
-    Whole,
+    EntireValue,
     /// A row of the tiers.
     Tier(usize),
     /// A row of the organisations.
@@ -26,7 +26,7 @@
 impl fmt::Display for Row {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Whole => write!(f, "the whole value"),
+            Self::EntireValue => write!(f, "the whole value"),
             Self::Tier(n) => write!(f, "tier row {n}"),
             Self::Organisation(n) => write!(f, "organisation row {n}"),
             Self::EmptiedZone(n) => write!(f, "emptied zone row {n}"),
@@ -76,7 +76,7 @@
 
 /// Regions and zones that a table names and no published instance stands in: nothing could be served there,
 /// and nothing is emptied.
-pub fn unknown_places(table: &Table, instances: &Instances) -> Vec<Fault> {
+pub fn unknown_locations(table: &Table, instances: &Instances) -> Vec<Fault> {
     let mut f = Faults::default();
     let all = || instances.instances.iter();
     let regions = names(all().map(|i| &*i.region));
@@ -190,7 +190,12 @@
     fn faults(&self) -> Vec<Fault> {
         let mut f = Faults::default();
         if self.tiers.is_empty() {
-            f.push(Row::Whole, "tiers", "there is no tier", "one row or more");
+            f.push(
+                Row::EntireValue,
+                "tiers",
+                "there is no tier",
+                "one row or more",
+            );
         }
         for (row, tier) in rows(&self.tiers, Row::Tier) {
             f.name(row, "tier", &tier.tier);
@@ -206,7 +211,7 @@
         );
         if !self.tiers.is_empty() && !self.tiers.iter().any(|t| t.rank == Rank::MIN) {
             f.push(
-                Row::Whole,
+                Row::EntireValue,
                 "rank",
                 "no tier has rank 0",
                 "0 for the highest tier",
--- a/crates/decisions/src/configuration/spread.rs
+++ b/crates/decisions/src/configuration/spread.rs
@@ -11,14 +11,14 @@
 
 use crate::id::Version;
 
-use super::{Accepted, Configuration, Name, Rejected, Source};
+use super::{Accepted, Configuration, Rejected, Source, ValueName};
 
 /// A version in force, with a hash by which two contents under one version are noticed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Versions {
+pub struct ValueVersion {
     /// Name of the value.
-    pub name: Name,
+    pub name: ValueName,
     /// Its version.
     pub version: Version,
     /// Hash of its text.
@@ -28,11 +28,11 @@
 /// Message between two instances about published values.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum ToPeer {
+pub enum ConfigurationMessage {
     /// The sender's versions; the receiver answers with what the sender lacks.
     Announce {
         /// One for each value that the sender holds.
-        versions: Vec<Versions>,
+        versions: Vec<ValueVersion>,
         /// Whether the sender serves callers; one that only starts may itself have read an old
         /// platform replica, so its answer does not end another's start.
         ready: bool,
@@ -42,12 +42,12 @@
     /// The sender lacks these.
     Ask {
         /// Names to give.
-        names: Vec<Name>,
+        names: Vec<ValueName>,
     },
     /// A value with its version.
     Give {
         /// Name of the value.
-        name: Name,
+        name: ValueName,
         /// Its version.
         version: Version,
         /// Its text as published.
@@ -59,71 +59,76 @@
 #[derive(Debug, Default, PartialEq)]
 pub struct Reply {
     /// Messages back to the same peer.
-    pub send: Vec<ToPeer>,
+    pub send: Vec<ConfigurationMessage>,
     /// The name that came into force; announce to the neighbours now.
-    pub in_force: Option<Name>,
+    pub in_force: Option<ValueName>,
     /// A refusal to log, and to alarm on if [`Rejected::is_alarm`].
     pub rejected: Option<Rejected>,
 }
 
 impl Configuration {
     /// The versions in force, for an announcement.
-    pub fn latest(&self) -> Vec<Versions> {
-        Name::ALL
+    pub fn versions(&self) -> Vec<ValueVersion> {
+        ValueName::ALL
             .into_iter()
             .filter_map(|name| self.version(name))
             .collect()
     }
 
     /// The announcement to a neighbour; a starting instance wants an answer.
-    pub fn announcement(&self) -> ToPeer {
-        ToPeer::Announce {
-            versions: self.latest(),
+    pub fn announcement(&self) -> ConfigurationMessage {
+        ConfigurationMessage::Announce {
+            versions: self.versions(),
             ready: self.ready,
             answer: !self.ready,
         }
     }
 
     /// Takes a message of a peer.
-    pub fn on_message(&mut self, message: &ToPeer) -> Reply {
+    pub fn on_message(&mut self, message: &ConfigurationMessage) -> Reply {
         match message {
-            ToPeer::Announce {
+            ConfigurationMessage::Announce {
                 versions,
                 ready,
                 answer,
             } => {
                 let mut reply = self.on_announce(versions);
-                if *ready && !reply.send.iter().any(|m| matches!(m, ToPeer::Ask { .. })) {
+                if *ready
+                    && !reply
+                        .send
+                        .iter()
+                        .any(|m| matches!(m, ConfigurationMessage::Ask { .. }))
+                {
                     // Level with the peer or ahead of it: what it knew has arrived.
-                    self.heard(Source::Peer);
+                    self.record_answer(Source::Peer);
                 }
                 if *answer {
-                    reply.send.push(ToPeer::Announce {
-                        versions: self.latest(),
+                    reply.send.push(ConfigurationMessage::Announce {
+                        versions: self.versions(),
                         ready: self.ready,
                         answer: false,
                     });
                 }
                 reply
             }
-            ToPeer::Ask { names } => Reply {
-                send: Name::ALL
+            ConfigurationMessage::Ask { names } => Reply {
+                send: ValueName::ALL
                     .into_iter()
                     .filter(|name| names.contains(name))
                     .filter_map(|name| self.give(name))
                     .collect(),
                 ..Reply::default()
             },
-            ToPeer::Give {
+            ConfigurationMessage::Give {
                 name,
                 version,
                 value,
             } => match self.offer(*name, *version, value) {
-                Ok(Accepted::InForce(_)) => Reply {
+                Ok(Accepted::Applied(_)) => Reply {
                     in_force: Some(*name),
                     ..Reply::default()
                 },
-                Ok(Accepted::Known(_)) | Err(Rejected::Older { .. }) => Reply::default(),
+                Ok(Accepted::Unchanged(_)) | Err(Rejected::Older { .. }) => Reply::default(),
                 Err(rejected) => Reply {
                     rejected: Some(rejected),
                     ..Reply::default()
@@ -132,15 +137,15 @@
         }
     }
 
-    fn on_announce(&self, theirs: &[Versions]) -> Reply {
+    fn on_announce(&self, theirs: &[ValueVersion]) -> Reply {
         let mut reply = Reply::default();
         let mut names = Vec::new();
-        for name in Name::ALL {
+        for name in ValueName::ALL {
             let held = self.version(name);
             let offered = theirs.iter().find(|v| v.name == name);
             match (held, offered) {
                 (Some(h), Some(o)) if h.version == o.version && h.hash != o.hash => {
-                    reply.rejected = Some(Rejected::Differs { version: h.version });
+                    reply.rejected = Some(Rejected::Conflict { version: h.version });
                 }
                 (held, Some(o)) if held.is_none_or(|h| h.version < o.version) => names.push(name),
                 (Some(h), offered) if offered.is_none_or(|o| o.version < h.version) => {
@@ -150,16 +155,16 @@
             }
         }
         if !names.is_empty() {
-            reply.send.push(ToPeer::Ask { names });
+            reply.send.push(ConfigurationMessage::Ask { names });
         }
         reply
     }
 
-    fn give(&self, name: Name) -> Option<ToPeer> {
-        Some(ToPeer::Give {
+    fn give(&self, name: ValueName) -> Option<ConfigurationMessage> {
+        Some(ConfigurationMessage::Give {
             name,
             version: self.version(name)?.version,
-            value: self.raw(name)?,
+            value: self.raw_value(name)?,
         })
     }
 }
--- a/crates/decisions/tests/configuration.rs
+++ b/crates/decisions/tests/configuration.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::configuration::{
-    Accepted, Configuration, Name, Rejected, Row, START_WAIT, Source, ToPeer,
+    Accepted, Configuration, ConfigurationMessage, Rejected, Row, START_WAIT, Source, ValueName,
 };
 use serde_json::{Value, json};
 use tokio::time::Instant;
@@ -37,10 +37,11 @@
 
 fn started() -> Configuration {
     let mut cfg = Configuration::new(Instant::now());
-    cfg.offer(Name::Table, 5, &table(1)).expect("valid");
-    cfg.offer(Name::Services, 5, &services()).expect("valid");
+    cfg.offer(ValueName::Table, 5, &table(1)).expect("valid");
+    cfg.offer(ValueName::Services, 5, &services())
+        .expect("valid");
     let list = instances(&[upstream("u1"), entry("e2"), entry("e1")]);
-    cfg.offer(Name::Instances, 5, &list).expect("valid");
+    cfg.offer(ValueName::Instances, 5, &list).expect("valid");
     cfg
 }
 
@@ -49,18 +50,21 @@
 #[test]
 fn a_version_only_grows() {
     let mut cfg = started();
-    assert_eq!(cfg.offer(Name::Table, 5, &table(1)), Ok(Accepted::Known(5)));
     assert_eq!(
-        cfg.offer(Name::Table, 9, &table(4)),
-        Ok(Accepted::InForce(9))
+        cfg.offer(ValueName::Table, 5, &table(1)),
+        Ok(Accepted::Unchanged(5))
+    );
+    assert_eq!(
+        cfg.offer(ValueName::Table, 9, &table(4)),
+        Ok(Accepted::Applied(9))
     );
     let older = Rejected::Older {
         held: 9,
         offered: 8,
     };
-    assert_eq!(cfg.offer(Name::Table, 8, &table(1)), Err(older));
-    let differs = Err(Rejected::Differs { version: 9 });
-    assert_eq!(cfg.offer(Name::Table, 9, &table(1)), differs);
+    assert_eq!(cfg.offer(ValueName::Table, 8, &table(1)), Err(older));
+    let differs = Err(Rejected::Conflict { version: 9 });
+    assert_eq!(cfg.offer(ValueName::Table, 9, &table(1)), differs);
     assert_eq!(
         cfg.table()
             .unwrap()
@@ -80,12 +84,12 @@
         "organisations": [
             {"organisation": "", "weight": 1, "max_tier": "urgent", "requests_per_s": -1.0, "tokens_per_s": 0.0, "max_running": 0},
             {"organisation": "b", "weight": 0, "max_tier": "gold", "key_sha256": ["secret"]}]});
-    let Err(Rejected::Faulty { faults }) = cfg.offer(Name::Table, 6, &faulty) else {
+    let Err(Rejected::Faulty { faults }) = cfg.offer(ValueName::Table, 6, &faulty) else {
         panic!("a faulty table came into force");
     };
     let found = faults.iter().map(|f| (f.row, f.column)).collect::<Vec<_>>();
     let expected = [
-        (Row::Whole, "rank"),
+        (Row::EntireValue, "rank"),
         (Row::Tier(1), "weight"),
         (Row::Tier(2), "tier"),
         (Row::Tier(2), "rank"),
@@ -99,31 +103,31 @@
     ];
     assert_eq!(found, expected);
     assert!(faults.iter().all(|f| !f.to_string().contains("secret")));
-    assert_eq!(cfg.version(Name::Table).unwrap().version, 5);
+    assert_eq!(cfg.version(ValueName::Table).unwrap().version, 5);
 }
 
 #[parameterized(
-    not_an_object = { Name::Table, json!([]) },
-    null = { Name::Table, Value::Null },
-    no_tiers = { Name::Table, json!({"tiers": [], "organisations": []}) },
-    wrong_type = { Name::Table, json!({"tiers": "x", "organisations": []}) },
-    negative_rank = { Name::Table, json!({"tiers": [{"tier": "a", "rank": -1, "weight": 1}], "organisations": []}) },
-    huge_rank = { Name::Table, json!({"tiers": [{"tier": "a", "rank": 256, "weight": 1}], "organisations": []}) },
-    key_of_two = { Name::Table, json!({"tiers": [{"tier": "a", "rank": 0, "weight": 1}], "organisations": [
+    not_an_object = { ValueName::Table, json!([]) },
+    null = { ValueName::Table, Value::Null },
+    no_tiers = { ValueName::Table, json!({"tiers": [], "organisations": []}) },
+    wrong_type = { ValueName::Table, json!({"tiers": "x", "organisations": []}) },
+    negative_rank = { ValueName::Table, json!({"tiers": [{"tier": "a", "rank": -1, "weight": 1}], "organisations": []}) },
+    huge_rank = { ValueName::Table, json!({"tiers": [{"tier": "a", "rank": 256, "weight": 1}], "organisations": []}) },
+    key_of_two = { ValueName::Table, json!({"tiers": [{"tier": "a", "rank": 0, "weight": 1}], "organisations": [
         {"organisation": "a", "weight": 1, "max_tier": "a", "key_sha256": ["ab".repeat(32)]},
         {"organisation": "b", "weight": 1, "max_tier": "a", "key_sha256": ["AB".repeat(32)]}]}) },
-    service_twice = { Name::Services, json!({"services": [{"service": "a", "kind": "plain"}, {"service": "a", "kind": "plain"}]}) },
-    unknown_kind = { Name::Services, json!({"services": [{"service": "a", "kind": "other"}]}) },
-    call_without_method = { Name::Services, json!({"services": [{"service": "a", "kind": "plain", "non_idempotent": ["/x"]}]}) },
-    call_with_more = { Name::Services, json!({"services": [{"service": "a", "kind": "plain", "non_idempotent": ["POST /x y"]}]}) },
-    instance_twice = { Name::Instances, instances(&[entry("a"), entry("a"), upstream("u")]) },
-    no_entry = { Name::Instances, instances(&[upstream("u")]) },
-    no_upstream = { Name::Instances, instances(&[entry("a")]) },
-    empty = { Name::Instances, instances(&[]) },
-    scheme = { Name::Instances, json!({"instances": [{"instance": "a", "role": "entry", "availability_zone": "z", "region": "r",
+    service_twice = { ValueName::Services, json!({"services": [{"service": "a", "kind": "plain"}, {"service": "a", "kind": "plain"}]}) },
+    unknown_kind = { ValueName::Services, json!({"services": [{"service": "a", "kind": "other"}]}) },
+    call_without_method = { ValueName::Services, json!({"services": [{"service": "a", "kind": "plain", "non_idempotent": ["/x"]}]}) },
+    call_with_more = { ValueName::Services, json!({"services": [{"service": "a", "kind": "plain", "non_idempotent": ["POST /x y"]}]}) },
+    instance_twice = { ValueName::Instances, instances(&[entry("a"), entry("a"), upstream("u")]) },
+    no_entry = { ValueName::Instances, instances(&[upstream("u")]) },
+    no_upstream = { ValueName::Instances, instances(&[entry("a")]) },
+    empty = { ValueName::Instances, instances(&[]) },
+    scheme = { ValueName::Instances, json!({"instances": [{"instance": "a", "role": "entry", "availability_zone": "z", "region": "r",
         "address": "http://127.0.0.1:1", "rpc_address": "127.0.0.1:2", "state": "live"}]}) },
 )]
-fn malformed_values_are_refused(name: Name, value: Value) {
+fn malformed_values_are_refused(name: ValueName, value: Value) {
     let mut cfg = started();
     let rejected = cfg.offer(name, 6, &value).expect_err("malformed");
     assert!(rejected.is_alarm() && !rejected.to_string().is_empty());
@@ -167,16 +171,16 @@
 fn a_starting_instance_takes_the_highest_of_platform_and_peers() {
     let now = Instant::now();
     let mut peer = started();
-    peer.offer(Name::Table, 7, &table(9)).expect("valid");
-    peer.heard(Source::Peer);
-    for name in Name::ALL {
-        peer.heard(Source::Platform(name));
+    peer.offer(ValueName::Table, 7, &table(9)).expect("valid");
+    peer.record_answer(Source::Peer);
+    for name in ValueName::ALL {
+        peer.record_answer(Source::Platform(name));
     }
     assert!(peer.is_ready(now));
 
     let mut cfg = started();
-    for name in Name::ALL {
-        cfg.heard(Source::Platform(name));
+    for name in ValueName::ALL {
+        cfg.record_answer(Source::Platform(name));
     }
     assert!(!cfg.is_ready(now), "no peer has answered yet");
     let answer = peer.on_message(&cfg.announcement());
@@ -184,7 +188,7 @@
         cfg.on_message(message);
     }
     assert!(cfg.is_ready(now));
-    assert_eq!(cfg.version(Name::Table).unwrap().version, 7);
+    assert_eq!(cfg.version(ValueName::Table).unwrap().version, 7);
 }
 
 #[parameterized(
@@ -195,12 +199,12 @@
     let now = Instant::now();
     let mut cfg = started();
     if platform {
-        for name in Name::ALL {
-            cfg.heard(Source::Platform(name));
+        for name in ValueName::ALL {
+            cfg.record_answer(Source::Platform(name));
         }
     }
     if peer {
-        cfg.heard(Source::Peer);
+        cfg.record_answer(Source::Peer);
     }
     assert!(!cfg.is_ready(now + START_WAIT / 2));
     assert!(cfg.is_ready(now + START_WAIT + Duration::from_millis(1)));
@@ -218,9 +222,9 @@
 fn contents_that_differ_under_one_version_are_alarmed() {
     let mut ours = started();
     let mut theirs = Configuration::new(Instant::now());
-    theirs.offer(Name::Table, 5, &table(2)).expect("valid");
+    theirs.offer(ValueName::Table, 5, &table(2)).expect("valid");
     let reply = ours.on_message(&theirs.announcement());
-    assert_eq!(reply.rejected, Some(Rejected::Differs { version: 5 }));
+    assert_eq!(reply.rejected, Some(Rejected::Conflict { version: 5 }));
 }
 
 /// The platform is down for all but one instance; the others hear of an edit from it alone.
@@ -228,20 +232,20 @@
 fn a_version_is_passed_on_with_unknown_fields() {
     let mut ahead = started();
     let mut behind = started();
-    ahead.offer(Name::Table, 6, &table(7)).expect("valid");
+    ahead.offer(ValueName::Table, 6, &table(7)).expect("valid");
     let asked = behind.on_message(&ahead.announcement());
     assert_eq!(
         asked.send[0],
-        ToPeer::Ask {
-            names: vec![Name::Table]
+        ConfigurationMessage::Ask {
+            names: vec![ValueName::Table]
         }
     );
     let given = ahead.on_message(&asked.send[0]);
     let text = serde_json::to_string(&given.send[0]).unwrap();
     assert!(text.contains("later_field"));
     let reply = behind.on_message(&serde_json::from_str(&text).unwrap());
-    assert_eq!(reply.in_force, Some(Name::Table));
-    assert_eq!(behind.latest(), ahead.latest());
+    assert_eq!(reply.in_force, Some(ValueName::Table));
+    assert_eq!(behind.versions(), ahead.versions());
 }
 
 #[parameterized(
@@ -256,5 +260,5 @@
     extra_field = { r#"{"announce":{"versions":[],"ready":true,"answer":false,"x":1}}"# },
 )]
 fn malformed_messages_are_refused_by_the_decoder(text: &str) {
-    assert!(serde_json::from_str::<ToPeer>(text).is_err());
+    assert!(serde_json::from_str::<ConfigurationMessage>(text).is_err());
 }
--- a/crates/spec/src/configuration.rs
+++ b/crates/spec/src/configuration.rs
@@ -7,7 +7,9 @@
 
 use std::fmt::Debug;
 
-use kingcupfield_decisions::configuration::{Configuration, Name, Source, ToPeer};
+use kingcupfield_decisions::configuration::{
+    Configuration, ConfigurationMessage, Source, ValueName,
+};
 use kingcupfield_decisions::id::Version;
 use serde_json::{Value, json};
 use tokio::time::Instant;
@@ -60,7 +62,7 @@
     /// Whom it is for.
     pub to: usize,
     /// The message.
-    pub message: ToPeer,
+    pub message: ConfigurationMessage,
 }
 
 #[derive(Debug, Clone)]
@@ -92,9 +94,12 @@
     let mut cfg = Configuration::new(now);
     let services = json!({"services": []});
     let instances = json!({"instances": []});
-    for (name, value) in [(Name::Services, services), (Name::Instances, instances)] {
+    for (name, value) in [
+        (ValueName::Services, services),
+        (ValueName::Instances, instances),
+    ] {
         cfg.offer(name, 1, &value).expect("an empty value is valid");
-        cfg.heard(Source::Platform(name));
+        cfg.record_answer(Source::Platform(name));
     }
     cfg
 }
@@ -105,9 +110,9 @@
     pub fn new(variant: Variant, restarts: usize) -> Self {
         let now = Instant::now();
         let mut cfg = empty(now);
-        cfg.offer(Name::Table, 1, &table(1)).expect("valid");
-        cfg.heard(Source::Platform(Name::Table));
-        cfg.heard(Source::Peer);
+        cfg.offer(ValueName::Table, 1, &table(1)).expect("valid");
+        cfg.record_answer(Source::Platform(ValueName::Table));
+        cfg.record_answer(Source::Peer);
         let ready = cfg.is_ready(now);
         let node = Node {
             cfg,
@@ -126,7 +131,7 @@
     }
 
     fn version(&self, node: usize) -> Version {
-        let held = self.nodes[node].cfg.version(Name::Table);
+        let held = self.nodes[node].cfg.version(ValueName::Table);
         held.map_or(0, |v| v.version)
     }
 
@@ -135,14 +140,16 @@
         if self.variant == Variant::NoVersionCheck {
             *cfg = empty(self.now);
         }
-        cfg.offer(Name::Table, version, &table(version)).ok();
-        cfg.heard(Source::Platform(Name::Table));
+        cfg.offer(ValueName::Table, version, &table(version)).ok();
+        cfg.record_answer(Source::Platform(ValueName::Table));
     }
 
     fn deliver(&mut self, packet: &Packet) {
         self.packets.retain(|p| p != packet);
         let cfg = &mut self.nodes[packet.to].cfg;
-        if let (Variant::NoVersionCheck, ToPeer::Give { .. }) = (self.variant, &packet.message) {
+        if let (Variant::NoVersionCheck, ConfigurationMessage::Give { .. }) =
+            (self.variant, &packet.message)
+        {
             *cfg = empty(self.now);
         }
         let reply = cfg.on_message(&packet.message);
@@ -151,7 +158,7 @@
         }
     }
 
-    fn post(&mut self, from: usize, to: usize, message: ToPeer) {
+    fn post(&mut self, from: usize, to: usize, message: ConfigurationMessage) {
         let packet = Packet { from, to, message };
         // The same message twice under way changes nothing; a bound keeps the world small.
         if self.packets.len() < MOST_PACKETS + 1 && !self.packets.contains(&packet) {
@@ -177,10 +184,10 @@
         for i in 0..INSTANCES {
             let node = &mut self.nodes[i];
             if self.variant == Variant::NoPeers {
-                node.cfg.heard(Source::Peer);
+                node.cfg.record_answer(Source::Peer);
             }
             node.ready = node.ready || node.cfg.is_ready(self.now);
-            let version = node.cfg.version(Name::Table).map_or(0, |v| v.version);
+            let version = node.cfg.version(ValueName::Table).map_or(0, |v| v.version);
             node.highest = node.highest.max(version);
         }
     }
@@ -189,8 +196,9 @@
 impl Node {
     /// Everything in which two states of an instance can differ here.
     fn essence(&self) -> impl Debug {
-        let heard = [Source::Platform(Name::Table), Source::Peer].map(|s| self.cfg.has_heard(s));
-        let versions = self.cfg.version(Name::Table);
+        let heard =
+            [Source::Platform(ValueName::Table), Source::Peer].map(|s| self.cfg.has_answered(s));
+        let versions = self.cfg.version(ValueName::Table);
         (versions, heard, self.ready, self.floor, self.highest)
     }
 }
--- a/crates/spec/src/fleet.rs
+++ b/crates/spec/src/fleet.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kingcupfield_decisions::configuration::{Configuration, Name, ToPeer};
+use kingcupfield_decisions::configuration::{Configuration, ConfigurationMessage, ValueName};
 use kingcupfield_decisions::id::{InstanceId, Version};
 use kingcupfield_decisions::membership::{Membership, MembershipMessage, Standing};
 use kingcupfield_decisions::values::{Instance, Instances, Role, State};
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 enum Message {
     Membership(MembershipMessage),
-    Configuration(ToPeer),
+    Configuration(ConfigurationMessage),
 }
 
 #[derive(Debug)]
@@ -144,7 +144,7 @@
     pub fn offer(&mut self, instance: usize, version: Version) {
         let offered = self.members[instance]
             .cfg
-            .offer(Name::Table, version, &table(version));
+            .offer(ValueName::Table, version, &table(version));
         if offered.is_ok() {
             self.announce_to_all(instance);
         }
@@ -178,7 +178,7 @@
     ) -> Option<Duration> {
         self.until(limit, share, |m| {
             m.cfg
-                .version(Name::Table)
+                .version(ValueName::Table)
                 .is_some_and(|v| v.version == version)
         })
     }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 
 use kingcupfield_decisions::configuration::{
-    Accepted, Configuration, Name, Rejected, Reply, Source, ToPeer, Versions,
+    Accepted, Configuration, ConfigurationMessage, Rejected, Reply, Source, ValueName, ValueVersion,
 };
 use kingcupfield_decisions::id::Version;
 use kingcupfield_decisions::values::{
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct Snapshot {
     /// Versions in force.
-    pub versions: Vec<Versions>,
+    pub versions: Vec<ValueVersion>,
     /// The table.
     pub table: Arc<Table>,
     /// The services.
@@ -54,7 +54,7 @@
         }
         keys.sort_by(|a, b| a.sha256.cmp(&b.sha256));
         Self {
-            versions: cfg.latest(),
+            versions: cfg.versions(),
             table,
             services: cfg.services().unwrap_or_default(),
             instances: cfg.instances().unwrap_or_default(),
@@ -63,7 +63,7 @@
     }
 
     /// Version of `name` in force.
-    pub fn version(&self, name: Name) -> Option<Version> {
+    pub fn version(&self, name: ValueName) -> Option<Version> {
         self.versions
             .iter()
             .find(|v| v.name == name)
@@ -128,7 +128,7 @@
     }
 
     /// Version of `name` in force.
-    pub fn version(&self, name: Name) -> Option<Version> {
+    pub fn version(&self, name: ValueName) -> Option<Version> {
         self.lock().version(name).map(|v| v.version)
     }
 
@@ -138,22 +138,22 @@
     }
 
     /// Notes that the platform answered for `name`, with or without news.
-    pub fn heard_platform(&self, name: Name) {
-        self.lock().heard(Source::Platform(name));
+    pub fn heard_platform(&self, name: ValueName) {
+        self.lock().record_answer(Source::Platform(name));
     }
 
     /// Takes a value of the platform into force, or logs why not.
-    pub fn offer(&self, name: Name, version: Version, value: &Value) {
+    pub fn offer(&self, name: ValueName, version: Version, value: &Value) {
         let mut cfg = self.lock();
         match cfg.offer(name, version, value) {
-            Ok(Accepted::InForce(_)) => self.publish(&cfg, name, "platform"),
-            Ok(Accepted::Known(_)) => {}
+            Ok(Accepted::Applied(_)) => self.publish(&cfg, name, "platform"),
+            Ok(Accepted::Unchanged(_)) => {}
             Err(rejected) => self.refused(name.as_str(), &rejected),
         }
     }
 
     /// Takes a message of a peer about values.
-    pub fn on_peer(&self, message: &ToPeer) -> Reply {
+    pub fn on_peer(&self, message: &ConfigurationMessage) -> Reply {
         let mut cfg = self.lock();
         let reply = cfg.on_message(message);
         if let Some(name) = reply.in_force {
@@ -166,11 +166,11 @@
     }
 
     /// What to tell a neighbour about the versions in force.
-    pub fn announcement(&self) -> ToPeer {
+    pub fn announcement(&self) -> ConfigurationMessage {
         self.lock().announcement()
     }
 
-    fn publish(&self, cfg: &Configuration, name: Name, source: &str) {
+    fn publish(&self, cfg: &Configuration, name: ValueName, source: &str) {
         let version = cfg.version(name).map_or(0, |v| v.version);
         log::info!(
             "event=value_in_force name={} version={version} source={source}",
--- a/src/inbox.rs
+++ b/src/inbox.rs
@@ -1,6 +1,6 @@
 //! Where the messages of other instances go, by kind.
 
-use kingcupfield_decisions::configuration::ToPeer;
+use kingcupfield_decisions::configuration::ConfigurationMessage;
 use kingcupfield_decisions::id::InstanceId;
 
 use crate::fleet::Fleet;
@@ -43,7 +43,7 @@
     }
 
     /// Values that a starting peer lacks.
-    pub fn values(&self, announce: &ToPeer) -> Vec<ToPeer> {
+    pub fn values(&self, announce: &ConfigurationMessage) -> Vec<ConfigurationMessage> {
         self.fleet.on_peer(announce).send
     }
 
@@ -65,7 +65,7 @@
         }
     }
 
-    fn on_configuration(&self, from: &InstanceId, message: &ToPeer) {
+    fn on_configuration(&self, from: &InstanceId, message: &ConfigurationMessage) {
         for answer in self.fleet.on_peer(message).send {
             self.peers.send(from, PeerMessage::Configuration(answer));
         }
--- a/src/members.rs
+++ b/src/members.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kingcupfield_decisions::configuration::Name;
+use kingcupfield_decisions::configuration::ValueName;
 use kingcupfield_decisions::id::{Incarnation, InstanceId, UpstreamId, ZoneId};
 use kingcupfield_decisions::membership::{Membership, MembershipMessage, Send, Standing};
 use kingcupfield_decisions::values::{Instance, Role};
@@ -270,7 +270,7 @@
     }
 
     fn on_fleet(&mut self, snapshot: &Snapshot) -> Vec<Send> {
-        let version = snapshot.version(Name::Instances).unwrap_or(0);
+        let version = snapshot.version(ValueName::Instances).unwrap_or(0);
         let sends = self
             .state
             .on_list(Instant::now(), version, &snapshot.instances);
--- a/src/message.rs
+++ b/src/message.rs
@@ -2,7 +2,7 @@
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD_NO_PAD;
-use kingcupfield_decisions::configuration::ToPeer;
+use kingcupfield_decisions::configuration::ConfigurationMessage;
 use kingcupfield_decisions::id::{Incarnation, InstanceId, ServiceId, UpstreamId};
 use kingcupfield_decisions::limits::{ToLimitMember, ToLimitOwner};
 use kingcupfield_decisions::membership::MembershipMessage;
@@ -71,7 +71,7 @@
     /// Version of the protocol.
     pub protocol: u32,
     /// The versions that the sender holds.
-    pub announce: ToPeer,
+    pub announce: ConfigurationMessage,
 }
 
 /// One message.
@@ -113,7 +113,7 @@
     /// About instances and leaving upstreams.
     Membership(MembershipMessage),
     /// About published values.
-    Configuration(ToPeer),
+    Configuration(ConfigurationMessage),
     /// State of replicas, by which instances choose among owners.
     Digests(Vec<DigestRow>),
 }
--- a/src/peer_server.rs
+++ b/src/peer_server.rs
@@ -7,7 +7,7 @@
 use jsonrpsee::server::{HttpBody, HttpRequest, HttpResponse, Server, ServerConfig, ServerHandle};
 use jsonrpsee::types::ErrorObjectOwned;
 use jsonrpsee::types::error::INVALID_PARAMS_CODE;
-use kingcupfield_decisions::configuration::ToPeer;
+use kingcupfield_decisions::configuration::ConfigurationMessage;
 use subtle::ConstantTimeEq;
 use tokio::time::timeout;
 use tower::ServiceBuilder;
@@ -142,7 +142,7 @@
     module
         .register_method(
             VALUES,
-            |params, cx, _| -> std::result::Result<Vec<ToPeer>, ErrorObjectOwned> {
+            |params, cx, _| -> std::result::Result<Vec<ConfigurationMessage>, ErrorObjectOwned> {
                 let asked: Announcement =
                     params.one().map_err(|e| refused(VALUES, e.to_string()))?;
                 check_protocol(VALUES, asked.protocol)?;
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -14,7 +14,7 @@
 use jsonrpsee::core::traits::ToRpcParams;
 use jsonrpsee::rpc_params;
 use jsonrpsee::ws_client::{HeaderMap, HeaderValue, WsClient, WsClientBuilder};
-use kingcupfield_decisions::configuration::ToPeer;
+use kingcupfield_decisions::configuration::ConfigurationMessage;
 use kingcupfield_decisions::id::{Incarnation, InstanceId};
 use rand::RngExt;
 use serde::Serialize;
@@ -149,7 +149,11 @@
     }
 
     /// Asks the contact at `address` for the values that this instance lacks.
-    pub async fn ask_values(&self, address: SocketAddr, announce: ToPeer) -> Result<Vec<ToPeer>> {
+    pub async fn ask_values(
+        &self,
+        address: SocketAddr,
+        announce: ConfigurationMessage,
+    ) -> Result<Vec<ConfigurationMessage>> {
         let client = connect(&self.inner.token, &address.to_string(), DELIVERY_TIMEOUT).await?;
         request(
             &client,
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use http::{Request, StatusCode};
 use http_body_util::Full;
-use kingcupfield_decisions::configuration::Name;
+use kingcupfield_decisions::configuration::ValueName;
 use kingcupfield_decisions::id::Version;
 use rand::RngExt;
 use serde::Deserialize;
@@ -69,7 +69,7 @@
     connector: Connector,
     fleet: Fleet,
     metrics: Metrics,
-    name: Name,
+    name: ValueName,
     members: Members,
 }
 
@@ -80,7 +80,7 @@
         connector: Connector,
         fleet: Fleet,
         metrics: Metrics,
-        name: Name,
+        name: ValueName,
         members: Members,
     ) -> Self {
         Self {
--- a/src/services.rs
+++ b/src/services.rs
@@ -18,7 +18,7 @@
 use crate::shared::Shared;
 use crate::slots::{SLOTS, Slots};
 use crate::watcher::Watcher;
-use kingcupfield_decisions::configuration::Name;
+use kingcupfield_decisions::configuration::ValueName;
 use kingcupfield_decisions::idempotency::Secret;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -110,7 +110,7 @@
     connector: &Connector,
     metrics: &Metrics,
 ) -> Result<()> {
-    for name in Name::ALL {
+    for name in ValueName::ALL {
         let reader = PlatformReader::new(
             cfg.platform.clone(),
             connector.clone(),
--- a/src/table.rs
+++ b/src/table.rs
@@ -5,7 +5,7 @@
 
 use std::path::{Path, PathBuf};
 
-use kingcupfield_decisions::configuration::unknown_places;
+use kingcupfield_decisions::configuration::unknown_locations;
 use kingcupfield_decisions::values::{Instances, Table};
 use serde::Serialize;
 use thiserror::Error;
@@ -96,7 +96,7 @@
 pub fn read_for(path: &Path, instances: &Instances) -> Result<Table, TableError> {
     let sheet = read_sheet(path)?;
     let mut checked = sheet.check();
-    let unknown = unknown_places(&checked.table, instances).into_iter();
+    let unknown = unknown_locations(&checked.table, instances).into_iter();
     checked.faults.extend(unknown.map(|f| sheet.placed(f)));
     faultless(path, checked)
 }
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -10,7 +10,7 @@
 use kingcupfield::record::Records;
 use kingcupfield::request::Meta;
 use kingcupfield::scheduler::{Granted, Identity, Need, Scheduler};
-use kingcupfield_decisions::configuration::Name;
+use kingcupfield_decisions::configuration::ValueName;
 use kingcupfield_decisions::id::{InstanceId, Rank, RequestId, UpstreamId};
 use kingcupfield_decisions::slots::{LoadReport, Outcome};
 use rand::SeedableRng;
@@ -219,11 +219,15 @@
 fn published(version: u64, table: &Value, instances: &[Value]) -> Arc<Snapshot> {
     let fleet = Fleet::new(Instant::now(), Metrics::new());
     let services = json!({"services": [{"service": "drafting", "kind": "model"}]});
-    fleet.offer(Name::Table, version, table);
-    fleet.offer(Name::Services, version, &services);
-    fleet.offer(Name::Instances, version, &json!({ "instances": instances }));
+    fleet.offer(ValueName::Table, version, table);
+    fleet.offer(ValueName::Services, version, &services);
+    fleet.offer(
+        ValueName::Instances,
+        version,
+        &json!({ "instances": instances }),
+    );
     assert!(
-        fleet.version(Name::Instances).is_some(),
+        fleet.version(ValueName::Instances).is_some(),
         "the list is valid"
     );
     fleet.snapshot()
