--- a/crates/decisions/src/credit.rs
+++ b/crates/decisions/src/credit.rs
@@ -1,27 +1,32 @@
-//! Limits of organisations over the fleet, as credit that is minted once and spent soon.
+//! Fleet-wide limits of organisations, enforced with credit that accrues once and expires soon.
 //!
-//! Load pattern: one organisation that sends many times its usual through all instances at once, or
-//! through one of them, while news are late and instances are killed, cut off and restarted. With a
-//! count of what the others have spent, each instance spends in good faith what others have spent
-//! already; with a fixed part for each, an organisation whose callers come to one instance is refused
-//! far below its limit.
+//! Load pattern: one organisation sends many times its usual rate through all instances at once, or
+//! through one of them, while messages are late and instances are killed, cut off and restarted. If
+//! each instance counted the spending that the others report, instances would spend the same units
+//! twice while reports are late. If each had a fixed fraction, an organisation whose callers
+//! connect to one instance would be refused far below its limit.
 //!
-//! **In any span an organisation gets at most [`Accrual::max_spend`] units.** It follows from four facts, of
-//! which none depends on a message that comes in time:
+//! **In any span an organisation spends at most [`Accrual::max_spend`] units.** This follows from
+//! four facts, none of which depends on a message arriving in time:
 //!
-//! - The running time of an instance is worth credit: [`Accrual::rate`], divided by the number of zones
-//!   and by the largest number of instances of its zone that it or the keeper knew meanwhile.
-//! - It is given away once. Who collects it has it from then on; what is lost on the way is spent by nobody.
-//! - It is worthless [`Accrual::lifetime`] after it was minted, by the clock of who holds it, counted from
-//!   before it was asked for.
-//! - A request uses it within [`GRANT_VALIDITY`] after its last message that the keeper had.
+//! - The running time of an instance is worth credit: [`Accrual::rate`], divided by the number of
+//!   zones and by the largest size of the instance's zone that the instance or the coordinator
+//!   observed during that time.
+//! - Each stretch of running time is given away once. The collecting instance owns the credit from
+//!   then on; credit that is lost in transit is spent by nobody.
+//! - Credit expires [`Accrual::lifetime`] after it accrued. The holder measures this with its own
+//!   clock, starting from before it asked for the credit.
+//! - A request uses its credit within [`GRANT_VALIDITY`] after the last of its messages that the
+//!   coordinator received.
 //!
-//! An instance that starts has no time to give, so nothing of the past has to be known or assumed, and
-//! a fleet that was killed whole serves at the full rate again as soon as its instances know each other.
-//! Both sides of a cut keep what their own instances mint.
+//! A starting instance has no running time to give away, so it needs no knowledge of the past and
+//! makes no assumption about it. A fleet that was killed as a whole serves at the full rate as soon
+//! as its instances know each other. Both sides of a network partition keep the credit that their
+//! own instances accrue.
 //!
-//! For speed alone, each zone has a keeper for each organisation, which its instances ask and which
-//! collects from them, then from the other zones, only what is asked for.
+//! Each zone has a coordinator for each organisation, which only makes this faster: the instances
+//! of the zone ask it for credit, and it collects from them, then from the other zones, only as
+//! much as requests ask for.
 
 use std::time::Duration;
 
@@ -41,17 +46,17 @@
 pub use ledger::Ledger;
 pub use message::{Credit, Message, MessageNumber, Verdict};
 
-/// A request that is to be charged.
+/// A request to charge against its organisation's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Charge {
-    /// What it takes of the limit.
+    /// Cost in units of the limit.
     pub cost: f64,
-    /// Its place in the order of service, in halves of a tier: its tier, and its size beside those
-    /// of its service.
+    /// Priority class, lower first, in half tiers: the request's tier, refined by its size relative
+    /// to the other requests of its service.
     pub priority_class: u32,
-    /// How long it may wait for credit.
+    /// Longest time that the request may wait for credit.
     pub max_wait: Duration,
 }
 
-/// Longest time between a message that asks for credit and the use of what it brings.
+/// Longest time between a message that asks for credit and the use of the credit granted for it.
 pub const GRANT_VALIDITY: Duration = Duration::from_millis(400);
--- a/crates/decisions/src/credit/account.rs
+++ b/crates/decisions/src/credit/account.rs
@@ -6,58 +6,62 @@
 
 use super::accrual::{Accrual, Limit, Tolerance};
 use super::batches::{Batch, Batches};
-use super::precedence::{Precedence, is_cheap, needed};
-use super::sources::{Context, Sources};
+use super::precedence::{Precedence, is_cheap, needed_stock};
+use super::sources::{AccountContext, Sources};
 use super::{Charge, Credit, MessageNumber, Verdict};
 use crate::id::{Member, ShortName};
 
-/// Time over which an organisation's use is averaged.
-const USE_OVER: Duration = Duration::from_secs(1);
+/// Time constant over which the usage of an organisation is averaged.
+const USAGE_SMOOTHING: Duration = Duration::from_secs(1);
 
-/// Credit for so much of its use is collected ahead, once less than [`LOW`] of it is at hand.
-const AHEAD: Duration = Duration::from_millis(400);
-const LOW: Duration = Duration::from_millis(150);
+/// Collections start when the free credit covers less than [`COLLECT_BELOW`] of the current usage,
+/// and fetch enough for [`COLLECT_AHEAD`] of it.
+const COLLECT_AHEAD: Duration = Duration::from_millis(400);
+const COLLECT_BELOW: Duration = Duration::from_millis(150);
 
-/// Credit for so much of its own zone's use stays with a keeper that another one collects from.
-const KEPT_HERE: Duration = Duration::from_secs(1);
+/// A coordinator keeps credit for this much of its own zone's usage when another coordinator
+/// collects from it.
+const COORDINATOR_RESERVE: Duration = Duration::from_secs(1);
 
-/// The most that a request is told to wait, in seconds.
-const MOST_WAIT_S: f64 = 60.0;
+/// Longest wait in seconds that a denied request is advised.
+const MAX_WAIT_S: f64 = 60.0;
 
 /// A request that waits for credit.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Waiting {
     pub(super) member: Member,
     pub(super) number: MessageNumber,
-    /// The last of its messages.
+    /// Highest `tries` of the messages received for the request.
     pub(super) tries: u32,
     charge: Charge,
-    /// Part of the limit that it leaves to others.
-    kept: f64,
+    /// Part of the limit that the request leaves unused for more urgent ones.
+    reserved_part: f64,
+    /// Whether the request is cheap enough to be served before all others.
     cheap: bool,
-    since: Instant,
-    until: Instant,
+    queued: Instant,
+    deadline: Instant,
 }
 
-/// What is to be sent after a look at the waiting requests.
+/// Verdicts and collections to send after serving the waiting requests.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Outcome {
     pub(super) verdicts: Vec<(Waiting, Verdict)>,
     pub(super) collect: Vec<Member>,
 }
 
+/// Credit account of one organisation.
 #[derive(Debug, Clone)]
 pub(super) struct Account {
     pub(super) name: ShortName,
     limit: Option<Limit>,
-    pace: Accrual,
-    pub(super) lots: Batches,
-    /// The own time up to here was given away.
-    given: Option<Instant>,
+    accrual: Accrual,
+    pub(super) batches: Batches,
+    /// Running time of this instance before this time has been given away.
+    given_until: Option<Instant>,
     precedence: Precedence,
-    /// Units that were granted in a second.
-    used: f64,
-    used_at: Instant,
+    /// Averaged usage in units per second, as of `usage_updated`.
+    usage: f64,
+    usage_updated: Instant,
     pub(super) sources: Sources,
     pub(super) waiting: Vec<Waiting>,
 }
@@ -67,7 +71,7 @@
         Self {
             name,
             limit: None,
-            pace: Accrual::new(
+            accrual: Accrual::new(
                 Limit {
                     rate: 0.0,
                     burst: 0.0,
@@ -75,33 +79,33 @@
                 Duration::from_secs(1),
                 Tolerance::default(),
             ),
-            lots: Batches::default(),
-            given: None,
+            batches: Batches::default(),
+            given_until: None,
             precedence: Precedence::default(),
-            used: 0.0,
-            used_at: now,
+            usage: 0.0,
+            usage_updated: now,
             sources: Sources::default(),
             waiting: Vec::new(),
         }
     }
 
-    /// Takes the limit in force. Credit of a higher one shrinks with it.
+    /// Applies the limit that is in force. If the rate falls, held credit shrinks in proportion.
     pub(super) fn set_limit(&mut self, limit: Limit, span: Duration, tolerance: Tolerance) {
-        let pace = Accrual::new(limit, span, tolerance);
-        if self.limit.is_some() && pace.rate < self.pace.rate {
-            self.lots.scale(pace.rate / self.pace.rate);
+        let accrual = Accrual::new(limit, span, tolerance);
+        if self.limit.is_some() && accrual.rate < self.accrual.rate {
+            self.batches.scale(accrual.rate / self.accrual.rate);
         }
         self.limit = Some(limit);
-        self.pace = pace;
+        self.accrual = accrual;
     }
 
-    /// Credit of all instances at the most.
-    pub(super) fn pace(&self) -> Accrual {
-        self.pace
+    /// Accrual of the limit over the whole fleet.
+    pub(super) fn accrual(&self) -> Accrual {
+        self.accrual
     }
 
-    /// Lets a request wait.
-    pub(super) fn wait(
+    /// Queues a request until [`Account::serve`] decides on it.
+    pub(super) fn add_waiting(
         &mut self,
         now: Instant,
         member: Member,
@@ -109,166 +113,177 @@
         charge: Charge,
     ) {
         let burst = self.limit.map_or(0.0, |l| l.burst.max(l.rate));
-        let kept = self.precedence.kept(&charge, burst, self.pace.max_stock());
+        let reserved_part = self
+            .precedence
+            .update(&charge, burst, self.accrual.max_stock());
         self.waiting.push(Waiting {
             member,
             number,
             tries: 1,
             charge,
-            kept,
+            reserved_part,
             cheap: is_cheap(charge.cost, burst),
-            since: now,
-            until: now + charge.max_wait,
+            queued: now,
+            deadline: now + charge.max_wait,
         });
     }
 
-    /// Gives credit to waiting requests as far as there is any, the most urgent first, and refuses
-    /// those for which there will be none in time.
-    pub(super) fn serve(&mut self, now: Instant, cx: &Context<'_>) -> Outcome {
+    /// Grants credit to waiting requests as far as it suffices, the most urgent first, and denies
+    /// requests for which there will not be enough in time.
+    pub(super) fn serve(&mut self, now: Instant, cx: &AccountContext<'_>) -> Outcome {
         let mut outcome = Outcome::default();
-        self.take_own(now, cx);
-        self.sources.forget_late(now);
+        self.accrue_own(now, cx);
+        self.sources.drop_expired(now);
         self.waiting
-            .sort_by_key(|w| (!w.cheap, w.charge.priority_class, w.since));
-        let depth = self.pace.max_stock();
-        let home_depth = depth / cx.zones();
-        let mut level = self.lots.level(now);
-        let stock = self.sources.stock(now, cx, self.pace, level);
-        let mut stock_home = stock.here + stock.home;
+            .sort_by_key(|w| (!w.cheap, w.charge.priority_class, w.queued));
+        let max_stock = self.accrual.max_stock();
+        let max_stock_own_zone = max_stock / cx.zones();
+        let mut held = self.batches.available(now);
+        let stock = self.sources.stock(now, cx, self.accrual, held);
+        let mut stock_own_zone = stock.held_or_pending + stock.own_zone;
         let mut reserved = 0.0;
-        let mut still = Vec::new();
-        for ask in std::mem::take(&mut self.waiting) {
-            let cost = ask.charge.cost;
-            let leaves_home = stock_home >= needed(cost, ask.kept, home_depth);
-            let leaves_all = stock_home + stock.abroad >= needed(cost, ask.kept, depth);
-            let lacks = needed(cost, ask.kept, depth) - stock_home - stock.abroad;
-            let until = now + Duration::from_secs_f64(self.seconds_until(lacks).min(MOST_WAIT_S));
-            let may = leaves_home || leaves_all || until <= ask.until;
-            if may
-                && level - reserved >= cost
-                && let Some(lot) = self.lots.take(now, cost)
+        let mut still_waiting = Vec::new();
+        for waiting in std::mem::take(&mut self.waiting) {
+            let cost = waiting.charge.cost;
+            let own_zone_suffices =
+                stock_own_zone >= needed_stock(cost, waiting.reserved_part, max_stock_own_zone);
+            let all_zones_suffice = stock_own_zone + stock.other_zones
+                >= needed_stock(cost, waiting.reserved_part, max_stock);
+            let missing = needed_stock(cost, waiting.reserved_part, max_stock)
+                - stock_own_zone
+                - stock.other_zones;
+            let enough_at =
+                now + Duration::from_secs_f64(self.seconds_to_accrue(missing).min(MAX_WAIT_S));
+            let eligible = own_zone_suffices || all_zones_suffice || enough_at <= waiting.deadline;
+            if eligible
+                && held - reserved >= cost
+                && let Some(batch) = self.batches.take(now, cost)
             {
-                level -= cost;
-                stock_home -= cost;
-                self.on_use(now, cost);
-                let left_ms = lot.left_ms(now);
-                outcome.verdicts.push((ask, Verdict::Granted { left_ms }));
-            } else if may && now < ask.until {
+                held -= cost;
+                stock_own_zone -= cost;
+                self.record_usage(now, cost);
+                let left_ms = batch.left_ms(now);
+                outcome
+                    .verdicts
+                    .push((waiting, Verdict::Granted { left_ms }));
+            } else if eligible && now < waiting.deadline {
                 reserved += cost;
-                stock_home -= cost;
-                still.push(ask);
+                stock_own_zone -= cost;
+                still_waiting.push(waiting);
             } else {
                 let verdict = Verdict::Denied {
-                    wait_ms: until.saturating_duration_since(now).as_millis() as u32,
-                    stock: stock_home + stock.abroad,
+                    wait_ms: enough_at.saturating_duration_since(now).as_millis() as u32,
+                    stock: stock_own_zone + stock.other_zones,
                 };
-                outcome.verdicts.push((ask, verdict));
+                outcome.verdicts.push((waiting, verdict));
             }
         }
-        self.waiting = still;
-        let use_now = self.use_at(now);
-        let at_hand = level - reserved;
-        if reserved > level || at_hand < use_now * LOW.as_secs_f64() {
-            let wanted = reserved + use_now * AHEAD.as_secs_f64() - stock.here;
-            outcome.collect = self.sources.choose(now, cx, self.pace, wanted);
+        self.waiting = still_waiting;
+        let usage = self.usage_rate(now);
+        let unreserved = held - reserved;
+        if reserved > held || unreserved < usage * COLLECT_BELOW.as_secs_f64() {
+            let wanted_amount =
+                reserved + usage * COLLECT_AHEAD.as_secs_f64() - stock.held_or_pending;
+            outcome.collect = self.sources.choose(now, cx, self.accrual, wanted_amount);
         }
         outcome
     }
 
-    /// Seconds in which so much is minted.
-    fn seconds_until(&self, lacks: f64) -> f64 {
-        lacks.max(0.0) / self.pace.rate.max(f64::MIN_POSITIVE)
+    /// Seconds until `missing` units have accrued in the fleet.
+    fn seconds_to_accrue(&self, missing: f64) -> f64 {
+        missing.max(0.0) / self.accrual.rate.max(f64::MIN_POSITIVE)
     }
 
-    fn on_use(&mut self, now: Instant, cost: f64) {
-        self.used = self.use_at(now) + cost / USE_OVER.as_secs_f64();
-        self.used_at = now;
+    fn record_usage(&mut self, now: Instant, cost: f64) {
+        self.usage = self.usage_rate(now) + cost / USAGE_SMOOTHING.as_secs_f64();
+        self.usage_updated = now;
     }
 
-    fn use_at(&self, now: Instant) -> f64 {
-        let passed = now.saturating_duration_since(self.used_at);
-        self.used * (-passed.as_secs_f64() / USE_OVER.as_secs_f64()).exp()
+    fn usage_rate(&self, now: Instant) -> f64 {
+        let passed = now.saturating_duration_since(self.usage_updated);
+        self.usage * (-passed.as_secs_f64() / USAGE_SMOOTHING.as_secs_f64()).exp()
     }
 
-    /// Collects from this instance itself.
-    fn take_own(&mut self, now: Instant, cx: &Context<'_>) {
-        let Some((from, size)) = cx.mint.ungiven(now, self.given) else {
+    /// Turns the running time of this instance into credit.
+    fn accrue_own(&mut self, now: Instant, cx: &AccountContext<'_>) {
+        let Some((from, size)) = cx.running_time.available(now, self.given_until) else {
             return;
         };
-        self.given = Some(now);
+        self.given_until = Some(now);
         let time = now.saturating_duration_since(from);
-        let amount = cx.worth(self.pace, time, size);
-        self.lots
-            .add_minted(now, (from, now), amount, self.pace.lifetime);
+        let amount = cx.worth(self.accrual, time, size);
+        self.batches
+            .add_accrued(now, (from, now), amount, self.accrual.lifetime);
     }
 
-    /// Gives away what this instance has; as a keeper, what its own zone does not need.
-    pub(super) fn give(
+    /// Gives away the credit of this instance; a coordinator keeps what its own zone needs.
+    pub(super) fn give_away(
         &mut self,
         now: Instant,
-        cx: &Context<'_>,
+        cx: &AccountContext<'_>,
         number: MessageNumber,
-        is_keeper: bool,
+        is_coordinator: bool,
     ) -> Credit {
-        let kept = if is_keeper {
-            self.use_at(now) * KEPT_HERE.as_secs_f64()
+        let reserve = if is_coordinator {
+            self.usage_rate(now) * COORDINATOR_RESERVE.as_secs_f64()
         } else {
             0.0
         };
         let spare = if self.waiting.is_empty() {
-            self.lots.level(now) - kept
+            self.batches.available(now) - reserve
         } else {
             0.0
         };
-        let lots = self.lots.hand_over(now, spare);
-        let (time, size) = match cx.mint.ungiven(now, self.given) {
+        let batches = self.batches.drain_latest(now, spare);
+        let (time, size) = match cx.running_time.available(now, self.given_until) {
             Some((from, size)) => (now.saturating_duration_since(from), size),
             None => (Duration::ZERO, 1),
         };
-        self.given = Some(now);
+        self.given_until = Some(now);
         Credit {
             number,
             organisation: self.name,
             time_us: time.as_micros() as u64,
             size,
-            lots: lots.iter().map(|l| (l.left_ms(now), l.amount)).collect(),
+            lots: batches.iter().map(|b| (b.left_ms(now), b.amount)).collect(),
         }
     }
 
-    /// Takes up what was collected; each collection brings something once, and not after its time.
+    /// Adds the credit from an answered collection. Returns `false` if the collection was answered
+    /// before or the answer is too late.
     pub(super) fn on_credit(
         &mut self,
         now: Instant,
-        cx: &Context<'_>,
+        cx: &AccountContext<'_>,
         from: Member,
         credit: &Credit,
     ) -> bool {
         let Some(collection) = self.sources.on_answer(now, from, credit.number) else {
             return false;
         };
-        let zone = cx.roster.zone_of(from);
+        let zone = cx.fleet.zone_of(from);
         let size = zone.map_or(credit.size, |z| z.size.max(credit.size));
-        let time = Duration::from_micros(credit.time_us).min(super::running_time::KEEPS);
-        let worth = cx.worth(self.pace, time, size);
+        let time = Duration::from_micros(credit.time_us).min(super::running_time::MAX_AGE);
+        let accrued = cx.worth(self.accrual, time, size);
         let sent = collection.sent;
-        let began = sent.checked_sub(time).unwrap_or(sent);
-        self.lots
-            .add_minted(now, (began, sent), worth, self.pace.lifetime);
-        let mut got = worth;
+        let accrued_from = sent.checked_sub(time).unwrap_or(sent);
+        self.batches
+            .add_accrued(now, (accrued_from, sent), accrued, self.accrual.lifetime);
+        let mut received = accrued;
         for (left_ms, amount) in &credit.lots {
-            let left = Duration::from_millis(u64::from(*left_ms)).min(self.pace.lifetime);
+            let left = Duration::from_millis(u64::from(*left_ms)).min(self.accrual.lifetime);
             let expires = sent + left;
             let amount = if amount.is_finite() {
                 amount.max(0.0)
             } else {
                 0.0
             };
-            got += amount;
-            self.lots.add(now, Batch { expires, amount });
+            received += amount;
+            self.batches.add(now, Batch { expires, amount });
         }
         if let Some(zone) = zone {
             self.sources
-                .on_yield(now, zone.name, got, collection.expected);
+                .record_yield(now, zone.name, received, collection.expected_amount);
         }
         true
     }
--- a/crates/decisions/src/credit/accrual.rs
+++ b/crates/decisions/src/credit/accrual.rs
@@ -1,73 +1,76 @@
-//! How fast credit of a limit is minted, and how long it lives.
+//! Rate at which the credit of a limit accrues, and its lifetime.
 
 use std::time::Duration;
 
 use super::GRANT_VALIDITY;
 
-/// A limit of an organisation, in the unit that it is charged in.
+/// Rate limit of an organisation, in the unit that requests are charged in.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limit {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units that may be saved up.
+    /// Burst in units: unspent allowance that may be saved up.
     pub burst: f64,
 }
 
 impl Limit {
-    /// Units that may be spent in a span.
+    /// Units that the limit allows within any `span`.
     pub fn allowance(&self, span: Duration) -> f64 {
         self.rate * span.as_secs_f64() + self.burst
     }
 }
 
-/// By how much the operator bears that an organisation passes its limit over the span.
+/// How far an organisation may exceed its limit over the span, as set by the operator.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Tolerance {
-    /// As a part of it.
+    /// Fraction of the allowance over the span.
     pub part: f64,
-    /// Beside that, in the unit of the limit.
+    /// Additional amount, in the unit of the limit.
     pub fixed: f64,
 }
 
-/// Credit of one limit over the whole fleet.
+/// Accrual of the credit of one limit over the whole fleet.
 ///
-/// What is minted in a span and the lives before it may be spent in that span. So rate and life are
-/// chosen such that their product holds the limit's burst and no span passes what is tolerated.
+/// Credit that accrues within a span, or within one lifetime before it, can be spent in that span.
+/// Rate and lifetime are chosen such that their product covers the burst of the limit, while no
+/// span exceeds the allowance plus the tolerance.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Accrual {
-    /// Units that the fleet mints in a second.
+    /// Units per second that accrue in the whole fleet.
     pub rate: f64,
-    /// Time after which a unit is worthless.
+    /// Time after which an accrued unit expires.
     pub lifetime: Duration,
 }
 
 impl Accrual {
-    /// Credit by which a limit holds in every span, with what is tolerated.
+    /// Computes the accrual that enforces `limit` in every `span`, up to the tolerance.
     pub fn new(limit: Limit, span: Duration, tolerance: Tolerance) -> Self {
-        let counted = limit.allowance(span);
-        let tolerated = counted * (1.0 + tolerance.part) + tolerance.fixed;
-        let in_use = (span + GRANT_VALIDITY).as_secs_f64();
-        let even = counted / span.as_secs_f64();
-        let rate = even.min((tolerated - limit.burst) / in_use).max(0.0);
+        let allowance = limit.allowance(span);
+        let tolerated = allowance * (1.0 + tolerance.part) + tolerance.fixed;
+        let usable_s = (span + GRANT_VALIDITY).as_secs_f64();
+        let average_rate = allowance / span.as_secs_f64();
+        let rate = average_rate
+            .min((tolerated - limit.burst) / usable_s)
+            .max(0.0);
         if rate <= 0.0 {
             return Self {
                 rate: 0.0,
                 lifetime: Duration::ZERO,
             };
         }
-        let life = (tolerated / rate - in_use).clamp(0.0, span.as_secs_f64());
+        let lifetime_s = (tolerated / rate - usable_s).clamp(0.0, span.as_secs_f64());
         Self {
             rate,
-            lifetime: Duration::from_secs_f64(life),
+            lifetime: Duration::from_secs_f64(lifetime_s),
         }
     }
 
-    /// The most credit that there is at any time.
+    /// Largest number of unexpired units at any time.
     pub fn max_stock(&self) -> f64 {
         self.rate * self.lifetime.as_secs_f64()
     }
 
-    /// The most that is spent in any span.
+    /// Largest number of units that can be spent in any `span`.
     pub fn max_spend(&self, span: Duration) -> f64 {
         self.rate * (span + self.lifetime + GRANT_VALIDITY).as_secs_f64()
     }
--- a/crates/decisions/src/credit/batches.rs
+++ b/crates/decisions/src/credit/batches.rs
@@ -1,101 +1,103 @@
-//! Credit at hand, by when it expires.
+//! Credit held by an instance, in batches ordered by expiry.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Batches that expire within this time of each other are one, which expires with the first.
-const GRID: Duration = Duration::from_millis(100);
+/// Batches that expire within this time of each other are merged; the merged batch expires with the
+/// earliest.
+const MERGE_WINDOW: Duration = Duration::from_millis(100);
 
-/// Credit that expires at one time.
+/// Units of credit that expire at the same time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Batch {
-    /// When it is worthless.
+    /// Time from which the credit is worthless.
     pub expires: Instant,
-    /// Units.
+    /// Amount in units.
     pub amount: f64,
 }
 
 impl Batch {
-    /// Milliseconds until it expires.
+    /// Milliseconds until the batch expires.
     pub(super) fn left_ms(&self, now: Instant) -> u32 {
         self.expires.saturating_duration_since(now).as_millis() as u32
     }
 }
 
-/// Batches, the first to expire in front.
+/// Batches in order of expiry, the earliest first.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Batches {
-    lots: VecDeque<Batch>,
+    batches: VecDeque<Batch>,
 }
 
 impl Batches {
-    /// Units at hand.
-    pub(super) fn level(&self, now: Instant) -> f64 {
-        let valid = self.lots.iter().filter(|l| l.expires > now);
-        valid.map(|l| l.amount).sum()
+    /// Unexpired units.
+    pub(super) fn available(&self, now: Instant) -> f64 {
+        let valid = self.batches.iter().filter(|b| b.expires > now);
+        valid.map(|b| b.amount).sum()
     }
 
-    /// Takes up a lot.
-    pub(super) fn add(&mut self, now: Instant, lot: Batch) {
-        while self.lots.front().is_some_and(|l| l.expires <= now) {
-            self.lots.pop_front();
+    /// Adds a batch, unless it has expired or is empty, and drops expired ones.
+    pub(super) fn add(&mut self, now: Instant, batch: Batch) {
+        while self.batches.front().is_some_and(|b| b.expires <= now) {
+            self.batches.pop_front();
         }
-        if lot.expires <= now || lot.amount <= 0.0 {
+        if batch.expires <= now || batch.amount <= 0.0 {
             return;
         }
-        let at = self.lots.partition_point(|l| l.expires <= lot.expires);
-        let before = at.checked_sub(1).and_then(|at| self.lots.get_mut(at));
+        let index = self.batches.partition_point(|b| b.expires <= batch.expires);
+        let before = index.checked_sub(1).and_then(|i| self.batches.get_mut(i));
         if let Some(before) = before
-            && lot.expires - before.expires < GRID
+            && batch.expires - before.expires < MERGE_WINDOW
         {
-            before.amount += lot.amount;
+            before.amount += batch.amount;
             return;
         }
-        self.lots.insert(at, lot);
+        self.batches.insert(index, batch);
     }
 
-    /// Takes up what was minted evenly between two times and lives for a while from then.
-    pub(super) fn add_minted(
+    /// Adds `amount` units that accrued evenly between two times and expire `lifetime` after they
+    /// accrued.
+    pub(super) fn add_accrued(
         &mut self,
         now: Instant,
         (from, to): (Instant, Instant),
         amount: f64,
-        life: Duration,
+        lifetime: Duration,
     ) {
-        let whole = to.saturating_duration_since(from);
-        let slices = whole.as_nanos().div_ceil(GRID.as_nanos()).max(1) as u32;
+        let elapsed = to.saturating_duration_since(from);
+        let slices = elapsed.as_nanos().div_ceil(MERGE_WINDOW.as_nanos()).max(1) as u32;
         for slice in 0..slices {
-            let begins = from + whole * slice / slices;
+            let accrued_at = from + elapsed * slice / slices;
             self.add(
                 now,
                 Batch {
-                    expires: begins + life,
+                    expires: accrued_at + lifetime,
                     amount: amount / f64::from(slices),
                 },
             );
         }
     }
 
-    /// Takes `cost` out, the first to expire first; returns a lot of that size that expires with the
-    /// first unit, or nothing if there is not enough.
+    /// Removes `cost` units, the earliest to expire first. Returns a batch of that amount that
+    /// expires with the first of its units, or `None` if there are too few units.
     pub(super) fn take(&mut self, now: Instant, cost: f64) -> Option<Batch> {
-        if cost > self.level(now) {
+        if cost > self.available(now) {
             return None;
         }
-        while self.lots.front().is_some_and(|l| l.expires <= now) {
-            self.lots.pop_front();
+        while self.batches.front().is_some_and(|b| b.expires <= now) {
+            self.batches.pop_front();
         }
-        let expires = self.lots.front().map_or(now, |l| l.expires);
-        let mut rest = cost;
-        while let Some(first) = self.lots.front_mut() {
-            if first.amount > rest {
-                first.amount -= rest;
+        let expires = self.batches.front().map_or(now, |b| b.expires);
+        let mut missing = cost;
+        while let Some(first) = self.batches.front_mut() {
+            if first.amount > missing {
+                first.amount -= missing;
                 break;
             }
-            rest -= first.amount;
-            self.lots.pop_front();
+            missing -= first.amount;
+            self.batches.pop_front();
         }
         Some(Batch {
             expires,
@@ -103,33 +105,33 @@
         })
     }
 
-    /// Hands over up to `most` units, the last to expire first.
-    pub(super) fn hand_over(&mut self, now: Instant, most: f64) -> Vec<Batch> {
-        let mut left = most;
-        let mut given = Vec::new();
-        while left > 0.0
-            && let Some(mut last) = self.lots.pop_back()
+    /// Removes and returns up to `max_units` units, the last to expire first.
+    pub(super) fn drain_latest(&mut self, now: Instant, max_units: f64) -> Vec<Batch> {
+        let mut remaining = max_units;
+        let mut drained = Vec::new();
+        while remaining > 0.0
+            && let Some(mut last) = self.batches.pop_back()
         {
-            if last.amount > left {
-                let kept = last.amount - left;
-                self.lots.push_back(Batch {
-                    amount: kept,
+            if last.amount > remaining {
+                let rest = last.amount - remaining;
+                self.batches.push_back(Batch {
+                    amount: rest,
                     ..last
                 });
-                last.amount = left;
+                last.amount = remaining;
             }
-            left -= last.amount;
+            remaining -= last.amount;
             if last.expires > now {
-                given.push(last);
+                drained.push(last);
             }
         }
-        given
+        drained
     }
 
-    /// Shrinks all lots to a part.
-    pub(super) fn scale(&mut self, part: f64) {
-        for lot in &mut self.lots {
-            lot.amount *= part;
+    /// Multiplies the amount of every batch by `factor`.
+    pub(super) fn scale(&mut self, factor: f64) {
+        for batch in &mut self.batches {
+            batch.amount *= factor;
         }
     }
 }
--- a/crates/decisions/src/credit/fleet_view.rs
+++ b/crates/decisions/src/credit/fleet_view.rs
@@ -1,4 +1,4 @@
-//! Who can be asked for credit, as one instance sees the fleet.
+//! The instances that can be asked for credit, as one instance sees the fleet.
 
 use std::cmp::Reverse;
 
@@ -7,12 +7,12 @@
 
 use crate::id::{Member, ShortName};
 
-/// How far a zone is.
+/// Distance of a zone from this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
-    /// The instance's own zone.
+    /// The zone of this instance.
     SameZone,
-    /// Another zone of the region.
+    /// Another zone of the same region.
     SameRegion,
     /// Another region.
     OtherRegion,
@@ -21,45 +21,48 @@
 /// The instances of one zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Zone {
-    /// Its name.
+    /// Short name of the zone.
     pub name: ShortName,
-    /// How far it is.
+    /// Distance of the zone from this instance.
     pub distance: Distance,
-    /// How many instances it has, with those that are silent now.
+    /// Number of instances in the zone, including unreachable ones.
     pub size: u32,
-    /// Those that are heard, without the instance itself.
+    /// Reachable instances of the zone, without this one.
     pub members: Vec<Member>,
 }
 
 /// The fleet as one instance sees it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct FleetView {
-    /// Zones, the nearest first. The own one comes first.
+    /// Zones ordered by distance; the first one is the zone of this instance.
     pub zones: Vec<Zone>,
-    /// Since when the instance may mint; not before it and its zone know each other.
+    /// Time since which this instance accrues credit; not before it and the other instances of its
+    /// zone have discovered each other.
     pub accrues_since: Option<Instant>,
 }
 
 impl FleetView {
-    /// Instances of the own zone, with the silent ones and this one.
+    /// Number of instances in the own zone, including unreachable ones and this one.
     pub fn zone_size(&self) -> u32 {
         self.zones.first().map_or(1, |z| z.size)
     }
 
-    /// Whether an instance of any zone is heard.
+    /// Whether `member` is a reachable instance of any zone.
     pub(super) fn has(&self, member: Member) -> bool {
         let has = |z: &Zone| z.members.contains(&member);
         self.zones.iter().any(has)
     }
 
-    /// The zone of an instance.
+    /// The zone of a reachable instance.
     pub(super) fn zone_of(&self, member: Member) -> Option<&Zone> {
         self.zones.iter().find(|z| z.members.contains(&member))
     }
 
-    /// The keeper of an organisation, by rendezvous hashing over the instances of the own zone.
+    /// Selects the credit coordinator of `organisation` among the instances of the own zone that
+    /// are `usable`, by rendezvous hashing.
     ///
-    /// Instances that disagree about it ask two of them, which is slower and not less safe.
+    /// Instances that disagree about the coordinator ask different ones, which is slower but
+    /// equally safe.
     pub(super) fn coordinator<F>(&self, organisation: ShortName, own: Member, usable: F) -> Member
     where
         F: Fn(Member) -> bool,
--- a/crates/decisions/src/credit/ledger.rs
+++ b/crates/decisions/src/credit/ledger.rs
@@ -1,4 +1,4 @@
-//! The credit of all organisations at one instance, and its requests for credit elsewhere.
+//! Credit accounts of all organisations at one instance, and its requests to credit coordinators.
 
 use std::time::Duration;
 
@@ -9,55 +9,59 @@
 use super::batches::Batch;
 use super::fleet_view::FleetView;
 use super::running_time::RunningTime;
-use super::sources::Context;
+use super::sources::AccountContext;
 use super::{Charge, Credit, GRANT_VALIDITY, Message, MessageNumber, Verdict};
 use crate::id::{Member, ShortName};
 
-/// Time after which a keeper that did not answer is asked again, or another one is.
-const RESEND: Duration = Duration::from_millis(100);
+/// Time after which an unanswered coordinator, or the one that replaced it, is asked again.
+const RESEND_AFTER: Duration = Duration::from_millis(100);
 
-/// Longest time that a request waits at a keeper, whatever it says.
-const LONGEST_PATIENCE: Duration = Duration::from_secs(5);
+/// Longest time that a request waits at a coordinator, even if it asks for more.
+const MAX_WAIT: Duration = Duration::from_secs(5);
 
-/// How often one keeper is asked about a request.
-const TRIES: u32 = 2;
+/// Number of messages to one coordinator about a request before it is suspected.
+const TRIES_PER_COORDINATOR: u32 = 2;
 
-/// A keeper that did not answer is passed over for so long, or until it is heard.
-const SUSPECT: Duration = Duration::from_secs(3);
+/// A coordinator that did not answer is not chosen for this long, or until a message from it
+/// arrives.
+const SUSPECT_FOR: Duration = Duration::from_secs(3);
 
-/// A life of an instance numbers its messages from `incarnation` times two to this power on.
-const LIFE_BITS: u32 = 32;
+/// An incarnation numbers its messages from `incarnation << SEQUENCE_BITS`.
+const SEQUENCE_BITS: u32 = 32;
 
-/// A request of this instance that a keeper decides on.
+/// A request of this instance that waits for the verdict of a remote coordinator.
 #[derive(Debug, Clone)]
 struct Pending {
     number: MessageNumber,
     organisation: ShortName,
     charge: Charge,
-    began: Instant,
-    /// When it was asked for.
-    asked: Vec<Instant>,
-    keeper: Member,
-    /// How often its keeper was asked and said nothing.
-    unheard: u32,
-    heard: Instant,
+    asked_first: Instant,
+    /// Send times of its messages, in order.
+    sent: Vec<Instant>,
+    coordinator: Member,
+    /// Number of messages to the current coordinator since it last answered.
+    unanswered_tries: u32,
+    /// When the coordinator last confirmed that the request is queued; first, when the request was
+    /// made.
+    last_answer: Instant,
 }
 
 impl Pending {
-    fn is_over(&self, now: Instant) -> bool {
-        now >= self.heard + GRANT_VALIDITY
-            || now >= self.began + self.charge.max_wait + GRANT_VALIDITY
+    /// Whether no verdict can arrive in time any more.
+    fn has_expired(&self, now: Instant) -> bool {
+        now >= self.last_answer + GRANT_VALIDITY
+            || now >= self.asked_first + self.charge.max_wait + GRANT_VALIDITY
     }
 
-    /// Whether credit that was granted upon one of its messages may still be used.
-    fn is_in_time(&self, now: Instant, tries: u32) -> bool {
-        let at = (tries as usize).checked_sub(1);
-        let asked = at.and_then(|at| self.asked.get(at));
-        asked.is_some_and(|asked| now < *asked + GRANT_VALIDITY)
+    /// Whether a grant for message number `tries` may still be used.
+    fn is_grant_valid(&self, now: Instant, tries: u32) -> bool {
+        let index = (tries as usize).checked_sub(1);
+        let sent = index.and_then(|i| self.sent.get(i));
+        sent.is_some_and(|sent| now < *sent + GRANT_VALIDITY)
     }
 }
 
-/// A verdict that was given to another instance.
+/// A verdict that was sent to another instance, kept to answer resent messages.
 #[derive(Debug, Clone)]
 struct Answered {
     member: Member,
@@ -67,76 +71,78 @@
     at: Instant,
 }
 
-/// Credit at one instance.
+/// Credit of all organisations at one instance.
 ///
-/// Messages and verdicts are taken out with [`Ledger::take_messages`] and [`Ledger::take_verdicts`].
+/// The caller fetches messages to send with [`Ledger::take_messages`] and verdicts with
+/// [`Ledger::take_verdicts`].
 #[derive(Debug, Clone)]
 pub struct Ledger {
     own: Member,
     span: Duration,
     tolerance: Tolerance,
-    roster: FleetView,
-    mint: RunningTime,
-    /// When others were known first.
-    since: Option<Instant>,
+    fleet: FleetView,
+    running_time: RunningTime,
+    /// When this instance first knew another one.
+    known_since: Option<Instant>,
     accounts: Vec<Account>,
     pending: Vec<Pending>,
     answered: Vec<Answered>,
     suspects: Vec<(Member, Instant)>,
-    next: MessageNumber,
+    last_number: MessageNumber,
     messages: Vec<(Member, Message)>,
     verdicts: Vec<(MessageNumber, Verdict)>,
 }
 
 impl Ledger {
-    /// Has no credit; `incarnation` tells its messages from those of lives before.
+    /// Creates a ledger without credit; `incarnation` distinguishes its messages from those of
+    /// earlier incarnations.
     pub fn new(own: Member, incarnation: u64) -> Self {
         Self {
             own,
             span: Duration::from_secs(1),
             tolerance: Tolerance::default(),
-            roster: FleetView::default(),
-            mint: RunningTime::default(),
-            since: None,
+            fleet: FleetView::default(),
+            running_time: RunningTime::default(),
+            known_since: None,
             accounts: Vec::new(),
             pending: Vec::new(),
             answered: Vec::new(),
             suspects: Vec::new(),
-            next: incarnation << LIFE_BITS,
+            last_number: incarnation << SEQUENCE_BITS,
             messages: Vec::new(),
             verdicts: Vec::new(),
         }
     }
 
-    /// Takes the span over which the operator counts, and what is tolerated in it.
+    /// Sets the span over which the operator counts usage, and the tolerance within it.
     pub fn set_bounds(&mut self, span: Duration, tolerance: Tolerance) {
         self.span = span;
         self.tolerance = tolerance;
     }
 
-    /// Takes the fleet as it is seen now.
-    pub fn set_fleet(&mut self, now: Instant, roster: &FleetView) {
-        self.mint
-            .observe(now, roster.zone_size(), roster.accrues_since);
-        let knows = roster.zones.iter().any(|z| !z.members.is_empty());
-        if self.since.is_none() && knows {
-            self.since = Some(now);
+    /// Updates the view of the fleet.
+    pub fn set_fleet(&mut self, now: Instant, fleet: &FleetView) {
+        self.running_time
+            .observe(now, fleet.zone_size(), fleet.accrues_since);
+        let knows_others = fleet.zones.iter().any(|z| !z.members.is_empty());
+        if self.known_since.is_none() && knows_others {
+            self.known_since = Some(now);
         }
         self.suspects.retain(|(_, until)| *until > now);
-        if self.roster != *roster {
+        if self.fleet != *fleet {
             for account in &mut self.accounts {
-                account.sources.keep_members(roster);
+                account.sources.retain_reachable(fleet);
             }
-            self.roster.clone_from(roster);
+            self.fleet.clone_from(fleet);
         }
     }
 
-    /// Whether this instance mints credit.
+    /// Whether this instance accrues credit.
     pub fn accrues(&self) -> bool {
-        self.roster.accrues_since.is_some()
+        self.fleet.accrues_since.is_some()
     }
 
-    /// Asks for credit for a request; the verdict bears the number.
+    /// Asks for credit for a request. The verdict carries the returned number.
     pub fn request(
         &mut self,
         now: Instant,
@@ -144,18 +150,18 @@
         limit: Limit,
         charge: Charge,
     ) -> MessageNumber {
-        let number = self.number();
-        let at = self.account(now, organisation);
-        self.accounts[at].set_limit(limit, self.span, self.tolerance);
-        let keeper = self.coordinator(now, organisation);
-        if keeper == self.own {
-            self.accounts[at].wait(now, self.own, number, charge);
+        let number = self.next_number();
+        let index = self.account_index(now, organisation);
+        self.accounts[index].set_limit(limit, self.span, self.tolerance);
+        let coordinator = self.coordinator(now, organisation);
+        if coordinator == self.own {
+            self.accounts[index].add_waiting(now, self.own, number, charge);
             self.serve(now, organisation);
             return number;
         }
-        // Credit of requests that did not run.
-        if let Some(lot) = self.accounts[at].lots.take(now, charge.cost) {
-            let left_ms = lot.left_ms(now);
+        // Reuses credit that was refunded for requests that did not run.
+        if let Some(batch) = self.accounts[index].batches.take(now, charge.cost) {
+            let left_ms = batch.left_ms(now);
             self.verdicts.push((number, Verdict::Granted { left_ms }));
             return number;
         }
@@ -163,18 +169,19 @@
             number,
             organisation,
             charge,
-            began: now,
-            asked: vec![now],
-            keeper,
-            unheard: 1,
-            heard: now,
+            asked_first: now,
+            sent: vec![now],
+            coordinator,
+            unanswered_tries: 1,
+            last_answer: now,
         };
         self.ask(now, &pending);
         self.pending.push(pending);
         number
     }
 
-    /// Takes a message; `limit` is that of the organisation that it names, if the table has one.
+    /// Handles a message from another instance. `limit` is the limit of the organisation named in
+    /// the message, if the table has one.
     pub fn on_message(
         &mut self,
         now: Instant,
@@ -195,7 +202,7 @@
                 let charge = Charge {
                     cost,
                     priority_class: class,
-                    max_wait: Duration::from_millis(u64::from(patience_ms)).min(LONGEST_PATIENCE),
+                    max_wait: Duration::from_millis(u64::from(patience_ms)).min(MAX_WAIT),
                 };
                 self.on_ask(now, (from, number, tries), organisation, charge, limit);
             }
@@ -232,34 +239,34 @@
             self.messages.push((from, message));
             return;
         }
-        // Without a table this instance is no keeper; the sender asks another one.
+        // Without a table this instance cannot act as coordinator; the sender asks another one.
         let Some(limit) = limit else {
             return;
         };
         if !charge.cost.is_finite() || charge.cost < 0.0 {
             return;
         }
-        let at = self.account(now, organisation);
-        let account = &mut self.accounts[at];
+        let index = self.account_index(now, organisation);
+        let account = &mut self.accounts[index];
         account.set_limit(limit, self.span, self.tolerance);
         let waits = |w: &Waiting| w.member == from && w.number == number;
         if !account.waiting.iter().any(waits) {
-            account.wait(now, from, number, charge);
+            account.add_waiting(now, from, number, charge);
         }
         for waiting in account.waiting.iter_mut().filter(|w| waits(w)) {
             waiting.tries = waiting.tries.max(tries);
         }
         self.serve(now, organisation);
-        let still = self.accounts[at].waiting.iter().any(waits);
-        if still {
+        let is_waiting = self.accounts[index].waiting.iter().any(waits);
+        if is_waiting {
             self.messages.push((from, Message::Held { number }));
         }
     }
 
     fn on_held(&mut self, now: Instant, number: MessageNumber) {
         if let Some(pending) = self.pending.iter_mut().find(|p| p.number == number) {
-            pending.unheard = 0;
-            pending.heard = now;
+            pending.unanswered_tries = 0;
+            pending.last_answer = now;
         }
     }
 
@@ -270,27 +277,35 @@
         number: MessageNumber,
         organisation: ShortName,
     ) {
-        let at = self.account(now, organisation);
-        let is_keeper = self.coordinator(now, organisation) == self.own;
-        let cx = context(&self.roster, &self.mint, self.since.unwrap_or(now));
-        let credit = self.accounts[at].give(now, &cx, number, is_keeper);
+        let index = self.account_index(now, organisation);
+        let is_coordinator = self.coordinator(now, organisation) == self.own;
+        let cx = context(
+            &self.fleet,
+            &self.running_time,
+            self.known_since.unwrap_or(now),
+        );
+        let credit = self.accounts[index].give_away(now, &cx, number, is_coordinator);
         self.messages.push((from, Message::Credit(credit)));
     }
 
     fn on_credit(&mut self, now: Instant, from: Member, credit: &Credit) {
-        let at = self.account(now, credit.organisation);
-        let cx = context(&self.roster, &self.mint, self.since.unwrap_or(now));
-        if self.accounts[at].on_credit(now, &cx, from, credit) {
+        let index = self.account_index(now, credit.organisation);
+        let cx = context(
+            &self.fleet,
+            &self.running_time,
+            self.known_since.unwrap_or(now),
+        );
+        if self.accounts[index].on_credit(now, &cx, from, credit) {
             self.serve(now, credit.organisation);
         }
     }
 
     fn on_verdict(&mut self, now: Instant, number: MessageNumber, tries: u32, verdict: Verdict) {
-        let Some(at) = self.pending.iter().position(|p| p.number == number) else {
+        let Some(index) = self.pending.iter().position(|p| p.number == number) else {
             return;
         };
-        let pending = self.pending.swap_remove(at);
-        let verdict = if pending.is_in_time(now, tries) {
+        let pending = self.pending.swap_remove(index);
+        let verdict = if pending.is_grant_valid(now, tries) {
             verdict
         } else {
             Verdict::Unanswered
@@ -298,7 +313,8 @@
         self.verdicts.push((number, verdict));
     }
 
-    /// Looks at what waits; to be called every few milliseconds while something does.
+    /// Decides on waiting requests and resends unanswered messages. To be called every few
+    /// milliseconds while the ledger is not idle.
     pub fn on_tick(&mut self, now: Instant) {
         let waits = |a: &Account| !a.waiting.is_empty();
         let waiting: Vec<ShortName> = self
@@ -311,22 +327,26 @@
             self.serve(now, organisation);
         }
         for mut pending in std::mem::take(&mut self.pending) {
-            if pending.is_over(now) {
+            if pending.has_expired(now) {
                 self.verdicts.push((pending.number, Verdict::Unanswered));
                 continue;
             }
-            if pending.asked.last().is_some_and(|at| now < *at + RESEND) {
+            if pending
+                .sent
+                .last()
+                .is_some_and(|sent| now < *sent + RESEND_AFTER)
+            {
                 self.pending.push(pending);
                 continue;
             }
-            pending.asked.push(now);
-            pending.unheard += 1;
-            if pending.unheard > TRIES {
-                self.suspects.push((pending.keeper, now + SUSPECT));
+            pending.sent.push(now);
+            pending.unanswered_tries += 1;
+            if pending.unanswered_tries > TRIES_PER_COORDINATOR {
+                self.suspects.push((pending.coordinator, now + SUSPECT_FOR));
             }
-            pending.keeper = self.coordinator(now, pending.organisation);
-            if pending.keeper == self.own {
-                self.keep_own(now, &pending);
+            pending.coordinator = self.coordinator(now, pending.organisation);
+            if pending.coordinator == self.own {
+                self.decide_locally(now, &pending);
             } else {
                 self.ask(now, &pending);
                 self.pending.push(pending);
@@ -334,35 +354,35 @@
         }
     }
 
-    /// Decides here on a request of this instance that another one had been asked about.
-    fn keep_own(&mut self, now: Instant, pending: &Pending) {
-        let at = self.account(now, pending.organisation);
-        self.accounts[at].wait(now, self.own, pending.number, pending.charge);
+    /// Decides locally on a request that was sent to another coordinator before.
+    fn decide_locally(&mut self, now: Instant, pending: &Pending) {
+        let index = self.account_index(now, pending.organisation);
+        self.accounts[index].add_waiting(now, self.own, pending.number, pending.charge);
         self.serve(now, pending.organisation);
     }
 
-    /// Whether nothing waits, here or elsewhere.
+    /// Whether no request waits for a verdict, here or at a coordinator.
     pub fn is_idle(&self) -> bool {
         self.pending.is_empty() && self.accounts.iter().all(|a| a.waiting.is_empty())
     }
 
-    /// Takes back the credit of a request that did not run.
-    pub fn refund(&mut self, now: Instant, organisation: ShortName, lot: Batch) {
-        let at = self.account(now, organisation);
-        self.accounts[at].lots.add(now, lot);
+    /// Refunds the credit of a request that did not run.
+    pub fn refund(&mut self, now: Instant, organisation: ShortName, batch: Batch) {
+        let index = self.account_index(now, organisation);
+        self.accounts[index].batches.add(now, batch);
     }
 
-    /// Messages to send.
+    /// Removes and returns the messages to send, with their receivers.
     pub fn take_messages(&mut self) -> Vec<(Member, Message)> {
         std::mem::take(&mut self.messages)
     }
 
-    /// Verdicts on requests of this instance.
+    /// Removes and returns the verdicts on requests of this instance.
     pub fn take_verdicts(&mut self) -> Vec<(MessageNumber, Verdict)> {
         std::mem::take(&mut self.verdicts)
     }
 
-    /// The instance that is asked for an organisation's credit.
+    /// The instance that coordinates an organisation's credit.
     pub fn coordinator(&self, now: Instant, organisation: ShortName) -> Member {
         let usable = |m: Member| {
             !self
@@ -370,17 +390,18 @@
                 .iter()
                 .any(|(s, until)| *s == m && *until > now)
         };
-        self.roster.coordinator(organisation, self.own, usable)
+        self.fleet.coordinator(organisation, self.own, usable)
     }
 
-    /// Credit of an organisation over the fleet, by the limit that was seen last.
+    /// Fleet-wide accrual of an organisation, by the limit that was last applied.
     pub fn accrual(&self, organisation: ShortName) -> Option<Accrual> {
-        let at = self.position(organisation).ok()?;
-        Some(self.accounts[at].pace())
+        let index = self.position(organisation).ok()?;
+        Some(self.accounts[index].accrual())
     }
 
+    /// Sends a request to its coordinator.
     fn ask(&mut self, now: Instant, pending: &Pending) {
-        let waited = now.saturating_duration_since(pending.began);
+        let waited = now.saturating_duration_since(pending.asked_first);
         let patience = pending.charge.max_wait.saturating_sub(waited);
         let message = Message::Ask {
             number: pending.number,
@@ -388,24 +409,36 @@
             cost: pending.charge.cost,
             class: pending.charge.priority_class,
             patience_ms: patience.as_millis() as u32,
-            tries: pending.asked.len() as u32,
+            tries: pending.sent.len() as u32,
         };
-        self.messages.push((pending.keeper, message));
+        self.messages.push((pending.coordinator, message));
     }
 
+    /// Decides on the waiting requests of an organisation and sends the resulting verdicts and
+    /// collections.
     fn serve(&mut self, now: Instant, organisation: ShortName) {
-        let at = self.account(now, organisation);
-        let cx = context(&self.roster, &self.mint, self.since.unwrap_or(now));
-        let Outcome { verdicts, collect } = self.accounts[at].serve(now, &cx);
-        for (ask, verdict) in verdicts {
-            self.tell(now, &ask, verdict);
+        let index = self.account_index(now, organisation);
+        let cx = context(
+            &self.fleet,
+            &self.running_time,
+            self.known_since.unwrap_or(now),
+        );
+        let Outcome { verdicts, collect } = self.accounts[index].serve(now, &cx);
+        for (waiting, verdict) in verdicts {
+            self.send_verdict(now, &waiting, verdict);
         }
         for member in collect {
-            let number = self.number();
-            let cx = context(&self.roster, &self.mint, self.since.unwrap_or(now));
-            let account = &mut self.accounts[at];
-            let pace = account.pace();
-            account.sources.on_sent(now, &cx, pace, member, number);
+            let number = self.next_number();
+            let cx = context(
+                &self.fleet,
+                &self.running_time,
+                self.known_since.unwrap_or(now),
+            );
+            let account = &mut self.accounts[index];
+            let accrual = account.accrual();
+            account
+                .sources
+                .record_sent(now, &cx, accrual, member, number);
             let message = Message::Collect {
                 number,
                 organisation,
@@ -414,30 +447,30 @@
         }
     }
 
-    fn tell(&mut self, now: Instant, ask: &Waiting, verdict: Verdict) {
-        let number = ask.number;
-        if ask.member == self.own {
+    fn send_verdict(&mut self, now: Instant, waiting: &Waiting, verdict: Verdict) {
+        let number = waiting.number;
+        if waiting.member == self.own {
             self.verdicts.push((number, verdict));
             return;
         }
         self.answered.push(Answered {
-            member: ask.member,
+            member: waiting.member,
             number,
-            tries: ask.tries,
+            tries: waiting.tries,
             verdict,
             at: now,
         });
         let message = Message::Verdict {
             number,
-            tries: ask.tries,
+            tries: waiting.tries,
             verdict,
         };
-        self.messages.push((ask.member, message));
+        self.messages.push((waiting.member, message));
     }
 
-    fn number(&mut self) -> MessageNumber {
-        self.next = self.next.wrapping_add(1);
-        self.next
+    fn next_number(&mut self) -> MessageNumber {
+        self.last_number = self.last_number.wrapping_add(1);
+        self.last_number
     }
 
     fn position(&self, organisation: ShortName) -> Result<usize, usize> {
@@ -445,18 +478,23 @@
             .binary_search_by_key(&organisation, |a| a.name)
     }
 
-    fn account(&mut self, now: Instant, organisation: ShortName) -> usize {
-        self.position(organisation).unwrap_or_else(|at| {
-            self.accounts.insert(at, Account::new(now, organisation));
-            at
+    /// Index of the account of an organisation, which is created if missing.
+    fn account_index(&mut self, now: Instant, organisation: ShortName) -> usize {
+        self.position(organisation).unwrap_or_else(|index| {
+            self.accounts.insert(index, Account::new(now, organisation));
+            index
         })
     }
 }
 
-fn context<'a>(roster: &'a FleetView, mint: &'a RunningTime, since: Instant) -> Context<'a> {
-    Context {
-        roster,
-        mint,
-        since,
+fn context<'a>(
+    fleet: &'a FleetView,
+    running_time: &'a RunningTime,
+    known_since: Instant,
+) -> AccountContext<'a> {
+    AccountContext {
+        fleet,
+        running_time,
+        known_since,
     }
 }
--- a/crates/decisions/src/credit/message.rs
+++ b/crates/decisions/src/credit/message.rs
@@ -1,85 +1,85 @@
-//! What instances say to each other about credit.
+//! Messages between instances about credit.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::ShortName;
 
-/// Tells messages of one sender apart, over its restarts.
+/// Number of a request or collection, unique per sender and across its restarts.
 pub type MessageNumber = u64;
 
 /// A message about credit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// To a keeper: a request wants credit.
+    /// To a coordinator: asks for credit for a request.
     Ask {
         /// Number of the request at the sender.
         number: MessageNumber,
-        /// Whose limit it counts towards.
+        /// Organisation whose limit the request counts towards.
         organisation: ShortName,
-        /// Units.
+        /// Cost in units of the limit.
         cost: f64,
-        /// Its class, lower first.
+        /// Priority class, lower first.
         class: u32,
-        /// Milliseconds for which it may still wait.
+        /// Milliseconds for which the request may still wait.
         patience_ms: u32,
-        /// How often it was asked for, with this message.
+        /// Number of messages sent for this request, including this one.
         tries: u32,
     },
-    /// From a keeper: the request waits there, its verdict follows.
+    /// From a coordinator: the request is queued there; a verdict follows.
     Held {
         /// Number of the request.
         number: MessageNumber,
     },
-    /// From a keeper: the decision on a request.
+    /// From a coordinator: the decision on a request.
     Verdict {
         /// Number of the request.
         number: MessageNumber,
-        /// The last of its messages that the keeper had by then.
+        /// `tries` of the last message that the coordinator had received for the request.
         tries: u32,
-        /// What was decided.
+        /// The decision.
         verdict: Verdict,
     },
-    /// From a keeper: give what you have of an organisation.
+    /// From a coordinator: asks for the receiver's spare credit of an organisation.
     Collect {
         /// Number of the collection at the sender.
         number: MessageNumber,
-        /// Whose credit is wanted.
+        /// Organisation whose credit is collected.
         organisation: ShortName,
     },
-    /// To a keeper: the sender has this no more.
+    /// To a coordinator: credit that the sender has given away.
     Credit(Credit),
 }
 
-/// What an instance gives to a keeper.
+/// Credit that an instance gives to a coordinator.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Credit {
-    /// Number of the collection that it answers.
+    /// Number of the answered collection.
     pub number: MessageNumber,
-    /// Whose credit it is.
+    /// Organisation whose credit this is.
     pub organisation: ShortName,
-    /// Microseconds of its running time that it had not given away yet.
+    /// Microseconds of the sender's running time that had not been given away before.
     pub time_us: u64,
-    /// Largest number of instances of its zone that it knew in that time.
+    /// Largest size of the sender's zone that it observed during that time.
     pub size: u32,
-    /// Milliseconds until expiry and units of credit that it held.
+    /// Batches that the sender held: milliseconds until expiry, and units.
     pub lots: Vec<(u32, f64)>,
 }
 
-/// What a keeper decides on a request.
+/// A coordinator's decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It may run, if it starts within [`super::GRANT_VALIDITY`] of the message that was answered.
+    /// The request may run if it starts within [`super::GRANT_VALIDITY`] after the answered message.
     Granted {
-        /// Milliseconds until the credit that it took expires.
+        /// Milliseconds until the granted credit expires.
         left_ms: u32,
     },
-    /// It may not.
+    /// The request may not run.
     Denied {
-        /// Milliseconds after which it would pass.
+        /// Milliseconds after which enough credit will have accrued for the request.
         wait_ms: u32,
-        /// Units that the keeper took to be there, in its zone and elsewhere.
+        /// Units that the coordinator estimated to be available, in its zone and in others.
         stock: f64,
     },
-    /// No keeper answered in time.
+    /// No coordinator answered in time.
     Unanswered,
 }
--- a/crates/decisions/src/credit/precedence.rs
+++ b/crates/decisions/src/credit/precedence.rs
@@ -1,59 +1,64 @@
-//! What a request leaves of its organisation's limit for more urgent ones.
+//! Part of an organisation's limit that its less urgent requests leave to more urgent ones.
 
 use super::Charge;
 
-/// What a request leaves of the limit for each half of a tier by which it stands behind what its
-/// organisation usually sends: beyond its limit an organisation gets its urgent and its short
-/// requests first. By the tier alone short checks would yield to reports that a customer waits for no
-/// longer than for them.
-const KEPT_BY_CLASS: f64 = 0.1;
+/// Part of the limit that a request leaves unused for each half tier by which it is less urgent
+/// than the organisation's usual class.
+///
+/// Beyond its limit an organisation thus gets its urgent and its short requests served first. By
+/// tier alone, short checks would yield to reports, although a customer waits no longer for such a
+/// report than for a check.
+const RESERVED_PART_PER_CLASS: f64 = 0.1;
 
-/// The most that a request leaves.
-const MOST_KEPT: f64 = 0.5;
+/// Largest part of the limit that a request leaves unused.
+const MAX_RESERVED_PART: f64 = 0.5;
 
-/// Part of the burst below which a request is so cheap that it leaves nothing and waits for nobody: an
-/// order of 200 tokens takes nothing from a report of 10,000.
-const CHEAP: f64 = 0.01;
+/// Part of the burst below which a request is cheap: it leaves nothing unused and is served before
+/// all other requests. An order of 200 tokens takes practically nothing from a report of 10,000.
+const CHEAP_PART_OF_BURST: f64 = 0.01;
 
-/// A request that needs more than this part of the limit, with what it leaves, passes once that much is
-/// free; else it never would, though it is within the limit over time.
-const ENOUGH: f64 = 0.9;
+/// Part of the largest possible stock that is enough for any request that costs no more. A request
+/// that costs more, or would have to leave more unused, could otherwise never pass, although it is
+/// within the limit over time.
+const MAX_NEEDED_PART: f64 = 0.9;
 
-/// Weight of a whole limit's worth of requests in the usual class.
-const USUAL_WEIGHT: f64 = 4.0;
+/// Weight in the usual class of requests that together cost the largest possible stock.
+const USUAL_CLASS_WEIGHT: f64 = 4.0;
 
-/// The most that one request weighs in it.
-const MOST_WEIGHT: f64 = 0.5;
+/// Largest weight of a single request in the usual class.
+const MAX_REQUEST_WEIGHT: f64 = 0.5;
 
-/// What an organisation usually asks for.
+/// Usual priority class of an organisation's requests.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Precedence {
-    /// Mean class, by cost.
-    usual: Option<f64>,
+    /// Moving average of the class, weighted by cost; `None` before the first request.
+    usual_class: Option<f64>,
 }
 
 impl Precedence {
-    /// Notes the class of a request, and returns the part of the limit that it leaves to others.
-    pub(super) fn kept(&mut self, charge: &Charge, burst: f64, depth: f64) -> f64 {
+    /// Adds the request to the usual class and returns the part of the limit that it leaves unused.
+    /// `max_stock` is the largest stock in units that the limit can have.
+    pub(super) fn update(&mut self, charge: &Charge, burst: f64, max_stock: f64) -> f64 {
         let class = f64::from(charge.priority_class);
-        let part = charge.cost / depth.max(f64::MIN_POSITIVE);
-        let weight = (part * USUAL_WEIGHT).clamp(0.0, MOST_WEIGHT);
-        let usual = self.usual.get_or_insert(class);
-        *usual += (class - *usual) * weight;
-        let behind = class - *usual;
+        let part = charge.cost / max_stock.max(f64::MIN_POSITIVE);
+        let weight = (part * USUAL_CLASS_WEIGHT).clamp(0.0, MAX_REQUEST_WEIGHT);
+        let usual_class = self.usual_class.get_or_insert(class);
+        *usual_class += (class - *usual_class) * weight;
+        let classes_below = class - *usual_class;
         if is_cheap(charge.cost, burst) {
             return 0.0;
         }
-        (behind * KEPT_BY_CLASS).clamp(0.0, MOST_KEPT)
+        (classes_below * RESERVED_PART_PER_CLASS).clamp(0.0, MAX_RESERVED_PART)
     }
 }
 
-/// Whether a request takes next to nothing of a limit with such a burst.
+/// Whether a request costs only a negligible part of the burst.
 pub(super) fn is_cheap(cost: f64, burst: f64) -> bool {
-    cost < burst * CHEAP
+    cost < burst * CHEAP_PART_OF_BURST
 }
 
-/// Units that have to be there for a request that leaves a part to others.
-pub(super) fn needed(cost: f64, kept: f64, depth: f64) -> f64 {
-    (cost + kept * depth).min((depth * ENOUGH).max(cost))
+/// Stock in units that must be available for a request that leaves `reserved_part` of `max_stock`
+/// unused.
+pub(super) fn needed_stock(cost: f64, reserved_part: f64, max_stock: f64) -> f64 {
+    (cost + reserved_part * max_stock).min((max_stock * MAX_NEEDED_PART).max(cost))
 }
--- a/crates/decisions/src/credit/sources.rs
+++ b/crates/decisions/src/credit/sources.rs
@@ -1,4 +1,5 @@
-//! Where credit of an organisation can be collected, and how much is likely there.
+//! Instances from which credit of an organisation can be collected, and estimates of how much they
+//! have.
 
 use std::time::Duration;
 
@@ -10,235 +11,256 @@
 use super::running_time::RunningTime;
 use crate::id::{Member, ShortName};
 
-/// Time that the answer to a collection may take, by distance.
-const TRAVEL: [Duration; 3] = [
+/// Time within which a collection must be answered, indexed by [`Distance`].
+const ANSWER_TIMEOUT: [Duration; 3] = [
     Duration::from_millis(100),
     Duration::from_millis(150),
     Duration::from_millis(250),
 ];
 
-/// Shortest time between two collections from one instance, by distance.
-const GAP: [Duration; 3] = [
+/// Shortest time between two collections from one instance, indexed by [`Distance`].
+const MIN_COLLECT_INTERVAL: [Duration; 3] = [
     Duration::from_millis(50),
     Duration::from_millis(100),
     Duration::from_millis(250),
 ];
 
-/// Time in which a zone that gave little is expected to give again.
-const YIELD_BACK: Duration = Duration::from_secs(4);
+/// Time in which the expected yield of a zone recovers to the full amount.
+const YIELD_RECOVERY: Duration = Duration::from_secs(4);
 
-/// Weight of one answer in what a zone is expected to give.
-const YIELD_WEIGHT: f64 = 0.3;
+/// Weight of one answer in the moving average of the yield of a zone.
+const YIELD_SMOOTHING: f64 = 0.3;
 
-/// What an account has to know of its instance.
+/// State of the instance that an account needs for its decisions.
 #[derive(Debug, Clone)]
-pub(super) struct Context<'a> {
-    pub(super) roster: &'a FleetView,
-    pub(super) mint: &'a RunningTime,
-    /// Since when others are known.
-    pub(super) since: Instant,
+pub(super) struct AccountContext<'a> {
+    pub(super) fleet: &'a FleetView,
+    pub(super) running_time: &'a RunningTime,
+    /// Time at which this instance first knew another one.
+    pub(super) known_since: Instant,
 }
 
-impl Context<'_> {
+impl AccountContext<'_> {
+    /// Number of zones, at least 1.
     pub(super) fn zones(&self) -> f64 {
-        self.roster.zones.len().max(1) as f64
+        self.fleet.zones.len().max(1) as f64
     }
 
-    /// Units that some running time of an instance is worth, in a zone of `size` instances.
-    pub(super) fn worth(&self, pace: Accrual, time: Duration, size: u32) -> f64 {
-        pace.rate * time.as_secs_f64() / (self.zones() * f64::from(size.max(1)))
+    /// Units that `time` of an instance's running time is worth in a zone of `size` instances.
+    pub(super) fn worth(&self, accrual: Accrual, time: Duration, size: u32) -> f64 {
+        accrual.rate * time.as_secs_f64() / (self.zones() * f64::from(size.max(1)))
     }
 }
 
-/// A collection that was not answered yet.
+/// A collection that is not answered yet.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Collection {
+pub(super) struct PendingCollection {
     number: MessageNumber,
     from: Member,
+    /// When the collection was sent.
     pub(super) sent: Instant,
-    pub(super) expected: f64,
+    /// Units that the answer is expected to bring.
+    pub(super) expected_amount: f64,
     distance: Distance,
 }
 
-impl Collection {
-    fn is_due(&self, now: Instant) -> bool {
-        now < self.sent + TRAVEL[self.distance as usize]
+impl PendingCollection {
+    /// Whether an answer that arrives now still counts.
+    fn is_in_time(&self, now: Instant) -> bool {
+        now < self.sent + ANSWER_TIMEOUT[self.distance as usize]
     }
 }
 
-/// What a zone gave of what was expected.
+/// Measured yield of a zone: the fraction of the expected credit that it delivered.
 #[derive(Debug, Clone, Copy)]
-struct Yield {
+struct ZoneYield {
     zone: ShortName,
     part: f64,
     at: Instant,
 }
 
-/// Where credit is, in units.
+/// Estimated credit of an organisation in units, by location.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Stock {
-    /// At hand and on its way here.
-    pub(super) here: f64,
-    /// Not collected yet in the own zone.
-    pub(super) home: f64,
-    /// Not collected yet in the other zones.
-    pub(super) abroad: f64,
+    /// Held by this instance, or expected from pending collections.
+    pub(super) held_or_pending: f64,
+    /// Not collected yet, at instances of the own zone.
+    pub(super) own_zone: f64,
+    /// Not collected yet, at instances of other zones.
+    pub(super) other_zones: f64,
 }
 
-/// The instances that were asked for credit of one organisation.
+/// Collections of the credit of one organisation.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Sources {
-    /// When each was asked last, by instance.
-    asked: Vec<(Member, Instant)>,
-    collections: Vec<Collection>,
-    yields: Vec<Yield>,
+    /// When each instance was last asked; sorted by instance.
+    last_asked: Vec<(Member, Instant)>,
+    collections: Vec<PendingCollection>,
+    yields: Vec<ZoneYield>,
 }
 
 impl Sources {
-    /// Forgets collections whose answers would come too late.
-    pub(super) fn forget_late(&mut self, now: Instant) {
-        self.collections.retain(|c| c.is_due(now));
+    /// Drops collections whose answers would arrive too late.
+    pub(super) fn drop_expired(&mut self, now: Instant) {
+        self.collections.retain(|c| c.is_in_time(now));
     }
 
-    /// Forgets instances that are not heard any more.
-    pub(super) fn keep_members(&mut self, roster: &FleetView) {
-        self.asked.retain(|(m, _)| roster.has(*m));
+    /// Forgets when instances that are no longer reachable were asked.
+    pub(super) fn retain_reachable(&mut self, fleet: &FleetView) {
+        self.last_asked.retain(|(m, _)| fleet.has(*m));
     }
 
-    /// Where credit is, with `level` at hand.
-    pub(super) fn stock(&self, now: Instant, cx: &Context<'_>, pace: Accrual, level: f64) -> Stock {
-        let on_the_way: f64 = self.collections.iter().map(|c| c.expected).sum();
+    /// Estimates where credit is, with `held` units held by this instance.
+    pub(super) fn stock(
+        &self,
+        now: Instant,
+        cx: &AccountContext<'_>,
+        accrual: Accrual,
+        held: f64,
+    ) -> Stock {
+        let pending: f64 = self.collections.iter().map(|c| c.expected_amount).sum();
         let mut stock = Stock {
-            here: level + on_the_way,
-            home: 0.0,
-            abroad: 0.0,
+            held_or_pending: held + pending,
+            own_zone: 0.0,
+            other_zones: 0.0,
         };
-        for zone in &cx.roster.zones {
-            let part = self.yields_of(now, zone.name);
+        for zone in &cx.fleet.zones {
+            let yield_part = self.zone_yield(now, zone.name);
             let members = zone.members.iter();
-            let expected = members.map(|m| self.expected(now, cx, pace, zone, *m));
-            let sum = expected.sum::<f64>() * part;
+            let amounts = members.map(|m| self.expected_amount(now, cx, accrual, zone, *m));
+            let sum = amounts.sum::<f64>() * yield_part;
             match zone.distance {
-                Distance::SameZone => stock.home += sum,
-                _ => stock.abroad += sum,
+                Distance::SameZone => stock.own_zone += sum,
+                _ => stock.other_zones += sum,
             }
         }
         stock
     }
 
-    /// Instances from which `wanted` units can be expected, the nearest first and of those the ones that
-    /// were not asked for longest.
+    /// Selects instances to collect `wanted_amount` units from: the nearest first, among equally
+    /// near ones those that were asked longest ago.
     pub(super) fn choose(
         &self,
         now: Instant,
-        cx: &Context<'_>,
-        pace: Accrual,
-        wanted: f64,
+        cx: &AccountContext<'_>,
+        accrual: Accrual,
+        wanted_amount: f64,
     ) -> Vec<Member> {
         let mut chosen = Vec::new();
-        let mut left = wanted;
-        for zone in &cx.roster.zones {
-            let gap = GAP[zone.distance as usize];
-            let part = self.yields_of(now, zone.name);
-            let members = zone.members.iter().map(|m| (self.asked_at(*m), *m));
+        let mut remaining = wanted_amount;
+        for zone in &cx.fleet.zones {
+            let interval = MIN_COLLECT_INTERVAL[zone.distance as usize];
+            let yield_part = self.zone_yield(now, zone.name);
+            let members = zone.members.iter().map(|m| (self.last_asked_at(*m), *m));
             let mut members: Vec<_> = members
-                .filter(|(asked, _)| asked.is_none_or(|at| at + gap <= now))
+                .filter(|(last_asked, _)| last_asked.is_none_or(|at| at + interval <= now))
                 .collect();
             members.sort_unstable();
             for (_, member) in members {
-                if left <= 0.0 {
+                if remaining <= 0.0 {
                     return chosen;
                 }
-                left -= self.expected(now, cx, pace, zone, member) * part;
+                remaining -= self.expected_amount(now, cx, accrual, zone, member) * yield_part;
                 chosen.push(member);
             }
         }
         chosen
     }
 
-    /// Notes that an instance is asked.
-    pub(super) fn on_sent(
+    /// Records that a collection was sent to instance `from`.
+    pub(super) fn record_sent(
         &mut self,
         now: Instant,
-        cx: &Context<'_>,
-        pace: Accrual,
+        cx: &AccountContext<'_>,
+        accrual: Accrual,
         from: Member,
         number: MessageNumber,
     ) {
-        let Some(zone) = cx.roster.zone_of(from) else {
+        let Some(zone) = cx.fleet.zone_of(from) else {
             return;
         };
-        let part = self.yields_of(now, zone.name);
-        self.collections.push(Collection {
+        let yield_part = self.zone_yield(now, zone.name);
+        self.collections.push(PendingCollection {
             number,
             from,
             sent: now,
-            expected: self.expected(now, cx, pace, zone, from) * part,
+            expected_amount: self.expected_amount(now, cx, accrual, zone, from) * yield_part,
             distance: zone.distance,
         });
-        match self.asked.binary_search_by_key(&from, |(m, _)| *m) {
-            Ok(at) => self.asked[at].1 = now,
-            Err(at) => self.asked.insert(at, (from, now)),
+        match self.last_asked.binary_search_by_key(&from, |(m, _)| *m) {
+            Ok(i) => self.last_asked[i].1 = now,
+            Err(i) => self.last_asked.insert(i, (from, now)),
         }
     }
 
-    /// The collection that an instance answers, if it still counts. It counts once.
+    /// Removes and returns the collection that an answer belongs to. Returns `None` if it was
+    /// answered already or the answer is too late.
     pub(super) fn on_answer(
         &mut self,
         now: Instant,
         from: Member,
         number: MessageNumber,
-    ) -> Option<Collection> {
-        let is_it = |c: &Collection| c.number == number && c.from == from;
-        let at = self.collections.iter().position(is_it)?;
-        let collection = self.collections.swap_remove(at);
-        collection.is_due(now).then_some(collection)
+    ) -> Option<PendingCollection> {
+        let answers = |c: &PendingCollection| c.number == number && c.from == from;
+        let i = self.collections.iter().position(answers)?;
+        let collection = self.collections.swap_remove(i);
+        collection.is_in_time(now).then_some(collection)
     }
 
-    /// Learns from what came how much to expect of a zone.
-    pub(super) fn on_yield(&mut self, now: Instant, zone: ShortName, got: f64, expected: f64) {
-        let before = self.yields_of(now, zone);
-        if expected <= 0.0 {
+    /// Updates the yield of a zone after an answer that brought `received` of `expected_amount`
+    /// units.
+    pub(super) fn record_yield(
+        &mut self,
+        now: Instant,
+        zone: ShortName,
+        received: f64,
+        expected_amount: f64,
+    ) {
+        let before = self.zone_yield(now, zone);
+        if expected_amount <= 0.0 {
             return;
         }
-        // What was expected had been multiplied by the yield already.
-        let seen = (got / expected * before).clamp(0.0, 1.0);
-        let part = before + (seen - before) * YIELD_WEIGHT;
+        // The expected amount already includes the yield.
+        let measured = (received / expected_amount * before).clamp(0.0, 1.0);
+        let part = before + (measured - before) * YIELD_SMOOTHING;
         self.yields.retain(|y| y.zone != zone);
-        self.yields.push(Yield {
+        self.yields.push(ZoneYield {
             zone,
             part,
             at: now,
         });
     }
 
-    /// What an instance has minted since it was asked last, if nobody else asked it.
-    fn expected(
+    /// Units that `member` has accrued since it was last asked, if no other instance has asked it.
+    fn expected_amount(
         &self,
         now: Instant,
-        cx: &Context<'_>,
-        pace: Accrual,
+        cx: &AccountContext<'_>,
+        accrual: Accrual,
         zone: &Zone,
         member: Member,
     ) -> f64 {
-        let since = self
-            .asked_at(member)
-            .map_or(cx.since, |at| at.max(cx.since));
-        let passed = now.saturating_duration_since(since).min(pace.lifetime);
-        cx.worth(pace, passed, zone.size)
+        let accrued_since = self
+            .last_asked_at(member)
+            .map_or(cx.known_since, |at| at.max(cx.known_since));
+        let passed = now
+            .saturating_duration_since(accrued_since)
+            .min(accrual.lifetime);
+        cx.worth(accrual, passed, zone.size)
     }
 
-    fn asked_at(&self, member: Member) -> Option<Instant> {
-        let found = self.asked.binary_search_by_key(&member, |(m, _)| *m);
-        found.ok().map(|at| self.asked[at].1)
+    fn last_asked_at(&self, member: Member) -> Option<Instant> {
+        let found = self.last_asked.binary_search_by_key(&member, |(m, _)| *m);
+        found.ok().map(|i| self.last_asked[i].1)
     }
 
-    fn yields_of(&self, now: Instant, zone: ShortName) -> f64 {
-        let Some(seen) = self.yields.iter().find(|y| y.zone == zone) else {
+    /// Fraction of the expected credit that the zone is assumed to deliver now.
+    fn zone_yield(&self, now: Instant, zone: ShortName) -> f64 {
+        let Some(measured) = self.yields.iter().find(|y| y.zone == zone) else {
             return 1.0;
         };
-        let passed = now.saturating_duration_since(seen.at).as_secs_f64();
-        let back = (passed / YIELD_BACK.as_secs_f64()).min(1.0);
-        seen.part + (1.0 - seen.part) * back
+        let passed = now.saturating_duration_since(measured.at).as_secs_f64();
+        let recovered = (passed / YIELD_RECOVERY.as_secs_f64()).min(1.0);
+        measured.part + (1.0 - measured.part) * recovered
     }
 }
