--- a/crates/decisions/src/shedding.rs
+++ b/crates/decisions/src/shedding.rs
@@ -1,4 +1,4 @@
-//! RefusalStep for want of capacity, lowest tier first.
+//! Refusal of requests for lack of capacity, lowest tier first.
 //!
 //! Load pattern: overload for longer than any queue can absorb, on several instances at once.
 //! Without this, the instance that happens to hold a request of a high tier refuses it while
