--- a/crates/decisions/src/limits/member.rs
+++ b/crates/decisions/src/limits/member.rs
@@ -1,34 +1,35 @@
-//! An instance's side of the organisations' limits.
+//! Instance side of the limits of all organisations.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
 use crate::id::{InstanceId, OrganisationId, Sequence, Tokens};
-use crate::limits::owner::time_for;
+use crate::limits::owner::time_to_refill;
 use crate::limits::{
     ASK_INTERVAL, ASK_TIMEOUT, BURST_WINDOW, Demand, QUOTA_LEASE, Quota, ToLimitMember,
     ToLimitOwner, ZoneShare,
 };
 use crate::values::Organisation;
 
-/// Most organisations that an instance keeps; the design aims at 7,100.
+/// Most organisations that an instance tracks. Deployments are designed for 7,100.
 pub const MAX_ORGANISATIONS: usize = 10_000;
 
-/// Demand is smoothed over this time; as long as the ask that reports it.
+/// Time constant over which demand is smoothed; as long as the interval of the asks that report it.
 const SMOOTHING: Duration = Duration::from_secs(1);
 
-/// The organisation has used what this instance may give it.
+/// The organisation has reached its limit at this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("the organisation's limit is reached for {retry_after:?}")]
 pub struct LimitReached {
-    /// When the next request may pass.
+    /// Time until the next request may be admitted.
     pub retry_after: Duration,
 }
 
-/// A rate limit that may go into debt once, so that a request larger than a second's rate passes.
+/// Token bucket whose level may become negative, so that a request larger than the depth can pass.
 #[derive(Debug)]
 struct Bucket {
+    /// Available units; negative after a request that was larger than the level.
     level: f64,
 }
 
@@ -38,57 +39,62 @@
     }
 }
 
-/// What an instance knows of one organisation.
+/// State of one organisation at this instance.
 #[derive(Debug)]
 struct Account {
     organisation: OrganisationId,
-    /// The fleet's limit, from the table.
+    /// Fleet-wide limit, from the table.
     limit: Quota,
     leased: Option<Quota>,
     leased_until: Instant,
     requests: Bucket,
     tokens: Bucket,
     running: u32,
-    /// Refused since the last ask because too many run.
-    turned_away: u32,
+    /// Requests refused since the last ask because too many run.
+    refused_over_running: u32,
     demand_requests: f64,
     demand_tokens: f64,
-    at: Instant,
-    asked: Option<Instant>,
-    number: Sequence,
+    /// When the demand and the buckets were last updated.
+    updated: Instant,
+    last_ask: Option<Instant>,
+    ask_number: Sequence,
+    /// Whether a request arrived or the limit changed since the last ask.
     active: bool,
 }
 
-/// Spends the quotas of all organisations at one instance.
+/// Admits requests within the quotas of all organisations at one instance.
 #[derive(Debug)]
 pub struct LimitMember {
     accounts: Vec<Account>,
-    /// Position of this instance among the zone's, and their number.
-    part: u32,
-    parts: u32,
+    /// Index of this instance among the listed instances of its zone.
+    instance_index: u32,
+    /// Number of listed instances of the zone.
+    instance_count: u32,
     zone: ZoneShare,
 }
 
 impl LimitMember {
-    /// Makes the side of instance number `part` of `parts` in `zone`.
+    /// Creates the state of the instance with index `part` of `parts` in `zone`, without
+    /// organisations.
     pub fn new(zone: ZoneShare, part: u32, parts: u32) -> Self {
         Self {
             accounts: Vec::new(),
-            part,
-            parts: parts.max(1),
+            instance_index: part,
+            instance_count: parts.max(1),
             zone,
         }
     }
 
-    /// Takes the zone's last known entry instances and the zone's share.
+    /// Updates the listed entry instances of the zone and the position of the zone.
     pub fn set_zone(&mut self, zone: ZoneShare, own: &InstanceId, instances: &[InstanceId]) {
         let before = instances.iter().filter(|i| *i < own).count();
-        self.part = before as u32;
-        self.parts = instances.len().max(1) as u32;
+        self.instance_index = before as u32;
+        self.instance_count = instances.len().max(1) as u32;
         self.zone = zone;
     }
 
-    /// Takes a changed table: new limits hold at once, running requests and debts stay counted.
+    /// Applies a changed table: new limits take effect at once; running requests and bucket levels
+    /// are kept.
     pub fn set_limits(&mut self, now: Instant, organisations: &[Organisation]) {
         self.accounts.retain(|a| {
             a.running > 0
@@ -103,11 +109,11 @@
                 running: published.max_running,
             };
             match self.search(&published.organisation) {
-                Ok(at) => self.accounts[at].set_limit(now, limit),
-                Err(at) => {
+                Ok(index) => self.accounts[index].set_limit(now, limit),
+                Err(index) => {
                     let organisation = OrganisationId::clone(&published.organisation);
                     self.accounts
-                        .insert(at, Account::new(now, organisation, limit));
+                        .insert(index, Account::new(now, organisation, limit));
                 }
             }
         }
@@ -115,62 +121,62 @@
 
     /// Admits a request of `organisation` that is expected to use `tokens`.
     ///
-    /// An organisation that the table does not name has no limit here; authentication is where it
-    /// is turned away.
+    /// An organisation that is not in the table has no limit here; authentication refuses it.
     pub fn admit(
         &mut self,
         now: Instant,
         organisation: &OrganisationId,
         tokens: Tokens,
     ) -> Result<(), LimitReached> {
-        let Ok(at) = self.search(organisation) else {
+        let Ok(index) = self.search(organisation) else {
             return Ok(());
         };
-        let fallback = self.fallback(at);
-        self.accounts[at].admit(now, fallback, tokens)
+        let fallback = self.fallback_quota(&self.accounts[index]);
+        self.accounts[index].admit(now, fallback, tokens)
     }
 
-    /// Ends an admitted request and corrects the tokens it was charged.
+    /// Ends an admitted request and replaces the `charged` tokens by the tokens that it `used`.
     pub fn finish(&mut self, organisation: &OrganisationId, charged: Tokens, used: Tokens) {
-        if let Ok(at) = self.search(organisation) {
-            let account = &mut self.accounts[at];
+        if let Ok(index) = self.search(organisation) {
+            let account = &mut self.accounts[index];
             account.running = account.running.saturating_sub(1);
             account.tokens.level += charged as f64 - used as f64;
         }
     }
 
-    /// The asks that are due: organisations with a limit that were active since the last one.
+    /// Returns the asks that are due: one for each organisation that has a limit and was active
+    /// since its last ask.
     pub fn on_tick(&mut self, now: Instant) -> Vec<ToLimitOwner> {
-        let fallback = |account: &Account| self.fallback_of(account);
+        let fallback = |account: &Account| self.fallback_quota(account);
         let due: Vec<usize> = (0..self.accounts.len())
-            .filter(|at| self.accounts[*at].is_due(now))
+            .filter(|i| self.accounts[*i].is_ask_due(now))
             .collect();
         let holds: Vec<Quota> = due
             .iter()
-            .map(|at| self.accounts[*at].quota(now, fallback(&self.accounts[*at])))
+            .map(|i| self.accounts[*i].quota(now, fallback(&self.accounts[*i])))
             .collect();
         due.into_iter()
             .zip(holds)
-            .map(|(at, holds)| self.accounts[at].ask(now, holds))
+            .map(|(i, holds)| self.accounts[i].ask(now, holds))
             .collect()
     }
 
-    /// Takes a lease; it is valid from when it was asked for.
+    /// Applies a lease. Its validity starts when the ask was sent.
     pub fn on_message(&mut self, now: Instant, message: &ToLimitMember) {
         let ToLimitMember::Lease {
             organisation,
             asked,
             quota,
         } = message;
-        if let Ok(at) = self.search(organisation) {
-            self.accounts[at].on_lease(now, *asked, *quota);
+        if let Ok(index) = self.search(organisation) {
+            self.accounts[index].on_lease(now, *asked, *quota);
         }
     }
 
-    /// Requests of `organisation` that were admitted here and have not ended.
+    /// Number of requests of `organisation` that were admitted here and have not ended.
     pub fn running(&self, organisation: &OrganisationId) -> u32 {
         self.search(organisation)
-            .map_or(0, |at| self.accounts[at].running)
+            .map_or(0, |i| self.accounts[i].running)
     }
 
     fn search(&self, organisation: &OrganisationId) -> Result<usize, usize> {
@@ -178,14 +184,10 @@
             .binary_search_by(|a| a.organisation.cmp(organisation))
     }
 
-    fn fallback(&self, at: usize) -> Quota {
-        self.fallback_of(&self.accounts[at])
-    }
-
-    /// The part that is safe alone: the zone's share over its last known instances.
-    fn fallback_of(&self, account: &Account) -> Quota {
+    /// Quota that needs no coordination: an equal share for each listed instance of the zone.
+    fn fallback_quota(&self, account: &Account) -> Quota {
         let zone = self.zone.zone_quota(&account.organisation, &account.limit);
-        zone.share(self.part, self.parts)
+        zone.share(self.instance_index, self.instance_count)
     }
 }
 
@@ -199,48 +201,56 @@
             requests: Bucket { level: 1.0 },
             tokens: Bucket { level: 1.0 },
             running: 0,
-            turned_away: 0,
+            refused_over_running: 0,
             demand_requests: 0.0,
             demand_tokens: 0.0,
-            at: now,
-            asked: None,
-            number: 0,
+            updated: now,
+            last_ask: None,
+            ask_number: 0,
             active: false,
         }
     }
 
-    /// Scales a lease with its limit, so that a changed table holds before the next lease.
+    /// Changes the limit and scales the lease with it, so that a changed table takes effect before
+    /// the next lease.
     fn set_limit(&mut self, now: Instant, limit: Quota) {
         if self.limit == limit {
             return;
         }
-        let old = std::mem::replace(&mut self.limit, limit);
+        let previous = std::mem::replace(&mut self.limit, limit);
         self.leased = self.leased.map(|leased| Quota {
             requests_per_s: scale(
                 leased.requests_per_s,
-                old.requests_per_s,
+                previous.requests_per_s,
                 limit.requests_per_s,
             ),
-            tokens_per_s: scale(leased.tokens_per_s, old.tokens_per_s, limit.tokens_per_s),
+            tokens_per_s: scale(
+                leased.tokens_per_s,
+                previous.tokens_per_s,
+                limit.tokens_per_s,
+            ),
             running: scale(
                 leased.running.map(f64::from),
-                old.running.map(f64::from),
+                previous.running.map(f64::from),
                 limit.running.map(f64::from),
             )
             .map(|running| running as u32),
         });
-        if self.leased.is_some_and(|leased| lacks(&leased, &limit)) {
+        if self
+            .leased
+            .is_some_and(|leased| lacks_limit(&leased, &limit))
+        {
             self.leased = None;
         }
-        self.asked = None;
+        self.last_ask = None;
         self.active = true;
-        self.at = self.at.max(now);
+        self.updated = self.updated.max(now);
     }
 
-    /// What may be spent now.
+    /// Quota in force.
     ///
-    /// Without a lease the safe part holds, also before the first answer: an organisation's first
-    /// requests are not held up by a message to the owner.
+    /// Without a lease it is the fallback, also before the first answer: the first requests of an
+    /// organisation don't wait for a message to the owner.
     fn quota(&self, now: Instant, fallback: Quota) -> Quota {
         match self.leased {
             Some(leased) if now < self.leased_until => leased,
@@ -249,13 +259,13 @@
     }
 
     fn admit(&mut self, now: Instant, fallback: Quota, tokens: Tokens) -> Result<(), LimitReached> {
-        let age = now.saturating_duration_since(self.at);
-        self.at = now;
+        let age = now.saturating_duration_since(self.updated);
+        self.updated = now;
         self.active = true;
-        self.note_demand(age, tokens);
+        self.record_demand(age, tokens);
         let quota = self.quota(now, fallback);
         self.fill(&quota, age);
-        if let Some(retry_after) = self.missing(&quota) {
+        if let Some(retry_after) = self.time_until_admission(&quota) {
             return Err(LimitReached { retry_after });
         }
         self.requests.level -= 1.0;
@@ -264,11 +274,11 @@
         Ok(())
     }
 
-    fn note_demand(&mut self, age: Duration, tokens: Tokens) {
-        let kept = (-age.as_secs_f64() / SMOOTHING.as_secs_f64()).exp();
+    fn record_demand(&mut self, age: Duration, tokens: Tokens) {
+        let decay = (-age.as_secs_f64() / SMOOTHING.as_secs_f64()).exp();
         let weight = 1.0 / SMOOTHING.as_secs_f64();
-        self.demand_requests = self.demand_requests * kept + weight;
-        self.demand_tokens = self.demand_tokens * kept + tokens as f64 * weight;
+        self.demand_requests = self.demand_requests * decay + weight;
+        self.demand_tokens = self.demand_tokens * decay + tokens as f64 * weight;
     }
 
     fn fill(&mut self, quota: &Quota, age: Duration) {
@@ -282,65 +292,68 @@
         }
     }
 
-    /// Time until a request may pass, if it may not pass now.
-    fn missing(&mut self, quota: &Quota) -> Option<Duration> {
-        if quota.running.is_some_and(|most| self.running >= most) {
-            self.turned_away += 1;
+    /// Time until a request may be admitted, or `None` if it may be admitted now.
+    fn time_until_admission(&mut self, quota: &Quota) -> Option<Duration> {
+        if quota.running.is_some_and(|max| self.running >= max) {
+            self.refused_over_running += 1;
             return Some(ASK_INTERVAL);
         }
         if let Some(rate) = quota.requests_per_s.filter(|_| self.requests.level < 1.0) {
-            return Some(time_for(1.0 - self.requests.level, rate));
+            return Some(time_to_refill(1.0 - self.requests.level, rate));
         }
         if let Some(rate) = quota.tokens_per_s.filter(|_| self.tokens.level < 1.0) {
-            return Some(time_for(1.0 - self.tokens.level, rate));
+            return Some(time_to_refill(1.0 - self.tokens.level, rate));
         }
         None
     }
 
-    fn is_due(&self, now: Instant) -> bool {
+    fn is_ask_due(&self, now: Instant) -> bool {
         let active = self.active || self.running > 0;
-        let rested = self
-            .asked
+        let interval_passed = self
+            .last_ask
             .is_none_or(|at| now.saturating_duration_since(at) >= ASK_INTERVAL);
-        !self.limit.is_unlimited() && active && rested
+        !self.limit.is_unlimited() && active && interval_passed
     }
 
     fn ask(&mut self, now: Instant, holds: Quota) -> ToLimitOwner {
-        let age = now.saturating_duration_since(self.at).as_secs_f64();
-        let kept = (-age / SMOOTHING.as_secs_f64()).exp();
+        let age = now.saturating_duration_since(self.updated).as_secs_f64();
+        let decay = (-age / SMOOTHING.as_secs_f64()).exp();
         let demand = Demand {
-            requests_per_s: self.demand_requests * kept,
-            tokens_per_s: self.demand_tokens * kept,
-            running: self.running + self.turned_away,
+            requests_per_s: self.demand_requests * decay,
+            tokens_per_s: self.demand_tokens * decay,
+            running: self.running + self.refused_over_running,
         };
-        self.turned_away = 0;
+        self.refused_over_running = 0;
         self.active = false;
-        self.number += 1;
-        self.asked = Some(now);
+        self.ask_number += 1;
+        self.last_ask = Some(now);
         let organisation = OrganisationId::clone(&self.organisation);
         ToLimitOwner::Ask {
             organisation,
-            asked: self.number,
+            asked: self.ask_number,
             demand,
             holds,
         }
     }
 
-    /// An answer to an older ask is dropped: its lease would be counted from the wrong moment.
+    /// Applies a lease. An answer to an older ask is dropped, as its validity would be counted from
+    /// the wrong time.
     fn on_lease(&mut self, now: Instant, asked: Sequence, quota: Quota) {
-        let Some(at) = self.asked.filter(|_| asked == self.number) else {
+        let Some(asked_at) = self.last_ask.filter(|_| asked == self.ask_number) else {
             return;
         };
-        if now.saturating_duration_since(at) > ASK_TIMEOUT || lacks(&quota, &self.limit) {
+        if now.saturating_duration_since(asked_at) > ASK_TIMEOUT || lacks_limit(&quota, &self.limit)
+        {
             return;
         }
         self.leased = Some(quota);
-        self.leased_until = at + QUOTA_LEASE;
+        self.leased_until = asked_at + QUOTA_LEASE;
     }
 }
 
-/// Whether `quota` leaves open what `limit` limits: it was made from an older table.
-fn lacks(quota: &Quota, limit: &Quota) -> bool {
+/// Whether `quota` leaves something unlimited that `limit` limits; it was then computed from an
+/// older table.
+fn lacks_limit(quota: &Quota, limit: &Quota) -> bool {
     let lacks = |quota: bool, limit: bool| limit && !quota;
     lacks(
         quota.requests_per_s.is_some(),
@@ -349,6 +362,7 @@
         || lacks(quota.running.is_some(), limit.running.is_some())
 }
 
+/// Scales a leased value by the ratio of the new to the old limit.
 fn scale(leased: Option<f64>, old: Option<f64>, new: Option<f64>) -> Option<f64> {
     let new = new?;
     let old = old.filter(|old| *old > 0.0)?;
