--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -8,12 +8,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcupfield_decisions::credit::{Ledger, Number, Verdict as CreditVerdict};
+use kingcupfield_decisions::credit::{Ledger, MessageNumber, Verdict as CreditVerdict};
 use kingcupfield_decisions::dispatch::{Dispatcher, JobId};
 use kingcupfield_decisions::drained_zones::DrainedZones;
 use kingcupfield_decisions::id::{NameHash, ServiceId, UpstreamId, name_hash};
-use kingcupfield_decisions::known::Known;
-use kingcupfield_decisions::repeats::Repeats;
+use kingcupfield_decisions::store_view::StoreView;
+use kingcupfield_decisions::upstream_retries::UpstreamRetryBudget;
 use tokio::net::UdpSocket;
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
@@ -68,15 +68,15 @@
     /// Credit of organisations' limits.
     pub ledger: RefCell<Ledger>,
     /// Requests that wait for credit.
-    pub verdicts: RefCell<Vec<(Number, oneshot::Sender<CreditVerdict>)>>,
+    pub verdicts: RefCell<Vec<(MessageNumber, oneshot::Sender<CreditVerdict>)>>,
     /// Wakes the timer of requests that wait for credit.
     pub credit_waits: Notify,
     /// Sends to the other instances.
     pub peer_socket: OnceCell<Rc<UdpSocket>>,
     /// Budget for repeats.
-    pub repeats: RefCell<Repeats>,
+    pub repeats: RefCell<UpstreamRetryBudget>,
     /// Published entries.
-    pub known: RefCell<Known>,
+    pub known: RefCell<StoreView>,
     /// The other instances.
     pub peers: RefCell<Peers>,
     /// Zones whose replicas get nothing new.
@@ -148,8 +148,8 @@
             verdicts: RefCell::new(Vec::new()),
             credit_waits: Notify::new(),
             peer_socket: OnceCell::new(),
-            repeats: RefCell::new(Repeats::new(cfg.repeat_bounds())),
-            known: RefCell::new(Known::new()),
+            repeats: RefCell::new(UpstreamRetryBudget::new(cfg.repeat_bounds())),
+            known: RefCell::new(StoreView::new()),
             peers: RefCell::new(
                 Peers::new(now, cfg.address(), cfg.has_other_contacts())
                     .with_zones(credit::zones(&cfg)),
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -14,8 +14,8 @@
 use kingcupfield_decisions::credit::Distance;
 use kingcupfield_decisions::dispatch::PriorityClass;
 use kingcupfield_decisions::id::NameHash;
-use kingcupfield_decisions::known::Revision;
 use kingcupfield_decisions::remote_load::{RemoteLoad, TotalLoad};
+use kingcupfield_decisions::store_view::Revision;
 use tokio::time::Instant;
 
 pub use digest::{Digest, PeerMessage, Reach};
@@ -86,7 +86,7 @@
     /// Since when it hears others.
     met: Option<Instant>,
     /// Since when this instance mints credit.
-    mints_since: Option<Instant>,
+    accrues_since: Option<Instant>,
     /// No instance falls silent before this, so that not each message has to look at all of them.
     none_silent_before: Instant,
 }
@@ -96,7 +96,7 @@
     pub fn new(now: Instant, own: Ipv4Addr, has_contacts: bool) -> Self {
         Self {
             own,
-            zones: vec![(NameHash::default(), Distance::Home)],
+            zones: vec![(NameHash::default(), Distance::SameZone)],
             has_contacts,
             others: Vec::new(),
             leavers: Vec::new(),
@@ -107,7 +107,7 @@
             introduced: false,
             introduced_home: false,
             met: None,
-            mints_since: None,
+            accrues_since: None,
             none_silent_before: now,
         }
     }
--- a/crates/entry/src/peers/digest.rs
+++ b/crates/entry/src/peers/digest.rs
@@ -5,8 +5,8 @@
 use kingcupfield_decisions::credit;
 use kingcupfield_decisions::dispatch::PriorityClass;
 use kingcupfield_decisions::id::NameHash;
-use kingcupfield_decisions::known::Revision;
 use kingcupfield_decisions::remote_load::ReplicaLoad;
+use kingcupfield_decisions::store_view::Revision;
 use serde::{Deserialize, Serialize};
 
 /// A datagram from one instance to another.
