--- a/crates/decisions/src/idempotency.rs
+++ b/crates/decisions/src/idempotency.rs
@@ -5,7 +5,7 @@
 //! whether the first try ran.
 //!
 //! A key names one process (instance and incarnation) that alone may dispatch it, the *issuer*,
-//! and another, the *witness*. [`Keys`] is the issuer's state: before the first byte of a call
+//! and another, the *witness*. [`KeyIssuer`] is the issuer's state: before the first byte of a call
 //! goes out it asks the witness once for permission. [`Witness`] answers yes once for each key,
 //! or closes it for a receiving instance that can't reach the issuer: a closed key never runs, so
 //! "not run" is true; a permitted one may have run, so the answer is "unknown". [`Receiver`] is
@@ -22,12 +22,12 @@
 
 use crate::id::{Incarnation, InstanceId, Sequence, UpstreamId};
 
-pub use answer::{Answer, NotRun, Outcome};
+pub use answer::{KeyOutcome, NotRun, StoredResponse};
 pub use estate::{Estate, Heir, Inheritance, MAX_ESTATES, WitnessEstate, WitnessHeir};
 pub use handover::{Forwarding, HandOver, HandedOver};
-pub use issuer::{Ask, Call, Keys, MAX_CALLS, Phase, Use};
+pub use issuer::{CallAttempt, KeyIssuer, KeyPhase, MAX_CALLS, Permission, UseDecision};
 pub use key::{Key, KeyError, Secret, WitnessName};
-pub use receiver::{FromIssuer, Receiver, Started, Step};
+pub use receiver::{FromIssuer, Receiver, ReceiverStep, StartedReceiver};
 pub use witness::{FromWitness, ToWitness, Witness, WitnessMemory};
 
 mod answer;
--- a/crates/decisions/src/idempotency/answer.rs
+++ b/crates/decisions/src/idempotency/answer.rs
@@ -14,7 +14,7 @@
 /// The upstream's answer, as it is replayed to repeated calls.
 #[derive(Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Answer {
+pub struct StoredResponse {
     /// HTTP status.
     pub status: u16,
     /// Value of `Content-Type`.
@@ -25,7 +25,7 @@
 }
 
 // A dump must not show what callers were told.
-impl fmt::Debug for Answer {
+impl fmt::Debug for StoredResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Answer")
             .field("status", &self.status)
@@ -77,13 +77,13 @@
 /// What became of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum Outcome {
+pub enum KeyOutcome {
     /// It ran once.
     Ran {
         /// The upstream that ran it.
         upstream: UpstreamId,
         /// Its answer; none if it was too large or had to make room.
-        answer: Option<Answer>,
+        answer: Option<StoredResponse>,
     },
     /// It did not run and never will.
     NotRun(NotRun),
--- a/crates/decisions/src/idempotency/estate.rs
+++ b/crates/decisions/src/idempotency/estate.rs
@@ -17,8 +17,8 @@
 use crate::id::{Incarnation, InstanceId, Sequence};
 
 use super::{
-    Call, FromIssuer, FromWitness, HandOver, Key, KeyId, Keys, RETAIN, ToWitness, Use, Witness,
-    WitnessMemory,
+    CallAttempt, FromIssuer, FromWitness, HandOver, Key, KeyId, KeyIssuer, RETAIN, ToWitness,
+    UseDecision, Witness, WitnessMemory,
 };
 
 /// Estates that one instance holds; at 160 restarts a day each instance has one for a few minutes.
@@ -59,7 +59,7 @@
 /// One estate at its heir.
 #[derive(Debug)]
 pub struct Heir {
-    keys: Keys,
+    keys: KeyIssuer,
     issuer: InstanceId,
     used: Vec<Sequence>,
     since: Instant,
@@ -69,7 +69,7 @@
     /// Takes over `estate` now.
     pub fn new(estate: Estate, now: Instant) -> Self {
         let issuer = estate.issuer.clone();
-        let keys = Keys::new(estate.issuer, estate.incarnation, now).with_age(estate.age);
+        let keys = KeyIssuer::new(estate.issuer, estate.incarnation, now).with_age(estate.age);
         Self {
             keys,
             issuer,
@@ -95,15 +95,15 @@
     }
 
     /// Takes a call whose key belongs to this estate.
-    pub fn on_use(&mut self, now: Instant, key: &Key, call: Call) -> Use {
+    pub fn on_use(&mut self, now: Instant, key: &Key, call: CallAttempt) -> UseDecision {
         if self.used.binary_search(&key.sequence).is_ok() {
-            return Use::Answer(FromIssuer::NotHere);
+            return UseDecision::Answer(FromIssuer::NotHere);
         }
         self.keys.on_use(now, key, call)
     }
 
     /// The machine that a first use runs through.
-    pub fn keys(&mut self) -> &mut Keys {
+    pub fn keys(&mut self) -> &mut KeyIssuer {
         &mut self.keys
     }
 
--- a/crates/decisions/src/idempotency/handover.rs
+++ b/crates/decisions/src/idempotency/handover.rs
@@ -11,7 +11,7 @@
 
 use crate::id::InstanceId;
 
-use super::{KeyId, Keys, MAX_RECORDS, Outcome, RETAIN, ToWitness, WitnessName};
+use super::{KeyId, KeyIssuer, KeyOutcome, MAX_RECORDS, RETAIN, ToWitness, WitnessName};
 
 /// Most records in one message.
 pub const MAX_HANDED: usize = 128;
@@ -25,7 +25,7 @@
     /// Its witness, for a further hand-over.
     pub witness: Option<WitnessName>,
     /// What became of it.
-    pub outcome: Outcome,
+    pub outcome: KeyOutcome,
 }
 
 /// A record that another issuer left here.
@@ -53,7 +53,7 @@
     pub forwardings: Vec<Forwarding>,
 }
 
-impl Keys {
+impl KeyIssuer {
     /// Hands everything over; from now on this instance dispatches no key. Call it when nothing
     /// waits and nothing runs any more: what still does is given up as "not run" or "unknown".
     pub fn hand_over(&mut self, successor: &InstanceId) -> HandOver {
@@ -86,7 +86,7 @@
     }
 
     /// What became of a key of a leaver, if it was handed over to this instance.
-    pub fn adopted(&self, now: Instant, key: &KeyId) -> Option<Outcome> {
+    pub fn adopted(&self, now: Instant, key: &KeyId) -> Option<KeyOutcome> {
         let i = self.find_adopted(key).ok()?;
         let adopted = &self.adopted[i];
         let fresh = now.duration_since(adopted.since) < RETAIN;
--- a/crates/decisions/src/idempotency/issuer.rs
+++ b/crates/decisions/src/idempotency/issuer.rs
@@ -10,8 +10,8 @@
 use super::answer::MAX_ANSWER;
 use super::handover::Adopted;
 use super::{
-    Answer, EXPIRES, Estate, FromIssuer, FromWitness, Key, MAX_RECORDS,
-    MAX_RECORDS_PER_ORGANISATION, NotRun, Outcome, RETAIN, ToWitness, WitnessName,
+    EXPIRES, Estate, FromIssuer, FromWitness, Key, KeyOutcome, MAX_RECORDS,
+    MAX_RECORDS_PER_ORGANISATION, NotRun, RETAIN, StoredResponse, ToWitness, WitnessName,
 };
 
 /// Most bytes of answers kept for replay; the oldest make room.
@@ -23,7 +23,7 @@
 
 /// A call that arrived with a key, at the key's issuer.
 #[derive(Debug, Clone)]
-pub struct Call {
+pub struct CallAttempt {
     /// The request, as the receiving instance numbered it. A message that carries a refused call
     /// again is told from the caller's next try by it.
     pub id: RequestId,
@@ -35,9 +35,9 @@
 
 /// What a call with a key meets at its issuer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Use {
-    /// It is the first: queue it, then [`Keys::ask`], [`Keys::dispatch`], [`Keys::finish`]; or
-    /// [`Keys::refuse`] it.
+pub enum UseDecision {
+    /// It is the first: queue it, then [`KeyIssuer::ask`], [`KeyIssuer::dispatch`], [`KeyIssuer::finish`]; or
+    /// [`KeyIssuer::refuse`] it.
     First,
     /// The same call is under way; give this caller its answer when it ends.
     Join,
@@ -47,9 +47,9 @@
 
 /// What a first use needs before it may be dispatched.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ask {
-    /// Send this to the witness and pass its answer to [`Keys::on_witness`].
-    Witness {
+pub enum Permission {
+    /// Send this to the witness and pass its answer to [`KeyIssuer::on_witness`].
+    AskWitness {
         /// The witness.
         to: InstanceId,
         /// The message.
@@ -63,7 +63,7 @@
 
 /// How far a key has come at its issuer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub enum KeyPhase {
     /// Its call is queued.
     Waiting,
     /// Its calls so far were refused.
@@ -91,7 +91,7 @@
     /// The first byte went out.
     Running { upstream: UpstreamId },
     /// It ended.
-    Done(Outcome),
+    Done(KeyOutcome),
 }
 
 #[derive(Debug, Clone, Hash)]
@@ -107,7 +107,7 @@
 
 /// What one life of an instance knows of the keys that it issued, and what leavers left to it.
 #[derive(Debug, Clone, Hash)]
-pub struct Keys {
+pub struct KeyIssuer {
     me: InstanceId,
     incarnation: Incarnation,
     started: Instant,
@@ -120,7 +120,7 @@
     inherited_age: Duration,
 }
 
-impl Keys {
+impl KeyIssuer {
     /// Makes the memory of a life that begins now.
     pub fn new(me: InstanceId, incarnation: Incarnation, now: Instant) -> Self {
         Self {
@@ -187,14 +187,14 @@
     }
 
     /// Takes a call whose key was checked, here or at the instance where it came in.
-    pub fn on_use(&mut self, now: Instant, key: &Key, call: Call) -> Use {
+    pub fn on_use(&mut self, now: Instant, key: &Key, call: CallAttempt) -> UseDecision {
         if key.issuer != self.me || key.incarnation != self.incarnation {
             let outcome = self.adopted(now, &key.id());
-            return Use::Answer(outcome.map_or(FromIssuer::NotHere, FromIssuer::Outcome));
+            return UseDecision::Answer(outcome.map_or(FromIssuer::NotHere, FromIssuer::Outcome));
         }
         if let Some(successor) = &self.successor {
             let successor = Arc::clone(successor);
-            return Use::Answer(FromIssuer::Moved { successor });
+            return UseDecision::Answer(FromIssuer::Moved { successor });
         }
         self.expire(now);
         match self.find(key.sequence) {
@@ -203,41 +203,43 @@
         }
     }
 
-    fn later_use(&mut self, i: usize, now: Instant, call: Call) -> Use {
+    fn later_use(&mut self, i: usize, now: Instant, call: CallAttempt) -> UseDecision {
         let record = &mut self.records[i];
         if record.hash != call.hash {
-            let outcome = Outcome::NotRun(NotRun::Mismatch);
-            return Use::Answer(FromIssuer::Outcome(outcome));
+            let outcome = KeyOutcome::NotRun(NotRun::Mismatch);
+            return UseDecision::Answer(FromIssuer::Outcome(outcome));
         }
         match &record.state {
-            State::Done(outcome) => Use::Answer(FromIssuer::Outcome(outcome.clone())),
+            State::Done(outcome) => UseDecision::Answer(FromIssuer::Outcome(outcome.clone())),
             // The refusal was, or will be, told as "not run": this very call must not run.
-            State::Refused if record.calls.contains(&call.id) => Use::Answer(FromIssuer::Refused),
+            State::Refused if record.calls.contains(&call.id) => {
+                UseDecision::Answer(FromIssuer::Refused)
+            }
             State::Refused if call.deadline <= now => {
-                let outcome = Outcome::NotRun(NotRun::Late);
-                Use::Answer(FromIssuer::Outcome(outcome))
+                let outcome = KeyOutcome::NotRun(NotRun::Late);
+                UseDecision::Answer(FromIssuer::Outcome(outcome))
             }
             State::Refused => {
                 record.state = State::Waiting;
                 record.deadline = call.deadline;
                 record.calls.push(call.id);
-                Use::First
+                UseDecision::First
             }
             _ => {
                 if record.calls.len() < MAX_CALLS && !record.calls.contains(&call.id) {
                     record.calls.push(call.id);
                 }
-                Use::Join
+                UseDecision::Join
             }
         }
     }
 
-    fn first_use(&mut self, i: usize, now: Instant, key: &Key, call: Call) -> Use {
+    fn first_use(&mut self, i: usize, now: Instant, key: &Key, call: CallAttempt) -> UseDecision {
         let age = self.age(now, key);
         let not_run = if age >= RETAIN {
             // A record may have stood here and been forgotten.
-            let outcome = Outcome::Unknown { upstream: None };
-            return Use::Answer(FromIssuer::Outcome(outcome));
+            let outcome = KeyOutcome::Unknown { upstream: None };
+            return UseDecision::Answer(FromIssuer::Outcome(outcome));
         } else if age >= EXPIRES {
             Some(NotRun::Expired)
         } else if call.deadline <= now {
@@ -248,7 +250,7 @@
             None
         };
         if let Some(why) = not_run {
-            return Use::Answer(FromIssuer::Outcome(Outcome::NotRun(why)));
+            return UseDecision::Answer(FromIssuer::Outcome(KeyOutcome::NotRun(why)));
         }
         let record = Record {
             key: key.clone(),
@@ -258,7 +260,7 @@
             state: State::Waiting,
         };
         self.records.insert(i, record);
-        Use::First
+        UseDecision::First
     }
 
     /// Ends a first use that was not dispatched and for which nobody was asked, such as a shed
@@ -273,29 +275,29 @@
         if record.calls.len() >= MAX_CALLS {
             // A call that was not noted could come again after its refusal and run.
             let why = self.give_up_at(i, NotRun::Full);
-            return Some(FromIssuer::Outcome(Outcome::NotRun(why)));
+            return Some(FromIssuer::Outcome(KeyOutcome::NotRun(why)));
         }
         record.state = State::Refused;
         Some(FromIssuer::Refused)
     }
 
     /// Asks for the right to dispatch to this upstream; once for each key.
-    pub fn ask(&mut self, now: Instant, sequence: Sequence, upstream: &UpstreamId) -> Ask {
+    pub fn ask(&mut self, now: Instant, sequence: Sequence, upstream: &UpstreamId) -> Permission {
         let Ok(i) = self.find(sequence) else {
-            return Ask::NotRun(NotRun::Expired);
+            return Permission::NotRun(NotRun::Expired);
         };
         if let Err(why) = self.in_time(now, i) {
-            return Ask::NotRun(self.give_up_at(i, why));
+            return Permission::NotRun(self.give_up_at(i, why));
         }
         let record = &mut self.records[i];
         let upstream = Arc::clone(upstream);
         match (&record.state, &record.key.witness) {
             (State::Waiting, None) => {
                 record.state = State::Permitted { upstream };
-                Ask::Granted
+                Permission::Granted
             }
             (State::Waiting, Some(witness)) => {
-                let ask = Ask::Witness {
+                let ask = Permission::AskWitness {
                     to: Arc::clone(&witness.instance),
                     message: ToWitness::Permit {
                         key: record.key.id(),
@@ -307,7 +309,7 @@
                 ask
             }
             // Asked before: a second permission could never be told from the first.
-            _ => Ask::NotRun(self.give_up_at(i, NotRun::NoWitness)),
+            _ => Permission::NotRun(self.give_up_at(i, NotRun::NoWitness)),
         }
     }
 
@@ -324,7 +326,7 @@
         let record = &mut self.records[i];
         let State::Asking { upstream } = &record.state else {
             return match &record.state {
-                State::Done(Outcome::NotRun(why)) => Err(*why),
+                State::Done(KeyOutcome::NotRun(why)) => Err(*why),
                 _ => Ok(()),
             };
         };
@@ -358,24 +360,28 @@
                 };
                 Ok(upstream)
             }
-            State::Done(Outcome::NotRun(why)) => Err(why),
+            State::Done(KeyOutcome::NotRun(why)) => Err(why),
             // Never: the first byte went out before, or nobody allowed it.
             _ => Err(NotRun::NoWitness),
         }
     }
 
     /// Notes how a dispatched call ended, or that it broke and nobody knows.
-    pub fn finish(&mut self, sequence: Sequence, answer: Option<Answer>) -> Option<Outcome> {
+    pub fn finish(
+        &mut self,
+        sequence: Sequence,
+        answer: Option<StoredResponse>,
+    ) -> Option<KeyOutcome> {
         let i = self.find(sequence).ok()?;
         let State::Running { upstream } = &self.records[i].state else {
             return None;
         };
         let upstream = Arc::clone(upstream);
         let outcome = match answer {
-            None => Outcome::Unknown {
+            None => KeyOutcome::Unknown {
                 upstream: Some(upstream),
             },
-            Some(answer) => Outcome::Ran {
+            Some(answer) => KeyOutcome::Ran {
                 upstream,
                 answer: Some(answer),
             },
@@ -387,19 +393,19 @@
 
     /// Notes that not one byte of a dispatched call went out, as no connection could be made. The
     /// key is given up: the witness has named this upstream and permits no other.
-    pub fn not_sent(&mut self, sequence: Sequence) -> Option<Outcome> {
+    pub fn not_sent(&mut self, sequence: Sequence) -> Option<KeyOutcome> {
         let i = self.find(sequence).ok()?;
         let running = matches!(self.records[i].state, State::Running { .. });
-        running.then(|| Outcome::NotRun(self.give_up_at(i, NotRun::NotSent)))
+        running.then(|| KeyOutcome::NotRun(self.give_up_at(i, NotRun::NotSent)))
     }
 
     /// Gives a key up that was not dispatched; it will never run. Does nothing to one that was.
-    pub fn give_up(&mut self, sequence: Sequence, why: NotRun) -> Option<Outcome> {
+    pub fn give_up(&mut self, sequence: Sequence, why: NotRun) -> Option<KeyOutcome> {
         let i = self.find(sequence).ok()?;
         match &self.records[i].state {
             State::Running { .. } => None,
             State::Done(outcome) => Some(outcome.clone()),
-            _ => Some(Outcome::NotRun(self.give_up_at(i, why))),
+            _ => Some(KeyOutcome::NotRun(self.give_up_at(i, why))),
         }
     }
 
@@ -425,15 +431,15 @@
     }
 
     /// How far a key has come here; none if it was not used or its record is gone.
-    pub fn phase(&self, sequence: Sequence) -> Option<Phase> {
+    pub fn phase(&self, sequence: Sequence) -> Option<KeyPhase> {
         let i = self.find(sequence).ok()?;
         Some(match self.records[i].state {
-            State::Waiting => Phase::Waiting,
-            State::Refused => Phase::Refused,
-            State::Asking { .. } => Phase::Asking,
-            State::Permitted { .. } => Phase::Permitted,
-            State::Running { .. } => Phase::Running,
-            State::Done(_) => Phase::Done,
+            State::Waiting => KeyPhase::Waiting,
+            State::Refused => KeyPhase::Refused,
+            State::Asking { .. } => KeyPhase::Asking,
+            State::Permitted { .. } => KeyPhase::Permitted,
+            State::Running { .. } => KeyPhase::Running,
+            State::Done(_) => KeyPhase::Done,
         })
     }
 
@@ -454,7 +460,7 @@
                 State::Done(_) => {}
                 State::Running { upstream } => {
                     let upstream = Some(Arc::clone(upstream));
-                    self.records[i].state = State::Done(Outcome::Unknown { upstream });
+                    self.records[i].state = State::Done(KeyOutcome::Unknown { upstream });
                 }
                 _ => {
                     self.give_up_at(i, NotRun::Leaving);
@@ -501,7 +507,7 @@
     }
 
     fn give_up_at(&mut self, i: usize, why: NotRun) -> NotRun {
-        self.records[i].state = State::Done(Outcome::NotRun(why));
+        self.records[i].state = State::Done(KeyOutcome::NotRun(why));
         why
     }
 
@@ -525,13 +531,13 @@
 #[derive(Debug)]
 pub(super) struct Ended {
     pub(super) key: Key,
-    pub(super) outcome: Outcome,
+    pub(super) outcome: KeyOutcome,
 }
 
 impl State {
     fn answer_len(&self) -> usize {
         match self {
-            Self::Done(Outcome::Ran {
+            Self::Done(KeyOutcome::Ran {
                 answer: Some(answer),
                 ..
             }) => answer.body.len(),
@@ -540,7 +546,7 @@
     }
 
     fn drop_answer(&mut self) {
-        if let Self::Done(Outcome::Ran { answer, .. }) = self {
+        if let Self::Done(KeyOutcome::Ran { answer, .. }) = self {
             *answer = None;
         }
     }
--- a/crates/decisions/src/idempotency/receiver.rs
+++ b/crates/decisions/src/idempotency/receiver.rs
@@ -6,14 +6,14 @@
 
 use crate::id::{Incarnation, InstanceId, UpstreamId};
 
-use super::{FromWitness, Key, NotRun, Outcome, Successor, ToWitness};
+use super::{FromWitness, Key, KeyOutcome, NotRun, Successor, ToWitness};
 
 /// Answer of a key's issuer to a call that was passed on to it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum FromIssuer {
     /// What became of the key.
-    Outcome(Outcome),
+    Outcome(KeyOutcome),
     /// This call did not run for want of capacity or by a limit; the key may be used again.
     Refused,
     /// The records were handed over.
@@ -27,7 +27,7 @@
 
 /// What the receiving instance has to do next.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Step {
+pub enum ReceiverStep {
     /// Pass the call on to the key's issuer.
     Forward {
         /// The issuer.
@@ -46,7 +46,7 @@
         message: ToWitness,
     },
     /// Answer the caller.
-    Answer(Outcome),
+    Answer(KeyOutcome),
     /// Refuse the caller; it did not run, and the key may be used again.
     Refuse,
 }
@@ -75,7 +75,7 @@
 impl Receiver {
     /// Begins with a call whose key was checked. `issuer` is the latest incarnation of the
     /// issuer that is known here; a later one than the key's means that the issuer's life ended.
-    pub fn start(key: Key, issuer: Option<Incarnation>) -> Started {
+    pub fn start(key: Key, issuer: Option<Incarnation>) -> StartedReceiver {
         let mut receiver = Self {
             key,
             stage: Stage::Issuer,
@@ -83,15 +83,15 @@
         let step = if issuer.is_some_and(|known| known > receiver.key.incarnation) {
             receiver.close()
         } else {
-            Step::Forward {
+            ReceiverStep::Forward {
                 to: Arc::clone(&receiver.key.issuer),
             }
         };
-        Started { receiver, step }
+        StartedReceiver { receiver, step }
     }
 
     /// Takes the answer of the issuer or of a successor.
-    pub fn on_issuer(&mut self, answer: FromIssuer) -> Option<Step> {
+    pub fn on_issuer(&mut self, answer: FromIssuer) -> Option<ReceiverStep> {
         match (&self.stage, answer) {
             (
                 Stage::Issuer | Stage::Successor | Stage::Forwarded { .. },
@@ -99,11 +99,11 @@
             ) => Some(self.answer(o)),
             (Stage::Issuer, FromIssuer::Refused) => {
                 self.stage = Stage::Answered;
-                Some(Step::Refuse)
+                Some(ReceiverStep::Refuse)
             }
             (Stage::Issuer, FromIssuer::Moved { successor }) => {
                 self.stage = Stage::Successor;
-                Some(Step::LookUp { to: successor })
+                Some(ReceiverStep::LookUp { to: successor })
             }
             (Stage::Witness | Stage::Answered, _) => None,
             _ => Some(self.lost()),
@@ -111,48 +111,48 @@
     }
 
     /// Takes the answer of the witness.
-    pub fn on_witness(&mut self, answer: FromWitness) -> Option<Step> {
+    pub fn on_witness(&mut self, answer: FromWitness) -> Option<ReceiverStep> {
         if self.stage != Stage::Witness {
             return None;
         }
         Some(match answer {
-            FromWitness::Closed => self.answer(Outcome::NotRun(NotRun::Closed)),
-            FromWitness::MayHaveRun { upstream } => self.answer(Outcome::Unknown {
+            FromWitness::Closed => self.answer(KeyOutcome::NotRun(NotRun::Closed)),
+            FromWitness::MayHaveRun { upstream } => self.answer(KeyOutcome::Unknown {
                 upstream: Some(upstream),
             }),
             FromWitness::Forwarded(Successor { instance, upstream }) => {
                 self.stage = Stage::Forwarded { upstream };
-                Step::LookUp { to: instance }
+                ReceiverStep::LookUp { to: instance }
             }
             FromWitness::Permitted
             | FromWitness::Repeated
             | FromWitness::Lost
-            | FromWitness::Noted => self.answer(Outcome::Unknown { upstream: None }),
+            | FromWitness::Noted => self.answer(KeyOutcome::Unknown { upstream: None }),
         })
     }
 
     /// Whoever the call waits for can't be reached or has not answered in time.
-    pub fn on_unreachable(&mut self) -> Option<Step> {
+    pub fn on_unreachable(&mut self) -> Option<ReceiverStep> {
         (self.stage != Stage::Answered).then(|| self.lost())
     }
 
-    fn lost(&mut self) -> Step {
+    fn lost(&mut self) -> ReceiverStep {
         match &self.stage {
             Stage::Issuer | Stage::Successor => self.close(),
             Stage::Forwarded { upstream } => {
                 let upstream = Some(Arc::clone(upstream));
-                self.answer(Outcome::Unknown { upstream })
+                self.answer(KeyOutcome::Unknown { upstream })
             }
-            Stage::Witness | Stage::Answered => self.answer(Outcome::Unknown { upstream: None }),
+            Stage::Witness | Stage::Answered => self.answer(KeyOutcome::Unknown { upstream: None }),
         }
     }
 
-    fn close(&mut self) -> Step {
+    fn close(&mut self) -> ReceiverStep {
         let Some(witness) = &self.key.witness else {
-            return self.answer(Outcome::Unknown { upstream: None });
+            return self.answer(KeyOutcome::Unknown { upstream: None });
         };
         self.stage = Stage::Witness;
-        Step::Close {
+        ReceiverStep::Close {
             to: Arc::clone(&witness.instance),
             message: ToWitness::Close {
                 key: self.key.id(),
@@ -161,17 +161,17 @@
         }
     }
 
-    fn answer(&mut self, outcome: Outcome) -> Step {
+    fn answer(&mut self, outcome: KeyOutcome) -> ReceiverStep {
         self.stage = Stage::Answered;
-        Step::Answer(outcome)
+        ReceiverStep::Answer(outcome)
     }
 }
 
 /// A call and its first step.
 #[derive(Debug)]
-pub struct Started {
+pub struct StartedReceiver {
     /// The call.
     pub receiver: Receiver,
     /// What to do first.
-    pub step: Step,
+    pub step: ReceiverStep,
 }
--- a/crates/decisions/tests/idempotency.rs
+++ b/crates/decisions/tests/idempotency.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::idempotency::{
-    Answer, Ask, Call, EXPIRES, FromIssuer, FromWitness, Key, KeyId, Keys, MAX_CALLS,
-    MAX_RECORDS_PER_ORGANISATION, NotRun, Outcome, RETAIN, Receiver, Step, ToWitness, Use, Witness,
-    WitnessName,
+    CallAttempt, EXPIRES, FromIssuer, FromWitness, Key, KeyId, KeyIssuer, KeyOutcome, MAX_CALLS,
+    MAX_RECORDS_PER_ORGANISATION, NotRun, Permission, RETAIN, Receiver, ReceiverStep,
+    StoredResponse, ToWitness, UseDecision, Witness, WitnessName,
 };
 use tokio::time::Instant;
 use yare::parameterized;
@@ -15,7 +15,7 @@
 /// One issuer and one witness, with messages passed by hand.
 struct Pair {
     now: Instant,
-    keys: Keys,
+    keys: KeyIssuer,
     witness: Witness,
     calls: usize,
 }
@@ -25,7 +25,7 @@
         let now = Instant::now();
         Self {
             now,
-            keys: Keys::new("issuer".into(), 1, now),
+            keys: KeyIssuer::new("issuer".into(), 1, now),
             witness: Witness::new(7),
             calls: 0,
         }
@@ -40,23 +40,23 @@
     }
 
     /// The caller's next try; each has a number of its own.
-    fn call(&mut self) -> Call {
+    fn call(&mut self) -> CallAttempt {
         self.calls += 1;
-        Call {
+        CallAttempt {
             id: self.calls.to_string().into(),
             hash: 1,
             deadline: self.now + DEADLINE,
         }
     }
 
-    fn use_key(&mut self, key: &Key) -> Use {
+    fn use_key(&mut self, key: &Key) -> UseDecision {
         let call = self.call();
         self.keys.on_use(self.now, key, call)
     }
 
     fn ask(&mut self, key: &Key) -> ToWitness {
         match self.keys.ask(self.now, key.sequence, &"replica".into()) {
-            Ask::Witness { message, .. } => message,
+            Permission::AskWitness { message, .. } => message,
             other => panic!("expected a question to the witness, got {other:?}"),
         }
     }
@@ -67,8 +67,8 @@
         self.keys.on_witness(key.sequence, Some(&answer))
     }
 
-    fn run(&mut self, key: &Key) -> Outcome {
-        assert_eq!(self.use_key(key), Use::First);
+    fn run(&mut self, key: &Key) -> KeyOutcome {
+        assert_eq!(self.use_key(key), UseDecision::First);
         self.permit(key).expect("permitted");
         self.keys.dispatch(self.now, key.sequence).expect("in time");
         self.keys
@@ -85,16 +85,16 @@
     }
 }
 
-fn answer(len: usize) -> Answer {
-    Answer {
+fn answer(len: usize) -> StoredResponse {
+    StoredResponse {
         status: 201,
         content_type: None,
         body: vec![b'x'; len],
     }
 }
 
-fn not_run(why: NotRun) -> Use {
-    Use::Answer(FromIssuer::Outcome(Outcome::NotRun(why)))
+fn not_run(why: NotRun) -> UseDecision {
+    UseDecision::Answer(FromIssuer::Outcome(KeyOutcome::NotRun(why)))
 }
 
 /// A foreman's connection breaks and he sends the booking again. It must be booked once, and both
@@ -103,8 +103,8 @@
 fn a_repeated_call_gets_the_first_ones_answer() {
     let mut pair = Pair::new();
     let key = pair.issue();
-    assert_eq!(pair.use_key(&key), Use::First);
-    assert_eq!(pair.use_key(&key), Use::Join);
+    assert_eq!(pair.use_key(&key), UseDecision::First);
+    assert_eq!(pair.use_key(&key), UseDecision::Join);
     pair.permit(&key).expect("permitted");
     assert_eq!(
         pair.keys.dispatch(pair.now, key.sequence).as_deref(),
@@ -114,14 +114,14 @@
         pair.keys.dispatch(pair.now, key.sequence).is_err(),
         "the right is given once"
     );
-    assert_eq!(pair.use_key(&key), Use::Join);
+    assert_eq!(pair.use_key(&key), UseDecision::Join);
     let outcome = pair
         .keys
         .finish(key.sequence, Some(answer(3)))
         .expect("running");
     assert_eq!(
         pair.use_key(&key),
-        Use::Answer(FromIssuer::Outcome(outcome))
+        UseDecision::Answer(FromIssuer::Outcome(outcome))
     );
     assert!(matches!(pair.close(&key), FromWitness::MayHaveRun { .. }));
 }
@@ -132,7 +132,7 @@
 fn a_closed_key_never_runs() {
     let mut pair = Pair::new();
     let key = pair.issue();
-    assert_eq!(pair.use_key(&key), Use::First);
+    assert_eq!(pair.use_key(&key), UseDecision::First);
     assert_eq!(pair.close(&key), FromWitness::Closed);
     assert_eq!(pair.permit(&key), Err(NotRun::Closed));
     assert_eq!(
@@ -204,11 +204,11 @@
 
 /// A key lies unused for too long; "not run" is said only while that is certain.
 #[parameterized(
-    fresh = { EXPIRES.mul_f32(0.99), Use::First },
+    fresh = { EXPIRES.mul_f32(0.99), UseDecision::First },
     expired = { EXPIRES, not_run(NotRun::Expired) },
-    forgotten = { RETAIN, Use::Answer(FromIssuer::Outcome(Outcome::Unknown { upstream: None })) },
+    forgotten = { RETAIN, UseDecision::Answer(FromIssuer::Outcome(KeyOutcome::Unknown { upstream: None })) },
 )]
-fn an_unused_key_lapses(age: Duration, expected: Use) {
+fn an_unused_key_lapses(age: Duration, expected: UseDecision) {
     let mut pair = Pair::new();
     let key = pair.issue();
     pair.now += age;
@@ -224,7 +224,7 @@
     let key = pair.issue();
     pair.run(&key);
     pair.now += RETAIN;
-    let unknown = Use::Answer(FromIssuer::Outcome(Outcome::Unknown { upstream: None }));
+    let unknown = UseDecision::Answer(FromIssuer::Outcome(KeyOutcome::Unknown { upstream: None }));
     assert_eq!(pair.use_key(&key), unknown);
     assert_eq!(pair.close(&key), FromWitness::Lost);
     assert_eq!(
@@ -245,11 +245,11 @@
     let key = pair.issue();
     let shed = pair.call();
     let arrive = |pair: &mut Pair| pair.keys.on_use(pair.now, &key, shed.clone());
-    assert_eq!(arrive(&mut pair), Use::First);
+    assert_eq!(arrive(&mut pair), UseDecision::First);
     assert_eq!(pair.keys.refuse(key.sequence), Some(FromIssuer::Refused));
-    assert_eq!(arrive(&mut pair), Use::Answer(FromIssuer::Refused));
-    assert_eq!(pair.use_key(&key), Use::First);
-    assert_eq!(arrive(&mut pair), Use::Join);
+    assert_eq!(arrive(&mut pair), UseDecision::Answer(FromIssuer::Refused));
+    assert_eq!(pair.use_key(&key), UseDecision::First);
+    assert_eq!(arrive(&mut pair), UseDecision::Join);
     pair.permit(&key).expect("permitted");
     assert_eq!(
         pair.keys.refuse(key.sequence),
@@ -264,7 +264,7 @@
     let mut pair = Pair::new();
     let key = pair.issue();
     let mut tries = 0;
-    while pair.use_key(&key) == Use::First {
+    while pair.use_key(&key) == UseDecision::First {
         tries += 1;
         pair.keys.refuse(key.sequence);
     }
@@ -277,7 +277,7 @@
     let mut pair = Pair::new();
     let key = pair.issue();
     pair.run(&key);
-    let other = Call {
+    let other = CallAttempt {
         id: "other".into(),
         hash: 2,
         deadline: pair.now + DEADLINE,
@@ -297,15 +297,15 @@
         .map(|_| pair.issue())
         .collect::<Vec<_>>();
     for key in &keys[..MAX_RECORDS_PER_ORGANISATION] {
-        assert_eq!(pair.use_key(key), Use::First);
+        assert_eq!(pair.use_key(key), UseDecision::First);
     }
     assert_eq!(
         pair.use_key(&keys[MAX_RECORDS_PER_ORGANISATION]),
         not_run(NotRun::Full)
     );
-    assert_eq!(pair.use_key(&keys[0]), Use::Join);
+    assert_eq!(pair.use_key(&keys[0]), UseDecision::Join);
     let other = pair.keys.issue(pair.now, "other".into(), None);
-    assert_eq!(pair.use_key(&other), Use::First);
+    assert_eq!(pair.use_key(&other), UseDecision::First);
 }
 
 #[test]
@@ -313,13 +313,15 @@
     let mut pair = Pair::new();
     let keys = (0..100).map(|_| pair.issue()).collect::<Vec<_>>();
     for key in &keys {
-        assert_eq!(pair.use_key(key), Use::First);
+        assert_eq!(pair.use_key(key), UseDecision::First);
         pair.permit(key).expect("permitted");
         pair.keys.dispatch(pair.now, key.sequence).expect("in time");
         pair.keys.finish(key.sequence, Some(answer(60_000)));
     }
     let held = |pair: &mut Pair, key| match pair.use_key(key) {
-        Use::Answer(FromIssuer::Outcome(Outcome::Ran { answer, .. })) => answer.is_some(),
+        UseDecision::Answer(FromIssuer::Outcome(KeyOutcome::Ran { answer, .. })) => {
+            answer.is_some()
+        }
         other => panic!("it ran, yet {other:?}"),
     };
     assert!(!held(&mut pair, &keys[0]));
@@ -335,13 +337,13 @@
     let fresh = pair.issue();
     let outcome = pair.run(&key);
     let handed = pair.keys.hand_over(&"successor".into());
-    let mut successor = Keys::new("successor".into(), 5, pair.now);
+    let mut successor = KeyIssuer::new("successor".into(), 5, pair.now);
     for _ in 0..2 {
         successor.adopt(pair.now, &handed.records[0]);
     }
     pair.witness
         .on_message(pair.now, &handed.forwardings[0].message);
-    let moved = Use::Answer(FromIssuer::Moved {
+    let moved = UseDecision::Answer(FromIssuer::Moved {
         successor: "successor".into(),
     });
     assert_eq!(pair.use_key(&key), moved);
@@ -354,32 +356,32 @@
     let mut receiver = Receiver::start(key.clone(), None).receiver;
     assert!(matches!(
         receiver.on_unreachable(),
-        Some(Step::Close { .. })
+        Some(ReceiverStep::Close { .. })
     ));
     let forwarded = pair.close(&key);
     assert_eq!(
         receiver.on_witness(forwarded),
-        Some(Step::LookUp {
+        Some(ReceiverStep::LookUp {
             to: "successor".into()
         })
     );
     let found = successor.adopted(pair.now, &key.id()).expect("handed over");
     assert_eq!(
         receiver.on_issuer(FromIssuer::Outcome(found)),
-        Some(Step::Answer(outcome))
+        Some(ReceiverStep::Answer(outcome))
     );
     assert_eq!(pair.close(&fresh), FromWitness::Closed);
 }
 
 /// What a receiving instance tells its caller when the key's issuer can't be reached.
 #[parameterized(
-    closed = { Some(FromWitness::Closed), Outcome::NotRun(NotRun::Closed) },
-    permitted = { Some(FromWitness::MayHaveRun { upstream: "r".into() }), Outcome::Unknown { upstream: Some("r".into()) } },
-    restarted = { Some(FromWitness::Lost), Outcome::Unknown { upstream: None } },
-    gone_too = { None, Outcome::Unknown { upstream: None } },
-    nonsense = { Some(FromWitness::Permitted), Outcome::Unknown { upstream: None } },
+    closed = { Some(FromWitness::Closed), KeyOutcome::NotRun(NotRun::Closed) },
+    permitted = { Some(FromWitness::MayHaveRun { upstream: "r".into() }), KeyOutcome::Unknown { upstream: Some("r".into()) } },
+    restarted = { Some(FromWitness::Lost), KeyOutcome::Unknown { upstream: None } },
+    gone_too = { None, KeyOutcome::Unknown { upstream: None } },
+    nonsense = { Some(FromWitness::Permitted), KeyOutcome::Unknown { upstream: None } },
 )]
-fn an_unreachable_issuer_ends_in_the_truth(heard: Option<FromWitness>, expected: Outcome) {
+fn an_unreachable_issuer_ends_in_the_truth(heard: Option<FromWitness>, expected: KeyOutcome) {
     let mut pair = Pair::new();
     for known_dead in [false, true] {
         let started = Receiver::start(pair.issue(), known_dead.then_some(2));
@@ -389,12 +391,12 @@
         } else {
             receiver.on_unreachable()
         };
-        assert!(matches!(step, Some(Step::Close { .. })));
+        assert!(matches!(step, Some(ReceiverStep::Close { .. })));
         let step = match heard.clone() {
             Some(heard) => receiver.on_witness(heard),
             None => receiver.on_unreachable(),
         };
-        assert_eq!(step, Some(Step::Answer(expected.clone())));
+        assert_eq!(step, Some(ReceiverStep::Answer(expected.clone())));
         assert_eq!(
             receiver.on_issuer(FromIssuer::Refused),
             None,
@@ -407,13 +409,13 @@
 fn a_key_without_a_witness_ends_unknown_when_its_issuer_is_gone() {
     let mut pair = Pair::new();
     let key = pair.keys.issue(pair.now, "org".into(), None);
-    assert_eq!(pair.use_key(&key), Use::First);
+    assert_eq!(pair.use_key(&key), UseDecision::First);
     assert_eq!(
         pair.keys.ask(pair.now, key.sequence, &"replica".into()),
-        Ask::Granted
+        Permission::Granted
     );
     let mut receiver = Receiver::start(key, None).receiver;
-    let unknown = Step::Answer(Outcome::Unknown { upstream: None });
+    let unknown = ReceiverStep::Answer(KeyOutcome::Unknown { upstream: None });
     assert_eq!(receiver.on_unreachable(), Some(unknown));
 }
 
--- a/crates/spec/src/calls.rs
+++ b/crates/spec/src/calls.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::idempotency::{
-    Answer, Ask, Call, FromIssuer, Keys, Outcome, Receiver, Step, Use, Witness, WitnessName,
+    CallAttempt, FromIssuer, KeyIssuer, KeyOutcome, Permission, Receiver, ReceiverStep,
+    StoredResponse, UseDecision, Witness, WitnessName,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -88,34 +89,35 @@
         }
         ends.hit += 1;
         match end_of(progress, with_witness) {
-            Outcome::NotRun(_) => ends.not_run += 1,
-            Outcome::Unknown { .. } => ends.unknown += 1,
-            Outcome::Ran { .. } => {}
+            KeyOutcome::NotRun(_) => ends.not_run += 1,
+            KeyOutcome::Unknown { .. } => ends.unknown += 1,
+            KeyOutcome::Ran { .. } => {}
         }
     }
     ends
 }
 
 /// Drives one call to where it was at the kill, then lets its receiving instance find out.
-fn end_of(progress: Progress, with_witness: bool) -> Outcome {
+fn end_of(progress: Progress, with_witness: bool) -> KeyOutcome {
     let now = Instant::now();
-    let mut keys = Keys::new("issuer".into(), 1, now);
+    let mut keys = KeyIssuer::new("issuer".into(), 1, now);
     let mut witness = Witness::new(1);
     let name = with_witness.then(|| WitnessName {
         instance: "witness".into(),
         incarnation: 1,
     });
     let key = keys.issue(now, "org".into(), name);
-    let call = Call {
+    let call = CallAttempt {
         id: "call".into(),
         hash: 1,
         deadline: now + WINDOW,
     };
     if progress.arrived {
-        assert_eq!(keys.on_use(now, &key, call), Use::First);
+        assert_eq!(keys.on_use(now, &key, call), UseDecision::First);
     }
     if progress.asked
-        && let Ask::Witness { message, .. } = keys.ask(now, key.sequence, &"replica".into())
+        && let Permission::AskWitness { message, .. } =
+            keys.ask(now, key.sequence, &"replica".into())
         && progress.permitted
     {
         let answer = witness.on_message(now, &message);
@@ -127,7 +129,7 @@
             .expect("permitted and in time");
     }
     if progress.finished {
-        let answer = Answer {
+        let answer = StoredResponse {
             status: 201,
             content_type: None,
             body: Vec::new(),
@@ -139,10 +141,10 @@
     let mut step = receiver.on_unreachable();
     loop {
         step = match step {
-            Some(Step::Close { message, .. }) => {
+            Some(ReceiverStep::Close { message, .. }) => {
                 receiver.on_witness(witness.on_message(now, &message))
             }
-            Some(Step::Answer(outcome)) => return outcome,
+            Some(ReceiverStep::Answer(outcome)) => return outcome,
             _ => receiver.on_issuer(FromIssuer::NotHere),
         };
     }
--- a/crates/spec/src/idempotency.rs
+++ b/crates/spec/src/idempotency.rs
@@ -8,8 +8,9 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::idempotency::{
-    Answer, Ask, Call, EXPIRES, FromIssuer, FromWitness, HandedOver, Key, Keys, NotRun, Outcome,
-    Phase, RETAIN, Receiver, Step, ToWitness, Use, Witness, WitnessName,
+    CallAttempt, EXPIRES, FromIssuer, FromWitness, HandedOver, Key, KeyIssuer, KeyOutcome,
+    KeyPhase, NotRun, Permission, RETAIN, Receiver, ReceiverStep, StoredResponse, ToWitness,
+    UseDecision, Witness, WitnessName,
 };
 use tokio::time::Instant;
 
@@ -44,12 +45,12 @@
     start: Instant,
     time: usize,
     key: Key,
-    issuer: Option<Keys>,
+    issuer: Option<KeyIssuer>,
     restarted: bool,
     witness: Witness,
     witness_restarted: bool,
     /// The second instance's own memory, into which a leaver hands over.
-    second: Keys,
+    second: KeyIssuer,
     handed: Vec<HandedOver>,
     forward: Option<ToWitness>,
     receivers: [Option<Receiver>; CALLS],
@@ -67,7 +68,7 @@
     /// Makes the world in which the key was just issued.
     pub fn new(variant: Variant, bounds: Bounds) -> Self {
         let start = Instant::now();
-        let mut issuer = Keys::new("issuer".into(), 1, start);
+        let mut issuer = KeyIssuer::new("issuer".into(), 1, start);
         let witness = WitnessName {
             instance: "witness".into(),
             incarnation: 7,
@@ -84,7 +85,7 @@
             restarted: false,
             witness: Witness::new(7),
             witness_restarted: false,
-            second: Keys::new("second".into(), 3, start),
+            second: KeyIssuer::new("second".into(), 3, start),
             handed: Vec::new(),
             forward: None,
             receivers: [const { None }; CALLS],
@@ -117,20 +118,20 @@
         self.step(call, started.step);
     }
 
-    fn step(&mut self, call: usize, step: Step) {
+    fn step(&mut self, call: usize, step: ReceiverStep) {
         match step {
-            Step::Forward { .. } => self.post(Packet::Call { call }),
-            Step::LookUp { .. } => {
+            ReceiverStep::Forward { .. } => self.post(Packet::Call { call }),
+            ReceiverStep::LookUp { .. } => {
                 let known = self.second.adopted(self.now(), &self.key.id());
                 let answer = known.map_or(FromIssuer::NotHere, FromIssuer::Outcome);
                 self.answer(call, answer);
             }
-            Step::Close { .. } if self.variant == Variant::NoWitness => {
-                self.tell(call, &Outcome::NotRun(NotRun::Closed));
+            ReceiverStep::Close { .. } if self.variant == Variant::NoWitness => {
+                self.tell(call, &KeyOutcome::NotRun(NotRun::Closed));
             }
-            Step::Close { .. } => self.post(Packet::Close { call }),
-            Step::Answer(outcome) => self.tell(call, &outcome),
-            Step::Refuse => self.told[call] = Told::Refused,
+            ReceiverStep::Close { .. } => self.post(Packet::Close { call }),
+            ReceiverStep::Answer(outcome) => self.tell(call, &outcome),
+            ReceiverStep::Refuse => self.told[call] = Told::Refused,
         }
     }
 
@@ -148,15 +149,15 @@
         }
     }
 
-    fn tell(&mut self, call: usize, outcome: &Outcome) {
+    fn tell(&mut self, call: usize, outcome: &KeyOutcome) {
         if self.told[call] != Told::Waits {
             return;
         }
         self.told[call] = match outcome {
-            Outcome::Ran { .. } => Told::Ran,
-            Outcome::Unknown { .. } => Told::Unknown,
-            Outcome::NotRun(NotRun::Late | NotRun::Full | NotRun::Mismatch) => Told::Refused,
-            Outcome::NotRun(_) => Told::NeverRuns,
+            KeyOutcome::Ran { .. } => Told::Ran,
+            KeyOutcome::Unknown { .. } => Told::Unknown,
+            KeyOutcome::NotRun(NotRun::Late | NotRun::Full | NotRun::Mismatch) => Told::Refused,
+            KeyOutcome::NotRun(_) => Told::NeverRuns,
         };
     }
 
@@ -165,18 +166,18 @@
         let Some(issuer) = &mut self.issuer else {
             return;
         };
-        let terms = Call {
+        let terms = CallAttempt {
             id: call.to_string().into(),
             hash: 1,
             deadline: now + DEADLINE,
         };
         match issuer.on_use(now, &key, terms) {
-            Use::First => {
+            UseDecision::First => {
                 self.taken = self.time;
                 self.joined.push(call);
             }
-            Use::Join => self.joined.push(call),
-            Use::Answer(answer) => self.post(Packet::Answer { call, answer }),
+            UseDecision::Join => self.joined.push(call),
+            UseDecision::Answer(answer) => self.post(Packet::Answer { call, answer }),
         }
     }
 
@@ -189,7 +190,7 @@
     }
 
     fn not_run(&mut self, why: NotRun) {
-        self.answer_joined(&FromIssuer::Outcome(Outcome::NotRun(why)));
+        self.answer_joined(&FromIssuer::Outcome(KeyOutcome::NotRun(why)));
     }
 
     fn ask(&mut self) {
@@ -198,9 +199,9 @@
             return;
         };
         match issuer.ask(now, sequence, &"replica".into()) {
-            Ask::Witness { .. } => self.post(Packet::Permit),
-            Ask::Granted => {}
-            Ask::NotRun(why) => self.not_run(why),
+            Permission::AskWitness { .. } => self.post(Packet::Permit),
+            Permission::Granted => {}
+            Permission::NotRun(why) => self.not_run(why),
         }
     }
 
@@ -233,7 +234,7 @@
         }
     }
 
-    fn finish(&mut self, answer: Option<Answer>) {
+    fn finish(&mut self, answer: Option<StoredResponse>) {
         let sequence = self.key.sequence;
         let outcome = self
             .issuer
@@ -370,15 +371,15 @@
             }
         }
         match self.phase() {
-            Some(Phase::Waiting) => actions.extend([Action::Shed, Action::Ask]),
-            Some(Phase::Asking) => actions.push(Action::WitnessWaitEnds),
-            Some(Phase::Permitted) => actions.push(Action::Dispatch),
-            Some(Phase::Running) => actions.extend([Action::Finish, Action::Break]),
-            Some(Phase::Refused | Phase::Done) | None => {}
+            Some(KeyPhase::Waiting) => actions.extend([Action::Shed, Action::Ask]),
+            Some(KeyPhase::Asking) => actions.push(Action::WitnessWaitEnds),
+            Some(KeyPhase::Permitted) => actions.push(Action::Dispatch),
+            Some(KeyPhase::Running) => actions.extend([Action::Finish, Action::Break]),
+            Some(KeyPhase::Refused | KeyPhase::Done) | None => {}
         }
     }
 
-    fn phase(&self) -> Option<Phase> {
+    fn phase(&self) -> Option<KeyPhase> {
         let issuer = self.issuer.as_ref()?;
         if issuer.incarnation() != self.key.incarnation {
             return None;
@@ -393,7 +394,7 @@
                 self.receivers[call] = None;
             }
         }
-        let asking = self.phase() == Some(Phase::Asking);
+        let asking = self.phase() == Some(KeyPhase::Asking);
         let waits = self.told.clone().map(|t| t == Told::Waits);
         self.packets.retain(|packet| match packet {
             Packet::Answer { call, .. } | Packet::Closing { call, .. } => waits[*call],
@@ -447,7 +448,7 @@
             Action::WitnessWaitEnds => self.permission_arrives(None),
             Action::Shed => self.shed(),
             Action::Dispatch => self.dispatch(),
-            Action::Finish => self.finish(Some(Answer {
+            Action::Finish => self.finish(Some(StoredResponse {
                 status: 201,
                 content_type: None,
                 body: Vec::new(),
@@ -459,7 +460,7 @@
             }
             Action::Restart => {
                 self.restarted = true;
-                self.issuer = Some(Keys::new("issuer".into(), 2, self.now()));
+                self.issuer = Some(KeyIssuer::new("issuer".into(), 2, self.now()));
             }
             Action::RestartWitness => {
                 self.bounds.faults -= 1;
--- a/src/keyed.rs
+++ b/src/keyed.rs
@@ -10,8 +10,8 @@
 use http::{HeaderMap, HeaderValue, StatusCode};
 use kingcupfield_decisions::id::{InstanceId, RequestId, ServiceId};
 use kingcupfield_decisions::idempotency::{
-    Answer, FromIssuer, FromWitness, Key, KeyError, NotRun, Outcome, Receiver, Started, Step,
-    ToWitness,
+    FromIssuer, FromWitness, Key, KeyError, KeyOutcome, NotRun, Receiver, ReceiverStep,
+    StartedReceiver, StoredResponse, ToWitness,
 };
 use tokio::time::{Instant, sleep_until, timeout};
 
@@ -110,13 +110,13 @@
 impl Follow {
     async fn run(mut self, key: Key) -> Head {
         let known = self.shared.members.view().incarnation(&key.issuer);
-        let Started {
+        let StartedReceiver {
             mut receiver,
             mut step,
         } = Receiver::start(key.clone(), known);
         loop {
             step = match step {
-                Step::Forward { to } => {
+                ReceiverStep::Forward { to } => {
                     let answer = self.forward(&to, &key).await;
                     let next = match answer {
                         Forwarded::Answer(answer) => receiver.on_issuer(answer),
@@ -125,7 +125,7 @@
                     };
                     next.unwrap_or_else(|| self.lost(&mut receiver))
                 }
-                Step::LookUp { to } => {
+                ReceiverStep::LookUp { to } => {
                     let answer = self.look_up(&to, &key).await;
                     let next = match answer {
                         Some(answer) => receiver.on_issuer(answer),
@@ -133,7 +133,7 @@
                     };
                     next.unwrap_or_else(|| self.lost(&mut receiver))
                 }
-                Step::Close { to, message } => {
+                ReceiverStep::Close { to, message } => {
                     if let Some(head) = self.try_heirs(&key).await {
                         return head;
                     }
@@ -144,8 +144,8 @@
                     };
                     next.unwrap_or_else(|| self.lost(&mut receiver))
                 }
-                Step::Answer(outcome) => return head_of(outcome),
-                Step::Refuse => return self.refused(),
+                ReceiverStep::Answer(outcome) => return head_of(outcome),
+                ReceiverStep::Refuse => return self.refused(),
             };
         }
     }
@@ -213,9 +213,9 @@
     }
 
     /// The receiver had no next step for an answer that did not fit.
-    fn lost(&self, receiver: &mut Receiver) -> Step {
+    fn lost(&self, receiver: &mut Receiver) -> ReceiverStep {
         log::warn!("event=key_answer_unexpected request={}", self.keyed.request);
-        let unknown = Step::Answer(Outcome::Unknown { upstream: None });
+        let unknown = ReceiverStep::Answer(KeyOutcome::Unknown { upstream: None });
         receiver.on_unreachable().unwrap_or(unknown)
     }
 }
@@ -273,13 +273,13 @@
     Refusal::new(Kind::Unknown).with_message(message)
 }
 
-fn head_of(outcome: Outcome) -> Head {
+fn head_of(outcome: KeyOutcome) -> Head {
     match outcome {
-        Outcome::Ran {
+        KeyOutcome::Ran {
             answer: Some(answer),
             ..
         } => Head::Stream(replay(answer)),
-        Outcome::Ran {
+        KeyOutcome::Ran {
             upstream,
             answer: None,
         } => {
@@ -290,8 +290,8 @@
                     .with_ran(Ran::Yes),
             )
         }
-        Outcome::NotRun(why) => Head::Refused(not_run(why)),
-        Outcome::Unknown { upstream } => {
+        KeyOutcome::NotRun(why) => Head::Refused(not_run(why)),
+        KeyOutcome::Unknown { upstream } => {
             let place = upstream.map_or("an upstream".to_owned(), |u| format!("upstream {u}"));
             let message =
                 format!("it may have run at {place}; it will not run again under this key");
@@ -327,7 +327,7 @@
     Refusal::new(Kind::Unavailable).with_message(message)
 }
 
-fn replay(answer: Answer) -> Response {
+fn replay(answer: StoredResponse) -> Response {
     let mut rsp = Response::new(Body::from(answer.body));
     *rsp.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     if let Some(value) = answer
--- a/src/keyed_run.rs
+++ b/src/keyed_run.rs
@@ -10,7 +10,9 @@
 use http::{HeaderMap, HeaderValue, Method, Response};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
-use kingcupfield_decisions::idempotency::{Answer, Ask, Call, FromIssuer, Key, NotRun, Outcome};
+use kingcupfield_decisions::idempotency::{
+    CallAttempt, FromIssuer, Key, KeyOutcome, NotRun, Permission, StoredResponse,
+};
 use kingcupfield_decisions::slots;
 use tokio::sync::watch;
 use tokio::time::{Instant, timeout, timeout_at};
@@ -39,7 +41,7 @@
 /// Runs the call if its key was not used yet; else waits for the call under way, or answers.
 pub async fn run(shared: &Shared, key: &Key, keyed: &KeyedCall) -> KeyReply {
     let deadline = Instant::now() + keyed.time_left;
-    let call = Call {
+    let call = CallAttempt {
         id: keyed.request.clone(),
         hash: hash_of(keyed),
         deadline,
@@ -63,7 +65,7 @@
             }
         }
     };
-    let unknown = || KeyReply::Issuer(FromIssuer::Outcome(Outcome::Unknown { upstream: None }));
+    let unknown = || KeyReply::Issuer(FromIssuer::Outcome(KeyOutcome::Unknown { upstream: None }));
     let reply = match ended.wait_for(Option::is_some).await {
         Ok(reply) => reply.clone(),
         Err(_) => None,
@@ -161,9 +163,9 @@
     /// Asks the witness, once.
     async fn permit(&self, grant: &Grant) -> Result<(), NotRun> {
         match self.shared.keys.ask(&self.key.id(), &grant.upstream) {
-            Ask::Granted => Ok(()),
-            Ask::NotRun(why) => Err(why),
-            Ask::Witness { to, message } => {
+            Permission::Granted => Ok(()),
+            Permission::NotRun(why) => Err(why),
+            Permission::AskWitness { to, message } => {
                 let answer = ask_witness(&self.shared, &to, message).await;
                 self.shared
                     .keys
@@ -182,7 +184,9 @@
         let refusal =
             Refusal::new(Kind::Unavailable).with_message(format!("key given up: {why:?}"));
         waiting.refuse(refusal);
-        KeyReply::Issuer(FromIssuer::Outcome(outcome.unwrap_or(Outcome::NotRun(why))))
+        KeyReply::Issuer(FromIssuer::Outcome(
+            outcome.unwrap_or(KeyOutcome::NotRun(why)),
+        ))
     }
 
     async fn exchange(
@@ -202,7 +206,7 @@
             }
             Err(e) => self.broke(dispatched, &e),
         };
-        let whole = matches!(outcome, Some(Outcome::Ran { .. }));
+        let whole = matches!(outcome, Some(KeyOutcome::Ran { .. }));
         let first_token = whole.then_some(took);
         grant.finish(slots::Outcome {
             whole,
@@ -210,11 +214,11 @@
             between_tokens: None,
             work: PLAIN_WORK,
         });
-        let outcome = outcome.unwrap_or(Outcome::Unknown { upstream: None });
+        let outcome = outcome.unwrap_or(KeyOutcome::Unknown { upstream: None });
         KeyReply::Issuer(FromIssuer::Outcome(outcome))
     }
 
-    fn broke(&self, dispatched: Request<Dispatched>, e: &ExchangeError) -> Option<Outcome> {
+    fn broke(&self, dispatched: Request<Dispatched>, e: &ExchangeError) -> Option<KeyOutcome> {
         let Some(proof) = NotSent::from_error(e) else {
             dispatched.broke(e.to_string());
             return self.shared.keys.finish(&self.key.id(), None);
@@ -224,7 +228,7 @@
         self.shared.keys.not_sent(&self.key.id())
     }
 
-    async fn call(&self, upstream: &Upstream) -> Result<Answer, ExchangeError> {
+    async fn call(&self, upstream: &Upstream) -> Result<StoredResponse, ExchangeError> {
         let keyed = &self.keyed;
         let method = Method::from_bytes(keyed.method.as_bytes())
             .map_err(|e| ExchangeError::NotSent(e.to_string()))?;
@@ -263,7 +267,7 @@
     }
 }
 
-async fn whole_answer(rsp: Response<Incoming>) -> Result<Answer, ExchangeError> {
+async fn whole_answer(rsp: Response<Incoming>) -> Result<StoredResponse, ExchangeError> {
     let (parts, body) = rsp.into_parts();
     let body = Limited::new(body, ANSWER_LIMIT).collect().await;
     let body = body
@@ -273,7 +277,7 @@
         .headers
         .get(CONTENT_TYPE)
         .and_then(|v| v.to_str().ok());
-    Ok(Answer {
+    Ok(StoredResponse {
         status: parts.status.as_u16(),
         content_type: content_type.map(str::to_owned),
         body: body.to_vec(),
--- a/src/keys.rs
+++ b/src/keys.rs
@@ -5,9 +5,9 @@
 
 use kingcupfield_decisions::id::{Incarnation, InstanceId, OrganisationId, UpstreamId};
 use kingcupfield_decisions::idempotency::{
-    Answer, Ask, Call, Estate, FromIssuer, FromWitness, HandedOver, Heir, Inheritance, Key,
-    KeyError, KeyId, Keys as Issuer, MAX_ESTATES, NotRun, Outcome, Phase, Secret, ToWitness, Use,
-    Witness, WitnessEstate, WitnessHeir, WitnessName,
+    CallAttempt, Estate, FromIssuer, FromWitness, HandedOver, Heir, Inheritance, Key, KeyError,
+    KeyId, KeyIssuer, KeyOutcome, KeyPhase, MAX_ESTATES, NotRun, Permission, Secret,
+    StoredResponse, ToWitness, UseDecision, Witness, WitnessEstate, WitnessHeir, WitnessName,
 };
 use serde_json::{Value, json};
 use thiserror::Error;
@@ -59,7 +59,7 @@
 struct State {
     me: InstanceId,
     door: watch::Sender<Door>,
-    issuer: Issuer,
+    issuer: KeyIssuer,
     witness: Witness,
     heirs: Vec<Heir>,
     witness_heirs: Vec<WitnessHeir>,
@@ -114,7 +114,7 @@
         let state = State {
             me: me.clone(),
             door: watch::Sender::new(Door::Open),
-            issuer: Issuer::new(me.clone(), incarnation, now),
+            issuer: KeyIssuer::new(me.clone(), incarnation, now),
             witness: Witness::new(incarnation),
             heirs: Vec::new(),
             witness_heirs: Vec::new(),
@@ -162,7 +162,7 @@
     }
 
     /// Takes a call whose key was checked.
-    pub fn on_use(&self, key: &Key, call: Call) -> Met {
+    pub fn on_use(&self, key: &Key, call: CallAttempt) -> Met {
         let now = Instant::now();
         let mut state = self.lock();
         let waits = matches!(state.door(), Door::Closing | Door::GivenUp);
@@ -172,25 +172,25 @@
         let used = match state.heirs.iter_mut().find(|heir| heir.holds(key)) {
             // What ended before the leaver left is known from its records.
             Some(heir) => match heir.on_use(now, key, call.clone()) {
-                Use::Answer(FromIssuer::NotHere) => state.issuer.on_use(now, key, call),
+                UseDecision::Answer(FromIssuer::NotHere) => state.issuer.on_use(now, key, call),
                 used => used,
             },
             None => state.issuer.on_use(now, key, call),
         };
         let id = key.id();
         match used {
-            Use::Answer(answer) => Met::Answer(answer),
-            Use::Join => match state.under_way.iter().find(|u| u.key == id) {
+            UseDecision::Answer(answer) => Met::Answer(answer),
+            UseDecision::Join => match state.under_way.iter().find(|u| u.key == id) {
                 Some(under_way) => Met::Join(under_way.ended.clone()),
-                None => Met::Answer(FromIssuer::Outcome(Outcome::Unknown { upstream: None })),
+                None => Met::Answer(FromIssuer::Outcome(KeyOutcome::Unknown { upstream: None })),
             },
             // Nobody took the keys over, and the process is about to end.
-            Use::First if state.door() == Door::Shut => {
+            UseDecision::First if state.door() == Door::Shut => {
                 let outcome = state.give_up(&id, NotRun::Leaving);
-                let outcome = outcome.unwrap_or(Outcome::NotRun(NotRun::Leaving));
+                let outcome = outcome.unwrap_or(KeyOutcome::NotRun(NotRun::Leaving));
                 Met::Answer(FromIssuer::Outcome(outcome))
             }
-            Use::First => {
+            UseDecision::First => {
                 let (tx, ended) = watch::channel(None);
                 state.under_way.push(UnderWay {
                     key: id,
@@ -202,10 +202,10 @@
     }
 
     /// Asks for the right to dispatch to `upstream`.
-    pub fn ask(&self, key: &KeyId, upstream: &UpstreamId) -> Ask {
+    pub fn ask(&self, key: &KeyId, upstream: &UpstreamId) -> Permission {
         match self.lock().machine(key) {
             Some(issuer) => issuer.ask(Instant::now(), key.sequence, upstream),
-            None => Ask::NotRun(NotRun::Leaving),
+            None => Permission::NotRun(NotRun::Leaving),
         }
     }
 
@@ -224,21 +224,21 @@
     }
 
     /// Notes how a dispatched call ended; `None` when nobody knows.
-    pub fn finish(&self, key: &KeyId, answer: Option<Answer>) -> Option<Outcome> {
+    pub fn finish(&self, key: &KeyId, answer: Option<StoredResponse>) -> Option<KeyOutcome> {
         let mut state = self.lock();
         state.end(key);
         state.machine(key)?.finish(key.sequence, answer)
     }
 
     /// Notes that not one byte of a dispatched call went out.
-    pub fn not_sent(&self, key: &KeyId) -> Option<Outcome> {
+    pub fn not_sent(&self, key: &KeyId) -> Option<KeyOutcome> {
         let mut state = self.lock();
         state.end(key);
         state.machine(key)?.not_sent(key.sequence)
     }
 
     /// Gives up a call that was not dispatched.
-    pub fn give_up(&self, key: &KeyId, why: NotRun) -> Option<Outcome> {
+    pub fn give_up(&self, key: &KeyId, why: NotRun) -> Option<KeyOutcome> {
         let mut state = self.lock();
         state.end(key);
         state.give_up(key, why)
@@ -406,11 +406,11 @@
         let issuer = self.machine(&key.id());
         issuer.is_some_and(|issuer| {
             let phase = issuer.phase(key.sequence);
-            matches!(phase, None | Some(Phase::Refused))
+            matches!(phase, None | Some(KeyPhase::Refused))
         })
     }
 
-    fn give_up(&mut self, key: &KeyId, why: NotRun) -> Option<Outcome> {
+    fn give_up(&mut self, key: &KeyId, why: NotRun) -> Option<KeyOutcome> {
         self.machine(key)?.give_up(key.sequence, why)
     }
 
@@ -419,7 +419,7 @@
     }
 
     /// The machine that alone may dispatch `key` here.
-    fn machine(&mut self, key: &KeyId) -> Option<&mut Issuer> {
+    fn machine(&mut self, key: &KeyId) -> Option<&mut KeyIssuer> {
         if key.issuer == self.me && key.incarnation == self.issuer.incarnation() {
             return Some(&mut self.issuer);
         }
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -8,7 +8,7 @@
 use kingcupfield::keys::{Keys, Left, Met};
 use kingcupfield::members::View;
 use kingcupfield_decisions::idempotency::{
-    Answer, Ask, Call, FromIssuer, Key, NotRun, Outcome, Secret,
+    CallAttempt, FromIssuer, Key, KeyOutcome, NotRun, Permission, Secret, StoredResponse,
 };
 use tokio::time::{Instant, timeout};
 use yare::parameterized;
@@ -27,8 +27,8 @@
     keys.decode(&text, ORGANISATION).expect("its own key")
 }
 
-fn call(request: &str) -> Call {
-    Call {
+fn call(request: &str) -> CallAttempt {
+    CallAttempt {
         id: request.into(),
         hash: 7,
         deadline: Instant::now() + Duration::from_secs(20),
@@ -38,18 +38,21 @@
 /// Uses a key for the first time and passes it on to the service.
 fn begin(keys: &Keys, key: &Key) {
     assert!(matches!(keys.on_use(key, call("first")), Met::First(..)));
-    assert_eq!(keys.ask(&key.id(), &"u".into()), Ask::Granted);
+    assert_eq!(keys.ask(&key.id(), &"u".into()), Permission::Granted);
     keys.dispatch(&key.id()).expect("a right to dispatch");
 }
 
 fn finish(keys: &Keys, key: &Key) {
-    let answer = Answer {
+    let answer = StoredResponse {
         status: 200,
         content_type: None,
         body: b"booked".to_vec(),
     };
     let outcome = keys.finish(&key.id(), Some(answer));
-    assert!(matches!(outcome, Some(Outcome::Ran { .. })), "{outcome:?}");
+    assert!(
+        matches!(outcome, Some(KeyOutcome::Ran { .. })),
+        "{outcome:?}"
+    );
 }
 
 fn held(met: Met) -> Left {
@@ -84,7 +87,7 @@
     let met = keys.on_use(&running, call("later"));
     assert!(matches!(
         met,
-        Met::Answer(FromIssuer::Outcome(Outcome::Ran { .. }))
+        Met::Answer(FromIssuer::Outcome(KeyOutcome::Ran { .. }))
     ));
 
     if let Some(successor) = successor {
@@ -101,7 +104,7 @@
         Some(successor) => FromIssuer::Moved {
             successor: successor.into(),
         },
-        None => FromIssuer::Outcome(Outcome::NotRun(NotRun::Leaving)),
+        None => FromIssuer::Outcome(KeyOutcome::NotRun(NotRun::Leaving)),
     };
     for key in [&unused, &refused] {
         match keys.on_use(key, call("after")) {
--- a/tests/processes/stopped_issuer.rs
+++ b/tests/processes/stopped_issuer.rs
@@ -19,7 +19,7 @@
 use kingcupfield::calls::{KEY, KeyQuestion, KeyReply, KeyRequest, KeyedCall};
 use kingcupfield::message::PROTOCOL;
 use kingcupfield::peers::{PeerToken, connect};
-use kingcupfield_decisions::idempotency::{FromIssuer, Outcome};
+use kingcupfield_decisions::idempotency::{FromIssuer, KeyOutcome};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use tokio::task::JoinSet;
@@ -118,7 +118,7 @@
     let Some(KeyReply::Issuer(FromIssuer::Outcome(outcome))) = answer else {
         return false;
     };
-    matches!(outcome, Outcome::Ran { .. })
+    matches!(outcome, KeyOutcome::Ran { .. })
 }
 
 /// Operators read from the log whether a stop cut anything, so its last line must not be lost with
