--- a/crates/decisions/src/idempotency.rs
+++ b/crates/decisions/src/idempotency.rs
@@ -14,7 +14,7 @@
 //! What this rests on: one process holds the right to dispatch and its memory ends with it; the
 //! witness's memory ends with its incarnation, which the key names. No agreement on membership,
 //! no wall clock, no shared store. Two clocks are compared by rate only: a witness remembers for
-//! [`RETAIN`], twice the time in which an issuer may dispatch.
+//! [`RECORD_RETENTION`], twice the time in which an issuer may dispatch.
 
 use std::time::Duration;
 
@@ -23,12 +23,14 @@
 use crate::id::{Incarnation, InstanceId, Sequence, UpstreamId};
 
 pub use answer::{KeyOutcome, NotRun, StoredResponse};
-pub use estate::{Estate, Heir, Inheritance, MAX_ESTATES, WitnessEstate, WitnessHeir};
-pub use handover::{Forwarding, HandOver, HandedOver};
-pub use issuer::{CallAttempt, KeyIssuer, KeyPhase, MAX_CALLS, Permission, UseDecision};
-pub use key::{Key, KeyError, Secret, WitnessName};
-pub use receiver::{FromIssuer, Receiver, ReceiverStep, StartedReceiver};
-pub use witness::{FromWitness, ToWitness, Witness, WitnessMemory};
+pub use estate::{
+    DispatchRights, IssuerSuccessor, KeysHandover, MAX_HANDOVERS, WitnessHandover, WitnessSuccessor,
+};
+pub use handover::{EndedKeyRecord, EndedKeysHandover, ForwardNotice};
+pub use issuer::{CallAttempt, KeyIssuer, KeyPhase, MAX_CALLS_PER_KEY, Permission, UseDecision};
+pub use key::{Key, KeyError, Secret, WitnessId};
+pub use receiver::{IssuerReply, Receiver, ReceiverStep, StartedReceiver};
+pub use witness::{Witness, WitnessMemory, WitnessReply, WitnessRequest};
 
 mod answer;
 mod estate;
@@ -41,17 +43,17 @@
 /// How long after its issue a key may be dispatched, by the issuer's clock.
 ///
 /// Long enough for a foreman who fills a form and retries over an outage of minutes.
-pub const EXPIRES: Duration = Duration::from_mins(10);
+pub const KEY_LIFETIME: Duration = Duration::from_mins(10);
 
 /// How long an issuer, a successor and a witness remember a used key.
 ///
-/// Twice [`EXPIRES`], so that clocks may differ in rate by a factor of two before a witness could
+/// Twice [`KEY_LIFETIME`], so that clocks may differ in rate by a factor of two before a witness could
 /// forget a key that its issuer still may dispatch.
-pub const RETAIN: Duration = Duration::from_mins(20);
+pub const RECORD_RETENTION: Duration = Duration::from_mins(20);
 
 /// Most keys that one organisation may have used at one issuer and not yet forgotten; beyond it
 /// first uses are refused as "not run". At the target size an instance sees about 2 first uses a
-/// second from all organisations together, 2,400 in [`RETAIN`].
+/// second from all organisations together, 2,400 in [`RECORD_RETENTION`].
 pub const MAX_RECORDS_PER_ORGANISATION: usize = 2_048;
 
 /// Most records of one issuer, of one successor and of one witness.
@@ -72,7 +74,7 @@
 /// What a witness was told about a permitted key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Successor {
+pub struct KeySuccessor {
     /// The instance that took over what became of the key.
     pub instance: InstanceId,
     /// The upstream that the key was permitted for.
--- a/crates/decisions/src/idempotency/estate.rs
+++ b/crates/decisions/src/idempotency/estate.rs
@@ -17,17 +17,17 @@
 use crate::id::{Incarnation, InstanceId, Sequence};
 
 use super::{
-    CallAttempt, FromIssuer, FromWitness, HandOver, Key, KeyId, KeyIssuer, RETAIN, ToWitness,
-    UseDecision, Witness, WitnessMemory,
+    CallAttempt, EndedKeysHandover, IssuerReply, Key, KeyId, KeyIssuer, RECORD_RETENTION,
+    UseDecision, Witness, WitnessMemory, WitnessReply, WitnessRequest,
 };
 
 /// Estates that one instance holds; at 160 restarts a day each instance has one for a few minutes.
-pub const MAX_ESTATES: usize = 64;
+pub const MAX_HANDOVERS: usize = 64;
 
 /// The right to dispatch what one life of an instance issued and nobody used.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Estate {
+pub struct DispatchRights {
     /// The leaver.
     pub issuer: InstanceId,
     /// Its incarnation.
@@ -41,7 +41,7 @@
 /// The memory of a witness that left, under its name.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct WitnessEstate {
+pub struct WitnessHandover {
     /// The leaver.
     pub instance: InstanceId,
     /// Its memory.
@@ -50,7 +50,7 @@
 
 /// A witness that left, at its heir.
 #[derive(Debug)]
-pub struct WitnessHeir {
+pub struct WitnessSuccessor {
     instance: InstanceId,
     witness: Witness,
     since: Instant,
@@ -58,16 +58,16 @@
 
 /// One estate at its heir.
 #[derive(Debug)]
-pub struct Heir {
+pub struct IssuerSuccessor {
     keys: KeyIssuer,
     issuer: InstanceId,
     used: Vec<Sequence>,
     since: Instant,
 }
 
-impl Heir {
+impl IssuerSuccessor {
     /// Takes over `estate` now.
-    pub fn new(estate: Estate, now: Instant) -> Self {
+    pub fn new(estate: DispatchRights, now: Instant) -> Self {
         let issuer = estate.issuer.clone();
         let keys = KeyIssuer::new(estate.issuer, estate.incarnation, now).with_age(estate.age);
         Self {
@@ -80,7 +80,7 @@
 
     /// Whether it is the same estate as `other`, which then came a second time: taking it again
     /// would forget what was used since.
-    pub fn is_of(&self, other: &Estate) -> bool {
+    pub fn is_of(&self, other: &DispatchRights) -> bool {
         self.issuer == other.issuer && self.keys.incarnation() == other.incarnation
     }
 
@@ -97,7 +97,7 @@
     /// Takes a call whose key belongs to this estate.
     pub fn on_use(&mut self, now: Instant, key: &Key, call: CallAttempt) -> UseDecision {
         if self.used.binary_search(&key.sequence).is_ok() {
-            return UseDecision::Answer(FromIssuer::NotHere);
+            return UseDecision::Answer(IssuerReply::NotHere);
         }
         self.keys.on_use(now, key, call)
     }
@@ -109,15 +109,15 @@
 
     /// Whether no key of it can be used any more.
     pub fn is_over(&self, now: Instant) -> bool {
-        now.duration_since(self.since) >= RETAIN
+        now.duration_since(self.since) >= RECORD_RETENTION
     }
 
     /// Passes the estate on, as this heir leaves too.
-    pub fn pass_on(&mut self, now: Instant, successor: &InstanceId) -> Inheritance {
+    pub fn pass_on(&mut self, now: Instant, successor: &InstanceId) -> KeysHandover {
         let mut estate = self.keys.estate(now, successor);
         estate.used.append(&mut self.used);
         estate.used.sort_unstable();
-        Inheritance {
+        KeysHandover {
             estate,
             ended: self.keys.hand_over(successor),
         }
@@ -126,16 +126,16 @@
 
 /// An estate and the keys of it that ended.
 #[derive(Debug)]
-pub struct Inheritance {
+pub struct KeysHandover {
     /// The unused keys.
-    pub estate: Estate,
+    pub estate: DispatchRights,
     /// The ended ones.
-    pub ended: HandOver,
+    pub ended: EndedKeysHandover,
 }
 
-impl WitnessHeir {
+impl WitnessSuccessor {
     /// Takes over `estate` now.
-    pub fn new(estate: WitnessEstate, now: Instant) -> Self {
+    pub fn new(estate: WitnessHandover, now: Instant) -> Self {
         let witness = Witness::from_memory(estate.memory, now);
         Self {
             instance: estate.instance,
@@ -145,7 +145,7 @@
     }
 
     /// Whether it is the same memory as `other`, which then came a second time.
-    pub fn is_of(&self, other: &WitnessEstate) -> bool {
+    pub fn is_of(&self, other: &WitnessHandover) -> bool {
         self.instance == other.instance && self.witness.incarnation() == other.memory.incarnation()
     }
 
@@ -155,18 +155,18 @@
     }
 
     /// Answers in place of the leaver, if `message` is for its life; else "lost".
-    pub fn on_message(&mut self, now: Instant, message: &ToWitness) -> FromWitness {
+    pub fn on_message(&mut self, now: Instant, message: &WitnessRequest) -> WitnessReply {
         self.witness.on_message(now, message)
     }
 
     /// Whether no key that names it can be used any more.
     pub fn is_over(&self, now: Instant) -> bool {
-        now.duration_since(self.since) >= RETAIN
+        now.duration_since(self.since) >= RECORD_RETENTION
     }
 
     /// Passes the memory on, as this heir leaves too.
-    pub fn pass_on(&mut self, now: Instant) -> WitnessEstate {
-        WitnessEstate {
+    pub fn pass_on(&mut self, now: Instant) -> WitnessHandover {
+        WitnessHandover {
             instance: self.instance.clone(),
             memory: self.witness.leave(now),
         }
--- a/crates/decisions/src/idempotency/issuer.rs
+++ b/crates/decisions/src/idempotency/issuer.rs
@@ -10,8 +10,9 @@
 use super::answer::MAX_ANSWER;
 use super::handover::Adopted;
 use super::{
-    EXPIRES, Estate, FromIssuer, FromWitness, Key, KeyOutcome, MAX_RECORDS,
-    MAX_RECORDS_PER_ORGANISATION, NotRun, RETAIN, StoredResponse, ToWitness, WitnessName,
+    DispatchRights, IssuerReply, KEY_LIFETIME, Key, KeyOutcome, MAX_RECORDS,
+    MAX_RECORDS_PER_ORGANISATION, NotRun, RECORD_RETENTION, StoredResponse, WitnessId,
+    WitnessReply, WitnessRequest,
 };
 
 /// Most bytes of answers kept for replay; the oldest make room.
@@ -19,7 +20,7 @@
 
 /// Most calls of one key that are told apart before its first byte; with more, a refusal ends
 /// the key for good.
-pub const MAX_CALLS: usize = 16;
+pub const MAX_CALLS_PER_KEY: usize = 16;
 
 /// A call that arrived with a key, at the key's issuer.
 #[derive(Debug, Clone)]
@@ -42,7 +43,7 @@
     /// The same call is under way; give this caller its answer when it ends.
     Join,
     /// Answer at once.
-    Answer(FromIssuer),
+    Answer(IssuerReply),
 }
 
 /// What a first use needs before it may be dispatched.
@@ -53,7 +54,7 @@
         /// The witness.
         to: InstanceId,
         /// The message.
-        message: ToWitness,
+        message: WitnessRequest,
     },
     /// The key names no witness.
     Granted,
@@ -145,9 +146,9 @@
     /// Gives up the right to dispatch for `successor` and tells what it may dispatch.
     ///
     /// From now on nothing is dispatched here, whether or not the estate arrives.
-    pub fn estate(&mut self, now: Instant, successor: &InstanceId) -> Estate {
+    pub fn estate(&mut self, now: Instant, successor: &InstanceId) -> DispatchRights {
         self.successor = Some(Arc::clone(successor));
-        Estate {
+        DispatchRights {
             issuer: Arc::clone(&self.me),
             incarnation: self.incarnation,
             age: self.life(now),
@@ -165,7 +166,7 @@
         &mut self,
         now: Instant,
         organisation: OrganisationId,
-        witness: Option<WitnessName>,
+        witness: Option<WitnessId>,
     ) -> Key {
         self.next += 1;
         Key {
@@ -190,11 +191,11 @@
     pub fn on_use(&mut self, now: Instant, key: &Key, call: CallAttempt) -> UseDecision {
         if key.issuer != self.me || key.incarnation != self.incarnation {
             let outcome = self.adopted(now, &key.id());
-            return UseDecision::Answer(outcome.map_or(FromIssuer::NotHere, FromIssuer::Outcome));
+            return UseDecision::Answer(outcome.map_or(IssuerReply::NotHere, IssuerReply::Outcome));
         }
         if let Some(successor) = &self.successor {
             let successor = Arc::clone(successor);
-            return UseDecision::Answer(FromIssuer::Moved { successor });
+            return UseDecision::Answer(IssuerReply::Moved { successor });
         }
         self.expire(now);
         match self.find(key.sequence) {
@@ -207,17 +208,17 @@
         let record = &mut self.records[i];
         if record.hash != call.hash {
             let outcome = KeyOutcome::NotRun(NotRun::Mismatch);
-            return UseDecision::Answer(FromIssuer::Outcome(outcome));
+            return UseDecision::Answer(IssuerReply::Outcome(outcome));
         }
         match &record.state {
-            State::Done(outcome) => UseDecision::Answer(FromIssuer::Outcome(outcome.clone())),
+            State::Done(outcome) => UseDecision::Answer(IssuerReply::Outcome(outcome.clone())),
             // The refusal was, or will be, told as "not run": this very call must not run.
             State::Refused if record.calls.contains(&call.id) => {
-                UseDecision::Answer(FromIssuer::Refused)
+                UseDecision::Answer(IssuerReply::Refused)
             }
             State::Refused if call.deadline <= now => {
                 let outcome = KeyOutcome::NotRun(NotRun::Late);
-                UseDecision::Answer(FromIssuer::Outcome(outcome))
+                UseDecision::Answer(IssuerReply::Outcome(outcome))
             }
             State::Refused => {
                 record.state = State::Waiting;
@@ -226,7 +227,7 @@
                 UseDecision::First
             }
             _ => {
-                if record.calls.len() < MAX_CALLS && !record.calls.contains(&call.id) {
+                if record.calls.len() < MAX_CALLS_PER_KEY && !record.calls.contains(&call.id) {
                     record.calls.push(call.id);
                 }
                 UseDecision::Join
@@ -236,11 +237,11 @@
 
     fn first_use(&mut self, i: usize, now: Instant, key: &Key, call: CallAttempt) -> UseDecision {
         let age = self.age(now, key);
-        let not_run = if age >= RETAIN {
+        let not_run = if age >= RECORD_RETENTION {
             // A record may have stood here and been forgotten.
             let outcome = KeyOutcome::Unknown { upstream: None };
-            return UseDecision::Answer(FromIssuer::Outcome(outcome));
-        } else if age >= EXPIRES {
+            return UseDecision::Answer(IssuerReply::Outcome(outcome));
+        } else if age >= KEY_LIFETIME {
             Some(NotRun::Expired)
         } else if call.deadline <= now {
             Some(NotRun::Late)
@@ -250,7 +251,7 @@
             None
         };
         if let Some(why) = not_run {
-            return UseDecision::Answer(FromIssuer::Outcome(KeyOutcome::NotRun(why)));
+            return UseDecision::Answer(IssuerReply::Outcome(KeyOutcome::NotRun(why)));
         }
         let record = Record {
             key: key.clone(),
@@ -266,19 +267,19 @@
     /// Ends a first use that was not dispatched and for which nobody was asked, such as a shed
     /// one; tells what to answer to it and to all that joined it. The caller may use the key again
     /// for a new call. None once somebody was asked; see [`Self::give_up`].
-    pub fn refuse(&mut self, sequence: Sequence) -> Option<FromIssuer> {
+    pub fn refuse(&mut self, sequence: Sequence) -> Option<IssuerReply> {
         let i = self.find(sequence).ok()?;
         let record = &mut self.records[i];
         if record.state != State::Waiting {
             return None;
         }
-        if record.calls.len() >= MAX_CALLS {
+        if record.calls.len() >= MAX_CALLS_PER_KEY {
             // A call that was not noted could come again after its refusal and run.
             let why = self.give_up_at(i, NotRun::Full);
-            return Some(FromIssuer::Outcome(KeyOutcome::NotRun(why)));
+            return Some(IssuerReply::Outcome(KeyOutcome::NotRun(why)));
         }
         record.state = State::Refused;
-        Some(FromIssuer::Refused)
+        Some(IssuerReply::Refused)
     }
 
     /// Asks for the right to dispatch to this upstream; once for each key.
@@ -299,7 +300,7 @@
             (State::Waiting, Some(witness)) => {
                 let ask = Permission::AskWitness {
                     to: Arc::clone(&witness.instance),
-                    message: ToWitness::Permit {
+                    message: WitnessRequest::Permit {
                         key: record.key.id(),
                         witness: witness.incarnation,
                         upstream: Arc::clone(&upstream),
@@ -320,7 +321,7 @@
     pub fn on_witness(
         &mut self,
         sequence: Sequence,
-        answer: Option<&FromWitness>,
+        answer: Option<&WitnessReply>,
     ) -> Result<(), NotRun> {
         let i = self.find(sequence).map_err(|_| NotRun::Expired)?;
         let record = &mut self.records[i];
@@ -331,12 +332,12 @@
             };
         };
         match answer {
-            Some(FromWitness::Permitted) => {
+            Some(WitnessReply::Permitted) => {
                 let upstream = Arc::clone(upstream);
                 record.state = State::Permitted { upstream };
                 Ok(())
             }
-            Some(FromWitness::Closed) => Err(self.give_up_at(i, NotRun::Closed)),
+            Some(WitnessReply::Closed) => Err(self.give_up_at(i, NotRun::Closed)),
             _ => Err(self.give_up_at(i, NotRun::NoWitness)),
         }
     }
@@ -416,13 +417,13 @@
         self.records.retain(|r| {
             let age = life.saturating_sub(r.key.issued());
             let running = matches!(r.state, State::Running { .. });
-            let keep = age < RETAIN || running;
+            let keep = age < RECORD_RETENTION || running;
             freed += if keep { 0 } else { r.state.answer_len() };
             keep
         });
         self.answer_bytes -= freed;
         self.adopted
-            .retain(|a| now.duration_since(a.since) < RETAIN);
+            .retain(|a| now.duration_since(a.since) < RECORD_RETENTION);
     }
 
     /// The life of the instance that this memory belongs to.
@@ -499,7 +500,7 @@
         let record = &self.records[i];
         if now >= record.deadline {
             Err(NotRun::Late)
-        } else if self.age(now, &record.key) >= EXPIRES {
+        } else if self.age(now, &record.key) >= KEY_LIFETIME {
             Err(NotRun::Expired)
         } else {
             Ok(())
--- a/crates/decisions/src/idempotency/key.rs
+++ b/crates/decisions/src/idempotency/key.rs
@@ -89,7 +89,7 @@
 /// The witness that a key names.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct WitnessName {
+pub struct WitnessId {
     /// The instance.
     #[serde(rename = "i")]
     pub instance: InstanceId,
@@ -110,7 +110,7 @@
     pub incarnation: Incarnation,
     /// The witness; none if the issuer knew no other instance.
     #[serde(rename = "w")]
-    pub witness: Option<WitnessName>,
+    pub witness: Option<WitnessId>,
     /// The organisation that may use it.
     #[serde(rename = "o")]
     pub organisation: OrganisationId,
--- a/crates/decisions/src/idempotency/receiver.rs
+++ b/crates/decisions/src/idempotency/receiver.rs
@@ -6,12 +6,12 @@
 
 use crate::id::{Incarnation, InstanceId, UpstreamId};
 
-use super::{FromWitness, Key, KeyOutcome, NotRun, Successor, ToWitness};
+use super::{Key, KeyOutcome, KeySuccessor, NotRun, WitnessReply, WitnessRequest};
 
 /// Answer of a key's issuer to a call that was passed on to it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum FromIssuer {
+pub enum IssuerReply {
     /// What became of the key.
     Outcome(KeyOutcome),
     /// This call did not run for want of capacity or by a limit; the key may be used again.
@@ -43,7 +43,7 @@
         /// The witness.
         to: InstanceId,
         /// The message.
-        message: ToWitness,
+        message: WitnessRequest,
     },
     /// Answer the caller.
     Answer(KeyOutcome),
@@ -91,17 +91,17 @@
     }
 
     /// Takes the answer of the issuer or of a successor.
-    pub fn on_issuer(&mut self, answer: FromIssuer) -> Option<ReceiverStep> {
+    pub fn on_issuer(&mut self, answer: IssuerReply) -> Option<ReceiverStep> {
         match (&self.stage, answer) {
             (
                 Stage::Issuer | Stage::Successor | Stage::Forwarded { .. },
-                FromIssuer::Outcome(o),
+                IssuerReply::Outcome(o),
             ) => Some(self.answer(o)),
-            (Stage::Issuer, FromIssuer::Refused) => {
+            (Stage::Issuer, IssuerReply::Refused) => {
                 self.stage = Stage::Answered;
                 Some(ReceiverStep::Refuse)
             }
-            (Stage::Issuer, FromIssuer::Moved { successor }) => {
+            (Stage::Issuer, IssuerReply::Moved { successor }) => {
                 self.stage = Stage::Successor;
                 Some(ReceiverStep::LookUp { to: successor })
             }
@@ -111,23 +111,23 @@
     }
 
     /// Takes the answer of the witness.
-    pub fn on_witness(&mut self, answer: FromWitness) -> Option<ReceiverStep> {
+    pub fn on_witness(&mut self, answer: WitnessReply) -> Option<ReceiverStep> {
         if self.stage != Stage::Witness {
             return None;
         }
         Some(match answer {
-            FromWitness::Closed => self.answer(KeyOutcome::NotRun(NotRun::Closed)),
-            FromWitness::MayHaveRun { upstream } => self.answer(KeyOutcome::Unknown {
+            WitnessReply::Closed => self.answer(KeyOutcome::NotRun(NotRun::Closed)),
+            WitnessReply::MayHaveRun { upstream } => self.answer(KeyOutcome::Unknown {
                 upstream: Some(upstream),
             }),
-            FromWitness::Forwarded(Successor { instance, upstream }) => {
+            WitnessReply::Forwarded(KeySuccessor { instance, upstream }) => {
                 self.stage = Stage::Forwarded { upstream };
                 ReceiverStep::LookUp { to: instance }
             }
-            FromWitness::Permitted
-            | FromWitness::Repeated
-            | FromWitness::Lost
-            | FromWitness::Noted => self.answer(KeyOutcome::Unknown { upstream: None }),
+            WitnessReply::Permitted
+            | WitnessReply::Repeated
+            | WitnessReply::Lost
+            | WitnessReply::Noted => self.answer(KeyOutcome::Unknown { upstream: None }),
         })
     }
 
@@ -154,7 +154,7 @@
         self.stage = Stage::Witness;
         ReceiverStep::Close {
             to: Arc::clone(&witness.instance),
-            message: ToWitness::Close {
+            message: WitnessRequest::Close {
                 key: self.key.id(),
                 witness: witness.incarnation,
             },
--- a/crates/decisions/src/idempotency/witness.rs
+++ b/crates/decisions/src/idempotency/witness.rs
@@ -8,7 +8,7 @@
 
 use crate::id::{Incarnation, InstanceId, Sequence, UpstreamId};
 
-use super::{KeyId, MAX_RECORDS, RETAIN, Successor};
+use super::{KeyId, KeySuccessor, MAX_RECORDS, RECORD_RETENTION};
 
 /// Most issuers whose forgotten keys are told apart; at 160 restarts a day about three weeks.
 pub const MAX_ISSUERS: usize = 4_096;
@@ -20,7 +20,7 @@
 /// Message to a witness. `witness` is the incarnation that the key names.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum ToWitness {
+pub enum WitnessRequest {
     /// The issuer asks whether it may dispatch; asked once for each key.
     Permit {
         /// The key.
@@ -51,7 +51,7 @@
 /// Answer of a witness.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum FromWitness {
+pub enum WitnessReply {
     /// The issuer may dispatch; said once for each key.
     Permitted,
     /// The key was permitted before.
@@ -64,7 +64,7 @@
         upstream: UpstreamId,
     },
     /// The key was permitted and its record handed over.
-    Forwarded(Successor),
+    Forwarded(KeySuccessor),
     /// This incarnation can't tell: it is not the one named, has forgotten or has no room.
     Lost,
     /// A forwarding word was taken.
@@ -75,7 +75,7 @@
 enum State {
     Permitted { upstream: UpstreamId },
     Closed,
-    Forwarded(Successor),
+    Forwarded(KeySuccessor),
 }
 
 #[derive(Debug, Clone, Hash)]
@@ -140,27 +140,27 @@
     }
 
     /// Answers an issuer, a receiving instance or a leaver.
-    pub fn on_message(&mut self, now: Instant, message: &ToWitness) -> FromWitness {
+    pub fn on_message(&mut self, now: Instant, message: &WitnessRequest) -> WitnessReply {
         self.expire(now);
         match message {
-            ToWitness::Permit {
+            WitnessRequest::Permit {
                 key,
                 witness,
                 upstream,
             } => self.permit(now, key, *witness, upstream),
-            ToWitness::Close { key, witness } => self.close(now, key, *witness),
-            ToWitness::Forward {
+            WitnessRequest::Close { key, witness } => self.close(now, key, *witness),
+            WitnessRequest::Forward {
                 keys,
                 witness,
                 successor,
             } => {
                 if *witness != self.incarnation {
-                    return FromWitness::Lost;
+                    return WitnessReply::Lost;
                 }
                 for key in keys {
                     self.forward(key, successor);
                 }
-                FromWitness::Noted
+                WitnessReply::Noted
             }
         }
     }
@@ -220,35 +220,35 @@
         key: &KeyId,
         witness: Incarnation,
         upstream: &UpstreamId,
-    ) -> FromWitness {
+    ) -> WitnessReply {
         match self.find(key) {
             Ok(i) => match self.records[i].state {
-                State::Closed => FromWitness::Closed,
-                State::Permitted { .. } | State::Forwarded(_) => FromWitness::Repeated,
+                State::Closed => WitnessReply::Closed,
+                State::Permitted { .. } | State::Forwarded(_) => WitnessReply::Repeated,
             },
-            Err(_) if witness != self.incarnation || !self.can_remember(key) => FromWitness::Lost,
+            Err(_) if witness != self.incarnation || !self.can_remember(key) => WitnessReply::Lost,
             Err(i) => {
                 let upstream = Arc::clone(upstream);
                 self.insert(i, now, key, State::Permitted { upstream });
-                FromWitness::Permitted
+                WitnessReply::Permitted
             }
         }
     }
 
-    fn close(&mut self, now: Instant, key: &KeyId, witness: Incarnation) -> FromWitness {
+    fn close(&mut self, now: Instant, key: &KeyId, witness: Incarnation) -> WitnessReply {
         match self.find(key) {
             Ok(i) => match &self.records[i].state {
-                State::Closed => FromWitness::Closed,
-                State::Permitted { upstream } => FromWitness::MayHaveRun {
+                State::Closed => WitnessReply::Closed,
+                State::Permitted { upstream } => WitnessReply::MayHaveRun {
                     upstream: Arc::clone(upstream),
                 },
-                State::Forwarded(successor) => FromWitness::Forwarded(successor.clone()),
+                State::Forwarded(successor) => WitnessReply::Forwarded(successor.clone()),
             },
             // A former life, or this one before it forgot, may have permitted it.
-            Err(_) if witness != self.incarnation || !self.can_remember(key) => FromWitness::Lost,
+            Err(_) if witness != self.incarnation || !self.can_remember(key) => WitnessReply::Lost,
             Err(i) => {
                 self.insert(i, now, key, State::Closed);
-                FromWitness::Closed
+                WitnessReply::Closed
             }
         }
     }
@@ -261,7 +261,7 @@
             State::Forwarded(s) => Arc::clone(&s.upstream),
             State::Closed => return,
         };
-        *state = State::Forwarded(Successor {
+        *state = State::Forwarded(KeySuccessor {
             instance: Arc::clone(successor),
             upstream,
         });
@@ -283,7 +283,7 @@
     /// Whether a key without a record surely never had one, and there is room for one.
     ///
     /// Sequences grow in order of issue, so every key up to a forgotten one is at least as old:
-    /// past [`RETAIN`], longer than its issuer may dispatch it. Answering "closed" for such a key
+    /// past [`RECORD_RETENTION`], longer than its issuer may dispatch it. Answering "closed" for such a key
     /// would call a booking "not run" that ran before it was forgotten.
     fn can_remember(&self, key: &KeyId) -> bool {
         let fresh = match self.find_forgotten(&key.issuer, key.incarnation) {
@@ -299,7 +299,7 @@
     }
 
     fn expire(&mut self, now: Instant) {
-        let old = |r: &Record| now.duration_since(r.since) >= RETAIN;
+        let old = |r: &Record| now.duration_since(r.since) >= RECORD_RETENTION;
         if !self.records.iter().any(old) {
             return;
         }
--- a/crates/decisions/tests/idempotency.rs
+++ b/crates/decisions/tests/idempotency.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::idempotency::{
-    CallAttempt, EXPIRES, FromIssuer, FromWitness, Key, KeyId, KeyIssuer, KeyOutcome, MAX_CALLS,
-    MAX_RECORDS_PER_ORGANISATION, NotRun, Permission, RETAIN, Receiver, ReceiverStep,
-    StoredResponse, ToWitness, UseDecision, Witness, WitnessName,
+    CallAttempt, IssuerReply, KEY_LIFETIME, Key, KeyId, KeyIssuer, KeyOutcome, MAX_CALLS_PER_KEY,
+    MAX_RECORDS_PER_ORGANISATION, NotRun, Permission, RECORD_RETENTION, Receiver, ReceiverStep,
+    StoredResponse, UseDecision, Witness, WitnessId, WitnessReply, WitnessRequest,
 };
 use tokio::time::Instant;
 use yare::parameterized;
@@ -32,7 +32,7 @@
     }
 
     fn issue(&mut self) -> Key {
-        let witness = WitnessName {
+        let witness = WitnessId {
             instance: "witness".into(),
             incarnation: 7,
         };
@@ -54,7 +54,7 @@
         self.keys.on_use(self.now, key, call)
     }
 
-    fn ask(&mut self, key: &Key) -> ToWitness {
+    fn ask(&mut self, key: &Key) -> WitnessRequest {
         match self.keys.ask(self.now, key.sequence, &"replica".into()) {
             Permission::AskWitness { message, .. } => message,
             other => panic!("expected a question to the witness, got {other:?}"),
@@ -76,8 +76,8 @@
             .expect("running")
     }
 
-    fn close(&mut self, key: &Key) -> FromWitness {
-        let message = ToWitness::Close {
+    fn close(&mut self, key: &Key) -> WitnessReply {
+        let message = WitnessRequest::Close {
             key: key.id(),
             witness: 7,
         };
@@ -94,7 +94,7 @@
 }
 
 fn not_run(why: NotRun) -> UseDecision {
-    UseDecision::Answer(FromIssuer::Outcome(KeyOutcome::NotRun(why)))
+    UseDecision::Answer(IssuerReply::Outcome(KeyOutcome::NotRun(why)))
 }
 
 /// A foreman's connection breaks and he sends the booking again. It must be booked once, and both
@@ -121,9 +121,9 @@
         .expect("running");
     assert_eq!(
         pair.use_key(&key),
-        UseDecision::Answer(FromIssuer::Outcome(outcome))
+        UseDecision::Answer(IssuerReply::Outcome(outcome))
     );
-    assert!(matches!(pair.close(&key), FromWitness::MayHaveRun { .. }));
+    assert!(matches!(pair.close(&key), WitnessReply::MayHaveRun { .. }));
 }
 
 /// The issuer was paused while another instance closed the key and told the caller "not run".
@@ -133,7 +133,7 @@
     let mut pair = Pair::new();
     let key = pair.issue();
     assert_eq!(pair.use_key(&key), UseDecision::First);
-    assert_eq!(pair.close(&key), FromWitness::Closed);
+    assert_eq!(pair.close(&key), WitnessReply::Closed);
     assert_eq!(pair.permit(&key), Err(NotRun::Closed));
     assert_eq!(
         pair.keys.dispatch(pair.now, key.sequence),
@@ -153,7 +153,7 @@
         pair.witness.on_message(pair.now, &message),
         pair.witness.on_message(pair.now, &message),
     ];
-    assert_eq!(answers, [FromWitness::Permitted, FromWitness::Repeated]);
+    assert_eq!(answers, [WitnessReply::Permitted, WitnessReply::Repeated]);
     if !in_order {
         answers.reverse();
     }
@@ -168,10 +168,10 @@
 /// The witness can't be reached, has restarted, or its answer was lost.
 #[parameterized(
     unreachable = { None },
-    restarted = { Some(FromWitness::Lost) },
-    repeated = { Some(FromWitness::Repeated) },
+    restarted = { Some(WitnessReply::Lost) },
+    repeated = { Some(WitnessReply::Repeated) },
 )]
-fn without_a_permission_the_issuer_gives_the_key_up(heard: Option<FromWitness>) {
+fn without_a_permission_the_issuer_gives_the_key_up(heard: Option<WitnessReply>) {
     let mut pair = Pair::new();
     let key = pair.issue();
     pair.use_key(&key);
@@ -181,7 +181,7 @@
     // The permission comes after all, too late.
     let late = pair
         .keys
-        .on_witness(key.sequence, Some(&FromWitness::Permitted));
+        .on_witness(key.sequence, Some(&WitnessReply::Permitted));
     assert_eq!(late, Err(NotRun::NoWitness));
     assert!(pair.keys.dispatch(pair.now, key.sequence).is_err());
 }
@@ -191,7 +191,7 @@
 #[parameterized(
     in_time = { DEADLINE.mul_f32(0.99), None },
     late = { DEADLINE, Some(NotRun::Late) },
-    much_later = { EXPIRES, Some(NotRun::Late) },
+    much_later = { KEY_LIFETIME, Some(NotRun::Late) },
 )]
 fn the_right_to_dispatch_ends_with_the_deadline(pause: Duration, expected: Option<NotRun>) {
     let mut pair = Pair::new();
@@ -204,9 +204,9 @@
 
 /// A key lies unused for too long; "not run" is said only while that is certain.
 #[parameterized(
-    fresh = { EXPIRES.mul_f32(0.99), UseDecision::First },
-    expired = { EXPIRES, not_run(NotRun::Expired) },
-    forgotten = { RETAIN, UseDecision::Answer(FromIssuer::Outcome(KeyOutcome::Unknown { upstream: None })) },
+    fresh = { KEY_LIFETIME.mul_f32(0.99), UseDecision::First },
+    expired = { KEY_LIFETIME, not_run(NotRun::Expired) },
+    forgotten = { RECORD_RETENTION, UseDecision::Answer(IssuerReply::Outcome(KeyOutcome::Unknown { upstream: None })) },
 )]
 fn an_unused_key_lapses(age: Duration, expected: UseDecision) {
     let mut pair = Pair::new();
@@ -223,18 +223,18 @@
     let unused = pair.issue();
     let key = pair.issue();
     pair.run(&key);
-    pair.now += RETAIN;
-    let unknown = UseDecision::Answer(FromIssuer::Outcome(KeyOutcome::Unknown { upstream: None }));
+    pair.now += RECORD_RETENTION;
+    let unknown = UseDecision::Answer(IssuerReply::Outcome(KeyOutcome::Unknown { upstream: None }));
     assert_eq!(pair.use_key(&key), unknown);
-    assert_eq!(pair.close(&key), FromWitness::Lost);
+    assert_eq!(pair.close(&key), WitnessReply::Lost);
     assert_eq!(
         pair.close(&unused),
-        FromWitness::Lost,
+        WitnessReply::Lost,
         "older than a forgotten one"
     );
     assert!(pair.keys.is_empty() && pair.witness.is_empty());
     let later = pair.issue();
-    assert_eq!(pair.close(&later), FromWitness::Closed);
+    assert_eq!(pair.close(&later), WitnessReply::Closed);
 }
 
 /// A request is shed before anybody was asked: the caller may use the key again. The refused
@@ -246,8 +246,8 @@
     let shed = pair.call();
     let arrive = |pair: &mut Pair| pair.keys.on_use(pair.now, &key, shed.clone());
     assert_eq!(arrive(&mut pair), UseDecision::First);
-    assert_eq!(pair.keys.refuse(key.sequence), Some(FromIssuer::Refused));
-    assert_eq!(arrive(&mut pair), UseDecision::Answer(FromIssuer::Refused));
+    assert_eq!(pair.keys.refuse(key.sequence), Some(IssuerReply::Refused));
+    assert_eq!(arrive(&mut pair), UseDecision::Answer(IssuerReply::Refused));
     assert_eq!(pair.use_key(&key), UseDecision::First);
     assert_eq!(arrive(&mut pair), UseDecision::Join);
     pair.permit(&key).expect("permitted");
@@ -268,7 +268,7 @@
         tries += 1;
         pair.keys.refuse(key.sequence);
     }
-    assert_eq!(tries, MAX_CALLS);
+    assert_eq!(tries, MAX_CALLS_PER_KEY);
     assert_eq!(pair.use_key(&key), not_run(NotRun::Full));
 }
 
@@ -319,7 +319,7 @@
         pair.keys.finish(key.sequence, Some(answer(60_000)));
     }
     let held = |pair: &mut Pair, key| match pair.use_key(key) {
-        UseDecision::Answer(FromIssuer::Outcome(KeyOutcome::Ran { answer, .. })) => {
+        UseDecision::Answer(IssuerReply::Outcome(KeyOutcome::Ran { answer, .. })) => {
             answer.is_some()
         }
         other => panic!("it ran, yet {other:?}"),
@@ -343,7 +343,7 @@
     }
     pair.witness
         .on_message(pair.now, &handed.forwardings[0].message);
-    let moved = UseDecision::Answer(FromIssuer::Moved {
+    let moved = UseDecision::Answer(IssuerReply::Moved {
         successor: "successor".into(),
     });
     assert_eq!(pair.use_key(&key), moved);
@@ -367,21 +367,21 @@
     );
     let found = successor.adopted(pair.now, &key.id()).expect("handed over");
     assert_eq!(
-        receiver.on_issuer(FromIssuer::Outcome(found)),
+        receiver.on_issuer(IssuerReply::Outcome(found)),
         Some(ReceiverStep::Answer(outcome))
     );
-    assert_eq!(pair.close(&fresh), FromWitness::Closed);
+    assert_eq!(pair.close(&fresh), WitnessReply::Closed);
 }
 
 /// What a receiving instance tells its caller when the key's issuer can't be reached.
 #[parameterized(
-    closed = { Some(FromWitness::Closed), KeyOutcome::NotRun(NotRun::Closed) },
-    permitted = { Some(FromWitness::MayHaveRun { upstream: "r".into() }), KeyOutcome::Unknown { upstream: Some("r".into()) } },
-    restarted = { Some(FromWitness::Lost), KeyOutcome::Unknown { upstream: None } },
+    closed = { Some(WitnessReply::Closed), KeyOutcome::NotRun(NotRun::Closed) },
+    permitted = { Some(WitnessReply::MayHaveRun { upstream: "r".into() }), KeyOutcome::Unknown { upstream: Some("r".into()) } },
+    restarted = { Some(WitnessReply::Lost), KeyOutcome::Unknown { upstream: None } },
     gone_too = { None, KeyOutcome::Unknown { upstream: None } },
-    nonsense = { Some(FromWitness::Permitted), KeyOutcome::Unknown { upstream: None } },
+    nonsense = { Some(WitnessReply::Permitted), KeyOutcome::Unknown { upstream: None } },
 )]
-fn an_unreachable_issuer_ends_in_the_truth(heard: Option<FromWitness>, expected: KeyOutcome) {
+fn an_unreachable_issuer_ends_in_the_truth(heard: Option<WitnessReply>, expected: KeyOutcome) {
     let mut pair = Pair::new();
     for known_dead in [false, true] {
         let started = Receiver::start(pair.issue(), known_dead.then_some(2));
@@ -398,7 +398,7 @@
         };
         assert_eq!(step, Some(ReceiverStep::Answer(expected.clone())));
         assert_eq!(
-            receiver.on_issuer(FromIssuer::Refused),
+            receiver.on_issuer(IssuerReply::Refused),
             None,
             "answered already"
         );
@@ -428,14 +428,14 @@
         sequence: 1,
     };
     let now = Instant::now();
-    let permit = ToWitness::Permit {
+    let permit = WitnessRequest::Permit {
         key: key.clone(),
         witness: 7,
         upstream: "r".into(),
     };
-    assert_eq!(witness.on_message(now, &permit), FromWitness::Lost);
-    let close = ToWitness::Close { key, witness: 7 };
-    assert_eq!(witness.on_message(now, &close), FromWitness::Lost);
+    assert_eq!(witness.on_message(now, &permit), WitnessReply::Lost);
+    let close = WitnessRequest::Close { key, witness: 7 };
+    assert_eq!(witness.on_message(now, &close), WitnessReply::Lost);
     assert!(witness.is_empty());
 }
 
--- a/crates/decisions/tests/idempotency_key.rs
+++ b/crates/decisions/tests/idempotency_key.rs
@@ -1,7 +1,7 @@
 //! The text of a key against whoever forges, cuts or borrows one.
 
 use kingcupfield_decisions::idempotency::{
-    FromIssuer, FromWitness, HandedOver, Key, KeyError, Secret, ToWitness, WitnessName,
+    EndedKeyRecord, IssuerReply, Key, KeyError, Secret, WitnessId, WitnessReply, WitnessRequest,
 };
 use yare::parameterized;
 
@@ -13,7 +13,7 @@
     Key {
         issuer: "north-sea-1".into(),
         incarnation: 1_760_000_000_000,
-        witness: Some(WitnessName {
+        witness: Some(WitnessId {
             instance: "north-sea-2".into(),
             incarnation: 1_760_000_000_001,
         }),
@@ -105,8 +105,8 @@
     status = { r#"{"outcome":{"ran":{"upstream":"r","answer":{"status":70000,"content_type":null,"body":""}}}}"# },
 )]
 fn malformed_messages_are_refused_by_every_decoder(text: &str) {
-    assert!(serde_json::from_str::<ToWitness>(text).is_err());
-    assert!(serde_json::from_str::<FromWitness>(text).is_err());
-    assert!(serde_json::from_str::<FromIssuer>(text).is_err());
-    assert!(serde_json::from_str::<HandedOver>(text).is_err());
+    assert!(serde_json::from_str::<WitnessRequest>(text).is_err());
+    assert!(serde_json::from_str::<WitnessReply>(text).is_err());
+    assert!(serde_json::from_str::<IssuerReply>(text).is_err());
+    assert!(serde_json::from_str::<EndedKeyRecord>(text).is_err());
 }
--- a/crates/spec/src/calls.rs
+++ b/crates/spec/src/calls.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::idempotency::{
-    CallAttempt, FromIssuer, KeyIssuer, KeyOutcome, Permission, Receiver, ReceiverStep,
-    StoredResponse, UseDecision, Witness, WitnessName,
+    CallAttempt, IssuerReply, KeyIssuer, KeyOutcome, Permission, Receiver, ReceiverStep,
+    StoredResponse, UseDecision, Witness, WitnessId,
 };
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -102,7 +102,7 @@
     let now = Instant::now();
     let mut keys = KeyIssuer::new("issuer".into(), 1, now);
     let mut witness = Witness::new(1);
-    let name = with_witness.then(|| WitnessName {
+    let name = with_witness.then(|| WitnessId {
         instance: "witness".into(),
         incarnation: 1,
     });
@@ -145,7 +145,7 @@
                 receiver.on_witness(witness.on_message(now, &message))
             }
             Some(ReceiverStep::Answer(outcome)) => return outcome,
-            _ => receiver.on_issuer(FromIssuer::NotHere),
+            _ => receiver.on_issuer(IssuerReply::NotHere),
         };
     }
 }
--- a/crates/spec/src/idempotency.rs
+++ b/crates/spec/src/idempotency.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::idempotency::{
-    CallAttempt, EXPIRES, FromIssuer, FromWitness, HandedOver, Key, KeyIssuer, KeyOutcome,
-    KeyPhase, NotRun, Permission, RETAIN, Receiver, ReceiverStep, StoredResponse, ToWitness,
-    UseDecision, Witness, WitnessName,
+    CallAttempt, EndedKeyRecord, IssuerReply, KEY_LIFETIME, Key, KeyIssuer, KeyOutcome, KeyPhase,
+    NotRun, Permission, RECORD_RETENTION, Receiver, ReceiverStep, StoredResponse, UseDecision,
+    Witness, WitnessId, WitnessReply, WitnessRequest,
 };
 use tokio::time::Instant;
 
@@ -30,8 +30,10 @@
 const TIMES: [Duration; 4] = [
     Duration::ZERO,
     DEADLINE,
-    EXPIRES,
-    RETAIN.saturating_add(DEADLINE).saturating_add(DEADLINE),
+    KEY_LIFETIME,
+    RECORD_RETENTION
+        .saturating_add(DEADLINE)
+        .saturating_add(DEADLINE),
 ];
 
 /// Most calls that the caller sends: the first at the issuer, the others at the second instance.
@@ -51,8 +53,8 @@
     witness_restarted: bool,
     /// The second instance's own memory, into which a leaver hands over.
     second: KeyIssuer,
-    handed: Vec<HandedOver>,
-    forward: Option<ToWitness>,
+    handed: Vec<EndedKeyRecord>,
+    forward: Option<WitnessRequest>,
     receivers: [Option<Receiver>; CALLS],
     /// Calls that wait for an answer of the issuer.
     joined: Vec<usize>,
@@ -69,7 +71,7 @@
     pub fn new(variant: Variant, bounds: Bounds) -> Self {
         let start = Instant::now();
         let mut issuer = KeyIssuer::new("issuer".into(), 1, start);
-        let witness = WitnessName {
+        let witness = WitnessId {
             instance: "witness".into(),
             incarnation: 7,
         };
@@ -123,7 +125,7 @@
             ReceiverStep::Forward { .. } => self.post(Packet::Call { call }),
             ReceiverStep::LookUp { .. } => {
                 let known = self.second.adopted(self.now(), &self.key.id());
-                let answer = known.map_or(FromIssuer::NotHere, FromIssuer::Outcome);
+                let answer = known.map_or(IssuerReply::NotHere, IssuerReply::Outcome);
                 self.answer(call, answer);
             }
             ReceiverStep::Close { .. } if self.variant == Variant::NoWitness => {
@@ -135,7 +137,7 @@
         }
     }
 
-    fn answer(&mut self, call: usize, answer: FromIssuer) {
+    fn answer(&mut self, call: usize, answer: IssuerReply) {
         if let Some(receiver) = &mut self.receivers[call] {
             if let Some(step) = receiver.on_issuer(answer) {
                 self.step(call, step);
@@ -143,9 +145,9 @@
             return;
         }
         match answer {
-            FromIssuer::Outcome(outcome) => self.tell(call, &outcome),
-            FromIssuer::Refused => self.told[call] = Told::Refused,
-            FromIssuer::Moved { .. } | FromIssuer::NotHere => self.told[call] = Told::Broken,
+            IssuerReply::Outcome(outcome) => self.tell(call, &outcome),
+            IssuerReply::Refused => self.told[call] = Told::Refused,
+            IssuerReply::Moved { .. } | IssuerReply::NotHere => self.told[call] = Told::Broken,
         }
     }
 
@@ -182,7 +184,7 @@
     }
 
     /// Answers everybody who waits for the issuer.
-    fn answer_joined(&mut self, answer: &FromIssuer) {
+    fn answer_joined(&mut self, answer: &IssuerReply) {
         for call in std::mem::take(&mut self.joined) {
             let answer = answer.clone();
             self.post(Packet::Answer { call, answer });
@@ -190,7 +192,7 @@
     }
 
     fn not_run(&mut self, why: NotRun) {
-        self.answer_joined(&FromIssuer::Outcome(KeyOutcome::NotRun(why)));
+        self.answer_joined(&IssuerReply::Outcome(KeyOutcome::NotRun(why)));
     }
 
     fn ask(&mut self) {
@@ -205,7 +207,7 @@
         }
     }
 
-    fn permission_arrives(&mut self, answer: Option<&FromWitness>) {
+    fn permission_arrives(&mut self, answer: Option<&WitnessReply>) {
         let sequence = self.key.sequence;
         let Some(issuer) = &mut self.issuer else {
             return;
@@ -241,7 +243,7 @@
             .as_mut()
             .and_then(|issuer| issuer.finish(sequence, answer));
         if let Some(outcome) = outcome {
-            self.answer_joined(&FromIssuer::Outcome(outcome));
+            self.answer_joined(&IssuerReply::Outcome(outcome));
         }
     }
 
@@ -270,13 +272,13 @@
         self.forward = handed.forwardings.into_iter().next().map(|f| f.message);
         let ended = self.handed.first().map(|h| h.outcome.clone());
         if let Some(outcome) = ended {
-            self.answer_joined(&FromIssuer::Outcome(outcome));
+            self.answer_joined(&IssuerReply::Outcome(outcome));
             self.post(Packet::HandOver);
             self.post(Packet::Forward);
         }
     }
 
-    fn ask_witness(&mut self, message: &ToWitness) -> FromWitness {
+    fn ask_witness(&mut self, message: &WitnessRequest) -> WitnessReply {
         let now = self.now();
         self.witness.on_message(now, message)
     }
@@ -293,7 +295,7 @@
             Packet::Call { call } => self.call_arrives(*call),
             Packet::Answer { call, answer } => self.answer(*call, answer.clone()),
             Packet::Permit => {
-                let message = ToWitness::Permit {
+                let message = WitnessRequest::Permit {
                     key: self.key.id(),
                     witness: self.incarnation(),
                     upstream: "replica".into(),
@@ -303,7 +305,7 @@
             }
             Packet::Permission { answer } => self.permission_arrives(Some(answer)),
             Packet::Close { call } => {
-                let message = ToWitness::Close {
+                let message = WitnessRequest::Close {
                     key: self.key.id(),
                     witness: self.incarnation(),
                 };
--- a/crates/spec/src/idempotency/events.rs
+++ b/crates/spec/src/idempotency/events.rs
@@ -1,6 +1,6 @@
 //! What may happen in the world of one key, and how much of it.
 
-use kingcupfield_decisions::idempotency::{FromIssuer, FromWitness};
+use kingcupfield_decisions::idempotency::{IssuerReply, WitnessReply};
 
 /// How much may happen in one world. All of it at once is beyond reach, so several worlds are
 /// explored, each rich in one respect.
@@ -43,14 +43,14 @@
         /// The call's number.
         call: usize,
         /// What the issuer says.
-        answer: FromIssuer,
+        answer: IssuerReply,
     },
     /// The issuer's question to the witness.
     Permit,
     /// The witness's answer to the issuer.
     Permission {
         /// What the witness says.
-        answer: FromWitness,
+        answer: WitnessReply,
     },
     /// A receiving instance's wish to close the key.
     Close {
@@ -62,7 +62,7 @@
         /// The call's number.
         call: usize,
         /// What the witness says.
-        answer: FromWitness,
+        answer: WitnessReply,
     },
     /// The leaver's records.
     HandOver,
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -8,7 +8,8 @@
 use jsonrpsee::ws_client::WsClient;
 use kingcupfield_decisions::id::{InstanceId, OrganisationId, Rank, RequestId, ServiceId, TierId};
 use kingcupfield_decisions::idempotency::{
-    Estate, FromIssuer, FromWitness, HandedOver, KeyId, ToWitness, WitnessEstate,
+    DispatchRights, EndedKeyRecord, IssuerReply, KeyId, WitnessHandover, WitnessReply,
+    WitnessRequest,
 };
 use serde::{Deserialize, Serialize};
 
@@ -46,14 +47,14 @@
         /// The witness.
         witness: InstanceId,
         /// The question.
-        message: ToWitness,
+        message: WitnessRequest,
     },
     /// Take over records of a leaver.
-    Adopt(Vec<HandedOver>),
+    Adopt(Vec<EndedKeyRecord>),
     /// Take over the unused keys of a leaver.
-    Inherit(Estate),
+    Inherit(DispatchRights),
     /// Take over the memory of a witness that leaves.
-    InheritWitness(WitnessEstate),
+    InheritWitness(WitnessHandover),
     /// Issue a key, as the asked instance stays longer.
     Issue(OrganisationId),
 }
@@ -63,11 +64,11 @@
 #[serde(rename_all = "snake_case")]
 pub enum KeyReply {
     /// Of the issuer or a successor.
-    Issuer(FromIssuer),
+    Issuer(IssuerReply),
     /// The call did not run for want of capacity or by a limit.
     Refused(KeyedRefusal),
     /// Of a witness.
-    Witness(FromWitness),
+    Witness(WitnessReply),
     /// The records were taken.
     Adopted,
     /// A key.
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -12,7 +12,7 @@
 use axum::routing::{any, get, post};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
-use kingcupfield_decisions::idempotency::EXPIRES;
+use kingcupfield_decisions::idempotency::KEY_LIFETIME;
 use serde_json::json;
 
 use crate::caller::authenticate;
@@ -124,7 +124,7 @@
     match issue::issue(&shared, organisation).await {
         Ok(key) => respond(
             &id,
-            Head::Made(json!({"idempotency_key": key, "expires_in_s": EXPIRES.as_secs()})),
+            Head::Made(json!({"idempotency_key": key, "expires_in_s": KEY_LIFETIME.as_secs()})),
         ),
         Err(refusal) => refused(&id, &refusal),
     }
--- a/src/issue.rs
+++ b/src/issue.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::id::{InstanceId, OrganisationId};
-use kingcupfield_decisions::idempotency::{Forwarding, Inheritance};
+use kingcupfield_decisions::idempotency::{ForwardNotice, KeysHandover};
 use kingcupfield_decisions::ownership::ranked;
 use tokio::time::{sleep, timeout};
 
@@ -84,10 +84,10 @@
     shared: &Shared,
     successor: &InstanceId,
     legacy: Legacy,
-) -> Result<Vec<Forwarding>, String> {
+) -> Result<Vec<ForwardNotice>, String> {
     let mut questions = Vec::new();
     let mut forwardings = Vec::new();
-    for Inheritance { estate, ended } in legacy.inheritances {
+    for KeysHandover { estate, ended } in legacy.inheritances {
         questions.push(KeyQuestion::Inherit(estate));
         questions.extend(ended.records.into_iter().map(KeyQuestion::Adopt));
         forwardings.extend(ended.forwardings);
--- a/src/keyed.rs
+++ b/src/keyed.rs
@@ -10,8 +10,8 @@
 use http::{HeaderMap, HeaderValue, StatusCode};
 use kingcupfield_decisions::id::{InstanceId, RequestId, ServiceId};
 use kingcupfield_decisions::idempotency::{
-    FromIssuer, FromWitness, Key, KeyError, KeyOutcome, NotRun, Receiver, ReceiverStep,
-    StartedReceiver, StoredResponse, ToWitness,
+    IssuerReply, Key, KeyError, KeyOutcome, NotRun, Receiver, ReceiverStep, StartedReceiver,
+    StoredResponse, WitnessReply, WitnessRequest,
 };
 use tokio::time::{Instant, sleep_until, timeout};
 
@@ -174,7 +174,7 @@
             Some(KeyReply::Issuer(answer)) => Forwarded::Answer(answer),
             Some(KeyReply::Refused(refusal)) => {
                 self.refusal = Some(refusal);
-                Forwarded::Answer(FromIssuer::Refused)
+                Forwarded::Answer(IssuerReply::Refused)
             }
             _ => Forwarded::Unreachable,
         }
@@ -186,9 +186,9 @@
     async fn try_heirs(&mut self, key: &Key) -> Option<Head> {
         for heir in heirs(&self.shared, &key.issuer) {
             match self.forward(&heir, key).await {
-                Forwarded::Answer(FromIssuer::Outcome(outcome)) => return Some(head_of(outcome)),
-                Forwarded::Answer(FromIssuer::Refused) => return Some(self.refused()),
-                Forwarded::Answer(FromIssuer::Moved { .. } | FromIssuer::NotHere)
+                Forwarded::Answer(IssuerReply::Outcome(outcome)) => return Some(head_of(outcome)),
+                Forwarded::Answer(IssuerReply::Refused) => return Some(self.refused()),
+                Forwarded::Answer(IssuerReply::Moved { .. } | IssuerReply::NotHere)
                 | Forwarded::Unreachable => {}
                 Forwarded::Late => return Some(Head::Refused(still_running())),
             }
@@ -201,7 +201,7 @@
         Head::Refused(refusal.unwrap_or_else(|| Refusal::new(Kind::Unavailable)))
     }
 
-    async fn look_up(&self, to: &InstanceId, key: &Key) -> Option<FromIssuer> {
+    async fn look_up(&self, to: &InstanceId, key: &Key) -> Option<IssuerReply> {
         if *to == self.shared.instance {
             return Some(self.shared.keys.look_up(&key.id()));
         }
@@ -221,7 +221,7 @@
 }
 
 enum Forwarded {
-    Answer(FromIssuer),
+    Answer(IssuerReply),
     Unreachable,
     Late,
 }
@@ -233,15 +233,15 @@
 pub async fn ask_witness(
     shared: &Shared,
     to: &InstanceId,
-    message: ToWitness,
-) -> Option<FromWitness> {
+    message: WitnessRequest,
+) -> Option<WitnessReply> {
     let mut answer = ask_one_witness(shared, to, to, &message).await;
-    if answer.as_ref().is_some_and(|a| *a != FromWitness::Lost) {
+    if answer.as_ref().is_some_and(|a| *a != WitnessReply::Lost) {
         return answer;
     }
     for heir in heirs(shared, to) {
         let inherited = ask_one_witness(shared, &heir, to, &message).await;
-        if inherited.as_ref().is_some_and(|a| *a != FromWitness::Lost) {
+        if inherited.as_ref().is_some_and(|a| *a != WitnessReply::Lost) {
             return inherited;
         }
         answer = answer.or(inherited);
@@ -253,8 +253,8 @@
     shared: &Shared,
     asked: &InstanceId,
     witness: &InstanceId,
-    message: &ToWitness,
-) -> Option<FromWitness> {
+    message: &WitnessRequest,
+) -> Option<WitnessReply> {
     if *asked == shared.instance {
         return Some(shared.keys.on_witness(witness, message));
     }
--- a/src/keyed_run.rs
+++ b/src/keyed_run.rs
@@ -11,7 +11,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use kingcupfield_decisions::idempotency::{
-    CallAttempt, FromIssuer, Key, KeyOutcome, NotRun, Permission, StoredResponse,
+    CallAttempt, IssuerReply, Key, KeyOutcome, NotRun, Permission, StoredResponse,
 };
 use kingcupfield_decisions::slots;
 use tokio::sync::watch;
@@ -65,7 +65,7 @@
             }
         }
     };
-    let unknown = || KeyReply::Issuer(FromIssuer::Outcome(KeyOutcome::Unknown { upstream: None }));
+    let unknown = || KeyReply::Issuer(IssuerReply::Outcome(KeyOutcome::Unknown { upstream: None }));
     let reply = match ended.wait_for(Option::is_some).await {
         Ok(reply) => reply.clone(),
         Err(_) => None,
@@ -103,7 +103,7 @@
             Ok(queued) => queued,
             Err(refusal) => {
                 return match self.shared.keys.refuse(&self.key.id()) {
-                    Some(FromIssuer::Refused) | None => {
+                    Some(IssuerReply::Refused) | None => {
                         KeyReply::Refused(KeyedRefusal::new(&refusal))
                     }
                     Some(answer) => KeyReply::Issuer(answer),
@@ -184,7 +184,7 @@
         let refusal =
             Refusal::new(Kind::Unavailable).with_message(format!("key given up: {why:?}"));
         waiting.refuse(refusal);
-        KeyReply::Issuer(FromIssuer::Outcome(
+        KeyReply::Issuer(IssuerReply::Outcome(
             outcome.unwrap_or(KeyOutcome::NotRun(why)),
         ))
     }
@@ -215,7 +215,7 @@
             work: PLAIN_WORK,
         });
         let outcome = outcome.unwrap_or(KeyOutcome::Unknown { upstream: None });
-        KeyReply::Issuer(FromIssuer::Outcome(outcome))
+        KeyReply::Issuer(IssuerReply::Outcome(outcome))
     }
 
     fn broke(&self, dispatched: Request<Dispatched>, e: &ExchangeError) -> Option<KeyOutcome> {
--- a/src/keys.rs
+++ b/src/keys.rs
@@ -5,9 +5,10 @@
 
 use kingcupfield_decisions::id::{Incarnation, InstanceId, OrganisationId, UpstreamId};
 use kingcupfield_decisions::idempotency::{
-    CallAttempt, Estate, FromIssuer, FromWitness, HandedOver, Heir, Inheritance, Key, KeyError,
-    KeyId, KeyIssuer, KeyOutcome, KeyPhase, MAX_ESTATES, NotRun, Permission, Secret,
-    StoredResponse, ToWitness, UseDecision, Witness, WitnessEstate, WitnessHeir, WitnessName,
+    CallAttempt, DispatchRights, EndedKeyRecord, IssuerReply, IssuerSuccessor, Key, KeyError,
+    KeyId, KeyIssuer, KeyOutcome, KeyPhase, KeysHandover, MAX_HANDOVERS, NotRun, Permission,
+    Secret, StoredResponse, UseDecision, Witness, WitnessHandover, WitnessId, WitnessReply,
+    WitnessRequest, WitnessSuccessor,
 };
 use serde_json::{Value, json};
 use thiserror::Error;
@@ -61,8 +62,8 @@
     door: watch::Sender<Door>,
     issuer: KeyIssuer,
     witness: Witness,
-    heirs: Vec<Heir>,
-    witness_heirs: Vec<WitnessHeir>,
+    heirs: Vec<IssuerSuccessor>,
+    witness_heirs: Vec<WitnessSuccessor>,
     under_way: Vec<UnderWay>,
 }
 
@@ -70,9 +71,9 @@
 #[derive(Debug)]
 pub struct Legacy {
     /// Keys, its own and those that were left to it.
-    pub inheritances: Vec<Inheritance>,
+    pub inheritances: Vec<KeysHandover>,
     /// What it knew as a witness, and what witnesses left to it.
-    pub witnesses: Vec<WitnessEstate>,
+    pub witnesses: Vec<WitnessHandover>,
 }
 
 /// What a call with a key meets here.
@@ -85,7 +86,7 @@
     /// It would be the first, and this instance is about to leave: use the key again after that.
     Held(Left),
     /// Answer at once.
-    Answer(FromIssuer),
+    Answer(IssuerReply),
 }
 
 /// Tells when the keys of an instance that leaves are where they will be.
@@ -145,7 +146,7 @@
         };
         let witness = near.or_else(far).and_then(|instance| {
             let incarnation = view.incarnation(instance)?;
-            Some(WitnessName {
+            Some(WitnessId {
                 instance: instance.clone(),
                 incarnation,
             })
@@ -172,7 +173,7 @@
         let used = match state.heirs.iter_mut().find(|heir| heir.holds(key)) {
             // What ended before the leaver left is known from its records.
             Some(heir) => match heir.on_use(now, key, call.clone()) {
-                UseDecision::Answer(FromIssuer::NotHere) => state.issuer.on_use(now, key, call),
+                UseDecision::Answer(IssuerReply::NotHere) => state.issuer.on_use(now, key, call),
                 used => used,
             },
             None => state.issuer.on_use(now, key, call),
@@ -182,13 +183,13 @@
             UseDecision::Answer(answer) => Met::Answer(answer),
             UseDecision::Join => match state.under_way.iter().find(|u| u.key == id) {
                 Some(under_way) => Met::Join(under_way.ended.clone()),
-                None => Met::Answer(FromIssuer::Outcome(KeyOutcome::Unknown { upstream: None })),
+                None => Met::Answer(IssuerReply::Outcome(KeyOutcome::Unknown { upstream: None })),
             },
             // Nobody took the keys over, and the process is about to end.
             UseDecision::First if state.door() == Door::Shut => {
                 let outcome = state.give_up(&id, NotRun::Leaving);
                 let outcome = outcome.unwrap_or(KeyOutcome::NotRun(NotRun::Leaving));
-                Met::Answer(FromIssuer::Outcome(outcome))
+                Met::Answer(IssuerReply::Outcome(outcome))
             }
             UseDecision::First => {
                 let (tx, ended) = watch::channel(None);
@@ -210,7 +211,7 @@
     }
 
     /// Takes the witness's answer, `None` if none came.
-    pub fn on_answer(&self, key: &KeyId, answer: Option<&FromWitness>) -> Result<(), NotRun> {
+    pub fn on_answer(&self, key: &KeyId, answer: Option<&WitnessReply>) -> Result<(), NotRun> {
         let mut state = self.lock();
         let issuer = state.machine(key).ok_or(NotRun::Leaving)?;
         issuer.on_witness(key.sequence, answer)
@@ -245,19 +246,19 @@
     }
 
     /// Ends a first use for which nobody was asked; tells what to answer to it.
-    pub fn refuse(&self, key: &KeyId) -> Option<FromIssuer> {
+    pub fn refuse(&self, key: &KeyId) -> Option<IssuerReply> {
         let mut state = self.lock();
         state.end(key);
         state.machine(key)?.refuse(key.sequence)
     }
 
     /// Answers as the witness `witness`, which is this instance or one whose memory it took over.
-    pub fn on_witness(&self, witness: &InstanceId, message: &ToWitness) -> FromWitness {
+    pub fn on_witness(&self, witness: &InstanceId, message: &WitnessRequest) -> WitnessReply {
         let now = Instant::now();
         let mut state = self.lock();
         if *witness == self.me {
             let answer = state.witness.on_message(now, message);
-            if answer != FromWitness::Lost {
+            if answer != WitnessReply::Lost {
                 return answer;
             }
         }
@@ -268,20 +269,20 @@
             .filter(|heir| heir.is_for(witness));
         let mut answers = heirs.map(|heir| heir.on_message(now, message));
         answers
-            .find(|answer| *answer != FromWitness::Lost)
-            .unwrap_or(FromWitness::Lost)
+            .find(|answer| *answer != WitnessReply::Lost)
+            .unwrap_or(WitnessReply::Lost)
     }
 
     /// What became of a key, if this instance knows.
-    pub fn look_up(&self, key: &KeyId) -> FromIssuer {
+    pub fn look_up(&self, key: &KeyId) -> IssuerReply {
         match self.lock().issuer.adopted(Instant::now(), key) {
-            Some(outcome) => FromIssuer::Outcome(outcome),
-            None => FromIssuer::NotHere,
+            Some(outcome) => IssuerReply::Outcome(outcome),
+            None => IssuerReply::NotHere,
         }
     }
 
     /// Takes the records of a leaver.
-    pub fn adopt(&self, records: &[HandedOver]) -> Result<(), KeysError> {
+    pub fn adopt(&self, records: &[EndedKeyRecord]) -> Result<(), KeysError> {
         let mut state = self.lock();
         state.check_kept()?;
         state.issuer.adopt(Instant::now(), records);
@@ -289,27 +290,27 @@
     }
 
     /// Takes the unused keys of a leaver.
-    pub fn inherit(&self, estate: Estate) -> Result<(), KeysError> {
+    pub fn inherit(&self, estate: DispatchRights) -> Result<(), KeysError> {
         let now = Instant::now();
         let mut state = self.lock();
         state.check_kept()?;
         state.heirs.retain(|heir| !heir.is_over(now));
         let held = state.heirs.iter().any(|heir| heir.is_of(&estate));
-        if !held && state.heirs.len() < MAX_ESTATES {
-            state.heirs.push(Heir::new(estate, now));
+        if !held && state.heirs.len() < MAX_HANDOVERS {
+            state.heirs.push(IssuerSuccessor::new(estate, now));
         }
         Ok(())
     }
 
     /// Takes the memory of a witness that left.
-    pub fn inherit_witness(&self, estate: WitnessEstate) -> Result<(), KeysError> {
+    pub fn inherit_witness(&self, estate: WitnessHandover) -> Result<(), KeysError> {
         let now = Instant::now();
         let mut state = self.lock();
         state.check_kept()?;
         state.witness_heirs.retain(|heir| !heir.is_over(now));
         let held = state.witness_heirs.iter().any(|heir| heir.is_of(&estate));
-        if !held && state.witness_heirs.len() < MAX_ESTATES {
-            state.witness_heirs.push(WitnessHeir::new(estate, now));
+        if !held && state.witness_heirs.len() < MAX_HANDOVERS {
+            state.witness_heirs.push(WitnessSuccessor::new(estate, now));
         }
         Ok(())
     }
@@ -336,7 +337,7 @@
         let now = Instant::now();
         let mut state = self.lock();
         state.door.send_replace(Door::GivenUp);
-        let own = Inheritance {
+        let own = KeysHandover {
             estate: state.issuer.estate(now, successor),
             ended: state.issuer.hand_over(successor),
         };
@@ -349,7 +350,7 @@
         );
         state.heirs.clear();
         let memory = state.witness.leave(now);
-        let mut witnesses = vec![WitnessEstate {
+        let mut witnesses = vec![WitnessHandover {
             instance: self.me.clone(),
             memory,
         }];
@@ -424,6 +425,6 @@
             return Some(&mut self.issuer);
         }
         let heir = self.heirs.iter_mut().find(|heir| heir.holds_id(key));
-        heir.map(Heir::keys)
+        heir.map(IssuerSuccessor::keys)
     }
 }
--- a/tests/keys.rs
+++ b/tests/keys.rs
@@ -8,7 +8,7 @@
 use kingcupfield::keys::{Keys, Left, Met};
 use kingcupfield::members::View;
 use kingcupfield_decisions::idempotency::{
-    CallAttempt, FromIssuer, Key, KeyOutcome, NotRun, Permission, Secret, StoredResponse,
+    CallAttempt, IssuerReply, Key, KeyOutcome, NotRun, Permission, Secret, StoredResponse,
 };
 use tokio::time::{Instant, timeout};
 use yare::parameterized;
@@ -72,7 +72,7 @@
     let (running, unused, refused) = (issue(&keys), issue(&keys), issue(&keys));
     begin(&keys, &running);
     assert!(matches!(keys.on_use(&refused, call("r")), Met::First(..)));
-    assert_eq!(keys.refuse(&refused.id()), Some(FromIssuer::Refused));
+    assert_eq!(keys.refuse(&refused.id()), Some(IssuerReply::Refused));
     keys.close();
 
     let of_unused = held(keys.on_use(&unused, call("u")));
@@ -87,7 +87,7 @@
     let met = keys.on_use(&running, call("later"));
     assert!(matches!(
         met,
-        Met::Answer(FromIssuer::Outcome(KeyOutcome::Ran { .. }))
+        Met::Answer(IssuerReply::Outcome(KeyOutcome::Ran { .. }))
     ));
 
     if let Some(successor) = successor {
@@ -101,10 +101,10 @@
         told.expect("what is held is told of the end");
     }
     let expected = match successor {
-        Some(successor) => FromIssuer::Moved {
+        Some(successor) => IssuerReply::Moved {
             successor: successor.into(),
         },
-        None => FromIssuer::Outcome(KeyOutcome::NotRun(NotRun::Leaving)),
+        None => IssuerReply::Outcome(KeyOutcome::NotRun(NotRun::Leaving)),
     };
     for key in [&unused, &refused] {
         match keys.on_use(key, call("after")) {
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -13,7 +13,7 @@
 use kingcupfield::message::{DELIVER, Envelope, PROTOCOL, PeerMessage};
 use kingcupfield::peers::{PeerToken, connect};
 use kingcupfield::settings::Settings;
-use kingcupfield_decisions::idempotency::Estate;
+use kingcupfield_decisions::idempotency::DispatchRights;
 use kingcupfield_decisions::membership::{Claim, Health, MembershipMessage};
 use kingcupfield_decisions::slots::ToOwner;
 use serde_json::{Value, json};
@@ -203,8 +203,8 @@
     assert!(after.is_err(), "{after:?}");
 }
 
-fn estate() -> Estate {
-    Estate {
+fn estate() -> DispatchRights {
+    DispatchRights {
         issuer: "b".into(),
         incarnation: 1,
         age: Duration::from_secs(3),
--- a/tests/processes/stopped_issuer.rs
+++ b/tests/processes/stopped_issuer.rs
@@ -19,7 +19,7 @@
 use kingcupfield::calls::{KEY, KeyQuestion, KeyReply, KeyRequest, KeyedCall};
 use kingcupfield::message::PROTOCOL;
 use kingcupfield::peers::{PeerToken, connect};
-use kingcupfield_decisions::idempotency::{FromIssuer, KeyOutcome};
+use kingcupfield_decisions::idempotency::{IssuerReply, KeyOutcome};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use tokio::task::JoinSet;
@@ -115,7 +115,7 @@
 
 /// Whether the answer tells that the booking ran.
 fn told(answer: Option<&KeyReply>) -> bool {
-    let Some(KeyReply::Issuer(FromIssuer::Outcome(outcome))) = answer else {
+    let Some(KeyReply::Issuer(IssuerReply::Outcome(outcome))) = answer else {
         return false;
     };
     matches!(outcome, KeyOutcome::Ran { .. })
