--- a/crates/decisions/src/idempotency/estate.rs
+++ b/crates/decisions/src/idempotency/estate.rs
@@ -80,17 +80,17 @@
 
     /// Whether it is the same estate as `other`, which then came a second time: taking it again
     /// would forget what was used since.
-    pub fn is_of(&self, other: &DispatchRights) -> bool {
+    pub fn is_same_handover(&self, other: &DispatchRights) -> bool {
         self.issuer == other.issuer && self.keys.incarnation() == other.incarnation
     }
 
     /// Whether `key` belongs to this estate.
-    pub fn holds(&self, key: &Key) -> bool {
-        self.holds_id(&key.id())
+    pub fn covers(&self, key: &Key) -> bool {
+        self.covers_id(&key.id())
     }
 
     /// Whether the key of this identity belongs to this estate.
-    pub fn holds_id(&self, key: &KeyId) -> bool {
+    pub fn covers_id(&self, key: &KeyId) -> bool {
         self.issuer == key.issuer && self.keys.incarnation() == key.incarnation
     }
 
@@ -103,23 +103,23 @@
     }
 
     /// The machine that a first use runs through.
-    pub fn keys(&mut self) -> &mut KeyIssuer {
+    pub fn issuer(&mut self) -> &mut KeyIssuer {
         &mut self.keys
     }
 
     /// Whether no key of it can be used any more.
-    pub fn is_over(&self, now: Instant) -> bool {
+    pub fn is_expired(&self, now: Instant) -> bool {
         now.duration_since(self.since) >= RECORD_RETENTION
     }
 
     /// Passes the estate on, as this heir leaves too.
-    pub fn pass_on(&mut self, now: Instant, successor: &InstanceId) -> KeysHandover {
-        let mut estate = self.keys.estate(now, successor);
+    pub fn hand_over(&mut self, now: Instant, successor: &InstanceId) -> KeysHandover {
+        let mut estate = self.keys.hand_over_rights(now, successor);
         estate.used.append(&mut self.used);
         estate.used.sort_unstable();
         KeysHandover {
-            estate,
-            ended: self.keys.hand_over(successor),
+            rights: estate,
+            ended: self.keys.hand_over_ended(successor),
         }
     }
 }
@@ -128,7 +128,7 @@
 #[derive(Debug)]
 pub struct KeysHandover {
     /// The unused keys.
-    pub estate: DispatchRights,
+    pub rights: DispatchRights,
     /// The ended ones.
     pub ended: EndedKeysHandover,
 }
@@ -145,12 +145,12 @@
     }
 
     /// Whether it is the same memory as `other`, which then came a second time.
-    pub fn is_of(&self, other: &WitnessHandover) -> bool {
+    pub fn is_same_handover(&self, other: &WitnessHandover) -> bool {
         self.instance == other.instance && self.witness.incarnation() == other.memory.incarnation()
     }
 
     /// Whether it stands for `instance`.
-    pub fn is_for(&self, instance: &InstanceId) -> bool {
+    pub fn replaces(&self, instance: &InstanceId) -> bool {
         self.instance == *instance
     }
 
@@ -160,15 +160,15 @@
     }
 
     /// Whether no key that names it can be used any more.
-    pub fn is_over(&self, now: Instant) -> bool {
+    pub fn is_expired(&self, now: Instant) -> bool {
         now.duration_since(self.since) >= RECORD_RETENTION
     }
 
     /// Passes the memory on, as this heir leaves too.
-    pub fn pass_on(&mut self, now: Instant) -> WitnessHandover {
+    pub fn hand_over(&mut self, now: Instant) -> WitnessHandover {
         WitnessHandover {
             instance: self.instance.clone(),
-            memory: self.witness.leave(now),
+            memory: self.witness.hand_over(now),
         }
     }
 }
--- a/crates/decisions/src/idempotency/handover.rs
+++ b/crates/decisions/src/idempotency/handover.rs
@@ -52,13 +52,13 @@
     /// Messages for the successor, each of at most [`MAX_HANDED`] records.
     pub records: Vec<Vec<EndedKeyRecord>>,
     /// Words for the witnesses, to be sent once the successor has acknowledged.
-    pub forwardings: Vec<ForwardNotice>,
+    pub notices: Vec<ForwardNotice>,
 }
 
 impl KeyIssuer {
     /// Hands everything over; from now on this instance dispatches no key. Call it when nothing
     /// waits and nothing runs any more: what still does is given up as "not run" or "unknown".
-    pub fn hand_over(&mut self, successor: &InstanceId) -> EndedKeysHandover {
+    pub fn hand_over_ended(&mut self, successor: &InstanceId) -> EndedKeysHandover {
         self.successor = Some(Arc::clone(successor));
         let adopted = std::mem::take(&mut self.adopted);
         let mut records = adopted.into_iter().map(|a| a.handed).collect::<Vec<_>>();
@@ -68,7 +68,7 @@
             outcome: ended.outcome,
         }));
         EndedKeysHandover {
-            forwardings: forwardings(&records, successor),
+            notices: forwardings(&records, successor),
             records: records.chunks(MAX_HANDED).map(<[_]>::to_vec).collect(),
         }
     }
@@ -88,7 +88,7 @@
     }
 
     /// What became of a key of a leaver, if it was handed over to this instance.
-    pub fn adopted(&self, now: Instant, key: &KeyId) -> Option<KeyOutcome> {
+    pub fn adopted_outcome(&self, now: Instant, key: &KeyId) -> Option<KeyOutcome> {
         let i = self.find_adopted(key).ok()?;
         let adopted = &self.adopted[i];
         let fresh = now.duration_since(adopted.since) < RECORD_RETENTION;
--- a/crates/decisions/src/idempotency/issuer.rs
+++ b/crates/decisions/src/idempotency/issuer.rs
@@ -37,7 +37,7 @@
 /// What a call with a key meets at its issuer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UseDecision {
-    /// It is the first: queue it, then [`KeyIssuer::ask`], [`KeyIssuer::dispatch`], [`KeyIssuer::finish`]; or
+    /// It is the first: queue it, then [`KeyIssuer::request_permission`], [`KeyIssuer::dispatch`], [`KeyIssuer::finish`]; or
     /// [`KeyIssuer::refuse`] it.
     First,
     /// The same call is under way; give this caller its answer when it ends.
@@ -49,7 +49,7 @@
 /// What a first use needs before it may be dispatched.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Permission {
-    /// Send this to the witness and pass its answer to [`KeyIssuer::on_witness`].
+    /// Send this to the witness and pass its answer to [`KeyIssuer::on_witness_reply`].
     AskWitness {
         /// The witness.
         to: InstanceId,
@@ -146,7 +146,7 @@
     /// Gives up the right to dispatch for `successor` and tells what it may dispatch.
     ///
     /// From now on nothing is dispatched here, whether or not the estate arrives.
-    pub fn estate(&mut self, now: Instant, successor: &InstanceId) -> DispatchRights {
+    pub fn hand_over_rights(&mut self, now: Instant, successor: &InstanceId) -> DispatchRights {
         self.successor = Some(Arc::clone(successor));
         DispatchRights {
             issuer: Arc::clone(&self.me),
@@ -190,7 +190,7 @@
     /// Takes a call whose key was checked, here or at the instance where it came in.
     pub fn on_use(&mut self, now: Instant, key: &Key, call: CallAttempt) -> UseDecision {
         if key.issuer != self.me || key.incarnation != self.incarnation {
-            let outcome = self.adopted(now, &key.id());
+            let outcome = self.adopted_outcome(now, &key.id());
             return UseDecision::Answer(outcome.map_or(IssuerReply::NotHere, IssuerReply::Outcome));
         }
         if let Some(successor) = &self.successor {
@@ -266,7 +266,7 @@
 
     /// Ends a first use that was not dispatched and for which nobody was asked, such as a shed
     /// one; tells what to answer to it and to all that joined it. The caller may use the key again
-    /// for a new call. None once somebody was asked; see [`Self::give_up`].
+    /// for a new call. None once somebody was asked; see [`Self::abandon`].
     pub fn refuse(&mut self, sequence: Sequence) -> Option<IssuerReply> {
         let i = self.find(sequence).ok()?;
         let record = &mut self.records[i];
@@ -283,7 +283,12 @@
     }
 
     /// Asks for the right to dispatch to this upstream; once for each key.
-    pub fn ask(&mut self, now: Instant, sequence: Sequence, upstream: &UpstreamId) -> Permission {
+    pub fn request_permission(
+        &mut self,
+        now: Instant,
+        sequence: Sequence,
+        upstream: &UpstreamId,
+    ) -> Permission {
         let Ok(i) = self.find(sequence) else {
             return Permission::NotRun(NotRun::Expired);
         };
@@ -318,7 +323,7 @@
     ///
     /// # Errors
     /// Why the call will not run. An answer that comes after that changes nothing.
-    pub fn on_witness(
+    pub fn on_witness_reply(
         &mut self,
         sequence: Sequence,
         answer: Option<&WitnessReply>,
@@ -394,14 +399,14 @@
 
     /// Notes that not one byte of a dispatched call went out, as no connection could be made. The
     /// key is given up: the witness has named this upstream and permits no other.
-    pub fn not_sent(&mut self, sequence: Sequence) -> Option<KeyOutcome> {
+    pub fn on_not_sent(&mut self, sequence: Sequence) -> Option<KeyOutcome> {
         let i = self.find(sequence).ok()?;
         let running = matches!(self.records[i].state, State::Running { .. });
         running.then(|| KeyOutcome::NotRun(self.give_up_at(i, NotRun::NotSent)))
     }
 
     /// Gives a key up that was not dispatched; it will never run. Does nothing to one that was.
-    pub fn give_up(&mut self, sequence: Sequence, why: NotRun) -> Option<KeyOutcome> {
+    pub fn abandon(&mut self, sequence: Sequence, why: NotRun) -> Option<KeyOutcome> {
         let i = self.find(sequence).ok()?;
         match &self.records[i].state {
             State::Running { .. } => None,
--- a/crates/decisions/src/idempotency/receiver.rs
+++ b/crates/decisions/src/idempotency/receiver.rs
@@ -91,7 +91,7 @@
     }
 
     /// Takes the answer of the issuer or of a successor.
-    pub fn on_issuer(&mut self, answer: IssuerReply) -> Option<ReceiverStep> {
+    pub fn on_issuer_reply(&mut self, answer: IssuerReply) -> Option<ReceiverStep> {
         match (&self.stage, answer) {
             (
                 Stage::Issuer | Stage::Successor | Stage::Forwarded { .. },
@@ -111,7 +111,7 @@
     }
 
     /// Takes the answer of the witness.
-    pub fn on_witness(&mut self, answer: WitnessReply) -> Option<ReceiverStep> {
+    pub fn on_witness_reply(&mut self, answer: WitnessReply) -> Option<ReceiverStep> {
         if self.stage != Stage::Witness {
             return None;
         }
--- a/crates/decisions/src/idempotency/witness.rs
+++ b/crates/decisions/src/idempotency/witness.rs
@@ -166,7 +166,7 @@
     }
 
     /// Gives the whole memory away: from now on this witness can tell nothing.
-    pub fn leave(&mut self, now: Instant) -> WitnessMemory {
+    pub fn hand_over(&mut self, now: Instant) -> WitnessMemory {
         let left = std::mem::replace(self, Self::new(NOBODY));
         let records = left.records.into_iter().map(|r| Witnessed {
             age: now.duration_since(r.since),
--- a/crates/decisions/tests/idempotency.rs
+++ b/crates/decisions/tests/idempotency.rs
@@ -55,7 +55,10 @@
     }
 
     fn ask(&mut self, key: &Key) -> WitnessRequest {
-        match self.keys.ask(self.now, key.sequence, &"replica".into()) {
+        match self
+            .keys
+            .request_permission(self.now, key.sequence, &"replica".into())
+        {
             Permission::AskWitness { message, .. } => message,
             other => panic!("expected a question to the witness, got {other:?}"),
         }
@@ -64,7 +67,7 @@
     fn permit(&mut self, key: &Key) -> Result<(), NotRun> {
         let message = self.ask(key);
         let answer = self.witness.on_message(self.now, &message);
-        self.keys.on_witness(key.sequence, Some(&answer))
+        self.keys.on_witness_reply(key.sequence, Some(&answer))
     }
 
     fn run(&mut self, key: &Key) -> KeyOutcome {
@@ -157,7 +160,7 @@
     if !in_order {
         answers.reverse();
     }
-    let heard = answers.map(|a| pair.keys.on_witness(key.sequence, Some(&a)).is_ok());
+    let heard = answers.map(|a| pair.keys.on_witness_reply(key.sequence, Some(&a)).is_ok());
     assert_eq!(heard, [in_order, in_order]);
     let rights = (0..3)
         .filter(|_| pair.keys.dispatch(pair.now, key.sequence).is_ok())
@@ -176,12 +179,12 @@
     let key = pair.issue();
     pair.use_key(&key);
     pair.ask(&key);
-    let refused = pair.keys.on_witness(key.sequence, heard.as_ref());
+    let refused = pair.keys.on_witness_reply(key.sequence, heard.as_ref());
     assert_eq!(refused, Err(NotRun::NoWitness));
     // The permission comes after all, too late.
     let late = pair
         .keys
-        .on_witness(key.sequence, Some(&WitnessReply::Permitted));
+        .on_witness_reply(key.sequence, Some(&WitnessReply::Permitted));
     assert_eq!(late, Err(NotRun::NoWitness));
     assert!(pair.keys.dispatch(pair.now, key.sequence).is_err());
 }
@@ -336,13 +339,13 @@
     let key = pair.issue();
     let fresh = pair.issue();
     let outcome = pair.run(&key);
-    let handed = pair.keys.hand_over(&"successor".into());
+    let handed = pair.keys.hand_over_ended(&"successor".into());
     let mut successor = KeyIssuer::new("successor".into(), 5, pair.now);
     for _ in 0..2 {
         successor.adopt(pair.now, &handed.records[0]);
     }
     pair.witness
-        .on_message(pair.now, &handed.forwardings[0].message);
+        .on_message(pair.now, &handed.notices[0].message);
     let moved = UseDecision::Answer(IssuerReply::Moved {
         successor: "successor".into(),
     });
@@ -360,14 +363,16 @@
     ));
     let forwarded = pair.close(&key);
     assert_eq!(
-        receiver.on_witness(forwarded),
+        receiver.on_witness_reply(forwarded),
         Some(ReceiverStep::LookUp {
             to: "successor".into()
         })
     );
-    let found = successor.adopted(pair.now, &key.id()).expect("handed over");
+    let found = successor
+        .adopted_outcome(pair.now, &key.id())
+        .expect("handed over");
     assert_eq!(
-        receiver.on_issuer(IssuerReply::Outcome(found)),
+        receiver.on_issuer_reply(IssuerReply::Outcome(found)),
         Some(ReceiverStep::Answer(outcome))
     );
     assert_eq!(pair.close(&fresh), WitnessReply::Closed);
@@ -393,12 +398,12 @@
         };
         assert!(matches!(step, Some(ReceiverStep::Close { .. })));
         let step = match heard.clone() {
-            Some(heard) => receiver.on_witness(heard),
+            Some(heard) => receiver.on_witness_reply(heard),
             None => receiver.on_unreachable(),
         };
         assert_eq!(step, Some(ReceiverStep::Answer(expected.clone())));
         assert_eq!(
-            receiver.on_issuer(IssuerReply::Refused),
+            receiver.on_issuer_reply(IssuerReply::Refused),
             None,
             "answered already"
         );
@@ -411,7 +416,8 @@
     let key = pair.keys.issue(pair.now, "org".into(), None);
     assert_eq!(pair.use_key(&key), UseDecision::First);
     assert_eq!(
-        pair.keys.ask(pair.now, key.sequence, &"replica".into()),
+        pair.keys
+            .request_permission(pair.now, key.sequence, &"replica".into()),
         Permission::Granted
     );
     let mut receiver = Receiver::start(key, None).receiver;
--- a/crates/spec/src/calls.rs
+++ b/crates/spec/src/calls.rs
@@ -117,11 +117,11 @@
     }
     if progress.asked
         && let Permission::AskWitness { message, .. } =
-            keys.ask(now, key.sequence, &"replica".into())
+            keys.request_permission(now, key.sequence, &"replica".into())
         && progress.permitted
     {
         let answer = witness.on_message(now, &message);
-        keys.on_witness(key.sequence, Some(&answer))
+        keys.on_witness_reply(key.sequence, Some(&answer))
             .expect("the first question");
     }
     if progress.dispatched {
@@ -142,10 +142,10 @@
     loop {
         step = match step {
             Some(ReceiverStep::Close { message, .. }) => {
-                receiver.on_witness(witness.on_message(now, &message))
+                receiver.on_witness_reply(witness.on_message(now, &message))
             }
             Some(ReceiverStep::Answer(outcome)) => return outcome,
-            _ => receiver.on_issuer(IssuerReply::NotHere),
+            _ => receiver.on_issuer_reply(IssuerReply::NotHere),
         };
     }
 }
--- a/crates/spec/src/idempotency.rs
+++ b/crates/spec/src/idempotency.rs
@@ -124,7 +124,7 @@
         match step {
             ReceiverStep::Forward { .. } => self.post(Packet::Call { call }),
             ReceiverStep::LookUp { .. } => {
-                let known = self.second.adopted(self.now(), &self.key.id());
+                let known = self.second.adopted_outcome(self.now(), &self.key.id());
                 let answer = known.map_or(IssuerReply::NotHere, IssuerReply::Outcome);
                 self.answer(call, answer);
             }
@@ -139,7 +139,7 @@
 
     fn answer(&mut self, call: usize, answer: IssuerReply) {
         if let Some(receiver) = &mut self.receivers[call] {
-            if let Some(step) = receiver.on_issuer(answer) {
+            if let Some(step) = receiver.on_issuer_reply(answer) {
                 self.step(call, step);
             }
             return;
@@ -200,7 +200,7 @@
         let Some(issuer) = &mut self.issuer else {
             return;
         };
-        match issuer.ask(now, sequence, &"replica".into()) {
+        match issuer.request_permission(now, sequence, &"replica".into()) {
             Permission::AskWitness { .. } => self.post(Packet::Permit),
             Permission::Granted => {}
             Permission::NotRun(why) => self.not_run(why),
@@ -212,7 +212,7 @@
         let Some(issuer) = &mut self.issuer else {
             return;
         };
-        if let Err(why) = issuer.on_witness(sequence, answer) {
+        if let Err(why) = issuer.on_witness_reply(sequence, answer) {
             self.not_run(why);
         }
     }
@@ -267,9 +267,9 @@
         let Some(issuer) = &mut self.issuer else {
             return;
         };
-        let handed = issuer.hand_over(&"second".into());
+        let handed = issuer.hand_over_ended(&"second".into());
         self.handed = handed.records.into_iter().flatten().collect();
-        self.forward = handed.forwardings.into_iter().next().map(|f| f.message);
+        self.forward = handed.notices.into_iter().next().map(|f| f.message);
         let ended = self.handed.first().map(|h| h.outcome.clone());
         if let Some(outcome) = ended {
             self.answer_joined(&IssuerReply::Outcome(outcome));
@@ -318,7 +318,7 @@
             Packet::Closing { call, answer } => {
                 let step = self.receivers[*call]
                     .as_mut()
-                    .and_then(|r| r.on_witness(answer.clone()));
+                    .and_then(|r| r.on_witness_reply(answer.clone()));
                 if let Some(step) = step {
                     self.step(*call, step);
                 }
--- a/src/issue.rs
+++ b/src/issue.rs
@@ -87,10 +87,10 @@
 ) -> Result<Vec<ForwardNotice>, String> {
     let mut questions = Vec::new();
     let mut forwardings = Vec::new();
-    for KeysHandover { estate, ended } in legacy.inheritances {
-        questions.push(KeyQuestion::Inherit(estate));
+    for KeysHandover { rights, ended } in legacy.inheritances {
+        questions.push(KeyQuestion::Inherit(rights));
         questions.extend(ended.records.into_iter().map(KeyQuestion::Adopt));
-        forwardings.extend(ended.forwardings);
+        forwardings.extend(ended.notices);
     }
     questions.extend(
         legacy
--- a/src/keyed.rs
+++ b/src/keyed.rs
@@ -119,7 +119,7 @@
                 ReceiverStep::Forward { to } => {
                     let answer = self.forward(&to, &key).await;
                     let next = match answer {
-                        Forwarded::Answer(answer) => receiver.on_issuer(answer),
+                        Forwarded::Answer(answer) => receiver.on_issuer_reply(answer),
                         Forwarded::Unreachable => receiver.on_unreachable(),
                         Forwarded::Late => return Head::Refused(still_running()),
                     };
@@ -128,7 +128,7 @@
                 ReceiverStep::LookUp { to } => {
                     let answer = self.look_up(&to, &key).await;
                     let next = match answer {
-                        Some(answer) => receiver.on_issuer(answer),
+                        Some(answer) => receiver.on_issuer_reply(answer),
                         None => receiver.on_unreachable(),
                     };
                     next.unwrap_or_else(|| self.lost(&mut receiver))
@@ -139,7 +139,7 @@
                     }
                     let answer = ask_witness(&self.shared, &to, message).await;
                     let next = match answer {
-                        Some(answer) => receiver.on_witness(answer),
+                        Some(answer) => receiver.on_witness_reply(answer),
                         None => receiver.on_unreachable(),
                     };
                     next.unwrap_or_else(|| self.lost(&mut receiver))
--- a/src/keys.rs
+++ b/src/keys.rs
@@ -170,7 +170,7 @@
         if waits && state.is_first_use(key) {
             return Met::Held(Left(state.door.subscribe()));
         }
-        let used = match state.heirs.iter_mut().find(|heir| heir.holds(key)) {
+        let used = match state.heirs.iter_mut().find(|heir| heir.covers(key)) {
             // What ended before the leaver left is known from its records.
             Some(heir) => match heir.on_use(now, key, call.clone()) {
                 UseDecision::Answer(IssuerReply::NotHere) => state.issuer.on_use(now, key, call),
@@ -205,7 +205,7 @@
     /// Asks for the right to dispatch to `upstream`.
     pub fn ask(&self, key: &KeyId, upstream: &UpstreamId) -> Permission {
         match self.lock().machine(key) {
-            Some(issuer) => issuer.ask(Instant::now(), key.sequence, upstream),
+            Some(issuer) => issuer.request_permission(Instant::now(), key.sequence, upstream),
             None => Permission::NotRun(NotRun::Leaving),
         }
     }
@@ -214,7 +214,7 @@
     pub fn on_answer(&self, key: &KeyId, answer: Option<&WitnessReply>) -> Result<(), NotRun> {
         let mut state = self.lock();
         let issuer = state.machine(key).ok_or(NotRun::Leaving)?;
-        issuer.on_witness(key.sequence, answer)
+        issuer.on_witness_reply(key.sequence, answer)
     }
 
     /// Takes the right to send the first byte now.
@@ -235,7 +235,7 @@
     pub fn not_sent(&self, key: &KeyId) -> Option<KeyOutcome> {
         let mut state = self.lock();
         state.end(key);
-        state.machine(key)?.not_sent(key.sequence)
+        state.machine(key)?.on_not_sent(key.sequence)
     }
 
     /// Gives up a call that was not dispatched.
@@ -266,7 +266,7 @@
         let heirs = state
             .witness_heirs
             .iter_mut()
-            .filter(|heir| heir.is_for(witness));
+            .filter(|heir| heir.replaces(witness));
         let mut answers = heirs.map(|heir| heir.on_message(now, message));
         answers
             .find(|answer| *answer != WitnessReply::Lost)
@@ -275,7 +275,7 @@
 
     /// What became of a key, if this instance knows.
     pub fn look_up(&self, key: &KeyId) -> IssuerReply {
-        match self.lock().issuer.adopted(Instant::now(), key) {
+        match self.lock().issuer.adopted_outcome(Instant::now(), key) {
             Some(outcome) => IssuerReply::Outcome(outcome),
             None => IssuerReply::NotHere,
         }
@@ -294,8 +294,11 @@
         let now = Instant::now();
         let mut state = self.lock();
         state.check_kept()?;
-        state.heirs.retain(|heir| !heir.is_over(now));
-        let held = state.heirs.iter().any(|heir| heir.is_of(&estate));
+        state.heirs.retain(|heir| !heir.is_expired(now));
+        let held = state
+            .heirs
+            .iter()
+            .any(|heir| heir.is_same_handover(&estate));
         if !held && state.heirs.len() < MAX_HANDOVERS {
             state.heirs.push(IssuerSuccessor::new(estate, now));
         }
@@ -307,8 +310,11 @@
         let now = Instant::now();
         let mut state = self.lock();
         state.check_kept()?;
-        state.witness_heirs.retain(|heir| !heir.is_over(now));
-        let held = state.witness_heirs.iter().any(|heir| heir.is_of(&estate));
+        state.witness_heirs.retain(|heir| !heir.is_expired(now));
+        let held = state
+            .witness_heirs
+            .iter()
+            .any(|heir| heir.is_same_handover(&estate));
         if !held && state.witness_heirs.len() < MAX_HANDOVERS {
             state.witness_heirs.push(WitnessSuccessor::new(estate, now));
         }
@@ -338,23 +344,28 @@
         let mut state = self.lock();
         state.door.send_replace(Door::GivenUp);
         let own = KeysHandover {
-            estate: state.issuer.estate(now, successor),
-            ended: state.issuer.hand_over(successor),
+            rights: state.issuer.hand_over_rights(now, successor),
+            ended: state.issuer.hand_over_ended(successor),
         };
         let mut inheritances = vec![own];
         inheritances.extend(
             state
                 .heirs
                 .iter_mut()
-                .map(|heir| heir.pass_on(now, successor)),
+                .map(|heir| heir.hand_over(now, successor)),
         );
         state.heirs.clear();
-        let memory = state.witness.leave(now);
+        let memory = state.witness.hand_over(now);
         let mut witnesses = vec![WitnessHandover {
             instance: self.me.clone(),
             memory,
         }];
-        witnesses.extend(state.witness_heirs.iter_mut().map(|heir| heir.pass_on(now)));
+        witnesses.extend(
+            state
+                .witness_heirs
+                .iter_mut()
+                .map(|heir| heir.hand_over(now)),
+        );
         state.witness_heirs.clear();
         Legacy {
             inheritances,
@@ -412,7 +423,7 @@
     }
 
     fn give_up(&mut self, key: &KeyId, why: NotRun) -> Option<KeyOutcome> {
-        self.machine(key)?.give_up(key.sequence, why)
+        self.machine(key)?.abandon(key.sequence, why)
     }
 
     fn end(&mut self, key: &KeyId) {
@@ -424,7 +435,7 @@
         if key.issuer == self.me && key.incarnation == self.issuer.incarnation() {
             return Some(&mut self.issuer);
         }
-        let heir = self.heirs.iter_mut().find(|heir| heir.holds_id(key));
-        heir.map(IssuerSuccessor::keys)
+        let heir = self.heirs.iter_mut().find(|heir| heir.covers_id(key));
+        heir.map(IssuerSuccessor::issuer)
     }
 }
