--- a/crates/decisions/benches/decisions.rs
+++ b/crates/decisions/benches/decisions.rs
@@ -11,7 +11,7 @@
 use kingcupfield_decisions::id::{InstanceId, RequestId, UpstreamId};
 use kingcupfield_decisions::ownership::{owner, ranked};
 use kingcupfield_decisions::prefixes::PrefixCache;
-use kingcupfield_decisions::slots::{Outcome, Reservation, SlotQueue, ToHolder, ToOwner};
+use kingcupfield_decisions::slots::{RequestOutcome, Reservation, SlotQueue, ToHolder, ToOwner};
 use kingcupfield_decisions::work::Work;
 use tokio::time::Instant;
 
@@ -76,7 +76,7 @@
 
     fn finish_first(&mut self) -> ToOwner {
         let request = self.running.remove(0);
-        let outcome = Outcome {
+        let outcome = RequestOutcome {
             whole: true,
             first_token: Some(Duration::from_millis(100)),
             between_tokens: Some(Duration::from_millis(20)),
--- a/crates/decisions/benches/scenarios/node.rs
+++ b/crates/decisions/benches/scenarios/node.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use kingcupfield_decisions::holder::{Ask, DispatchError, Holder, HolderAction, Reply};
+use kingcupfield_decisions::holder::{
+    DispatchError, Holder, HolderAction, HolderOutput, OwnerEnvelope,
+};
 use kingcupfield_decisions::id::{InstanceId, Rank, RequestId, ServiceId, Tokens, UpstreamId};
 use kingcupfield_decisions::length::Lengths;
 use kingcupfield_decisions::ownership::owner;
@@ -16,7 +18,8 @@
     is_hopeless,
 };
 use kingcupfield_decisions::slots::{
-    Digest, LoadReport, Outcome, Rejection, Reservation, Send, SlotQueue, ToHolder, ToOwner,
+    HolderEnvelope, LoadReport, Rejection, ReplicaDigest, RequestOutcome, Reservation, SlotQueue,
+    ToHolder, ToOwner,
 };
 use kingcupfield_decisions::work::Work;
 use serde::Serialize;
@@ -45,7 +48,7 @@
     },
     ToLevelOwner(ToLevelOwner),
     ToLevelMember(ToLevelMember),
-    Digests(Vec<(UpstreamId, Digest)>),
+    Digests(Vec<(UpstreamId, ReplicaDigest)>),
 }
 
 impl Packet {
@@ -84,7 +87,7 @@
     member: LevelMember,
     level: Option<Level>,
     level_owner: usize,
-    digests: Vec<Option<(Digest, Instant)>>,
+    digests: Vec<Option<(ReplicaDigest, Instant)>>,
     caches: Vec<PrefixCache>,
     lengths: Lengths,
     link: LinkBudget,
@@ -148,7 +151,7 @@
         for node in 0..NODES {
             ours.nodes.push(Node {
                 holder: Holder::new(InstanceId::clone(&ours.names[node]), 1)
-                    .with_widen_after(WIDEN_AFTER),
+                    .with_widen_delay(WIDEN_AFTER),
                 queues: (0..engines).map(|_| None).collect(),
                 owners: vec![usize::MAX; engines],
                 member: LevelMember::new(BOTTOM),
@@ -189,7 +192,7 @@
             let queue = (new == node).then(|| {
                 let generation = self.generations[engine].clone();
                 let upstream = UpstreamId::clone(&self.upstreams[engine]);
-                SlotQueue::new(upstream, Some(generation), net.now).with_neighbours(zone.len())
+                SlotQueue::new(upstream, Some(generation), net.now).with_zone_size(zone.len())
             });
             self.nodes[node].queues[engine] = queue;
         }
@@ -313,8 +316,8 @@
         self.carry_out(net, node, reply);
     }
 
-    fn carry_out(&mut self, net: &mut Net, node: usize, reply: Reply) {
-        self.ask(net, node, reply.sends);
+    fn carry_out(&mut self, net: &mut Net, node: usize, reply: HolderOutput) {
+        self.ask(net, node, reply.messages);
         for action in reply.actions {
             match action {
                 HolderAction::Dispatch { request, .. } => self.dispatch(net, node, &request),
@@ -325,8 +328,8 @@
         }
     }
 
-    fn ask(&mut self, net: &mut Net, node: usize, asks: Vec<Ask>) {
-        for Ask { upstream, message } in asks {
+    fn ask(&mut self, net: &mut Net, node: usize, asks: Vec<OwnerEnvelope>) {
+        for OwnerEnvelope { upstream, message } in asks {
             let to = self.nodes[node].owners[number(&upstream)];
             if to != usize::MAX {
                 net.send(node, to, Packet::ToOwner { upstream, message });
@@ -334,8 +337,8 @@
         }
     }
 
-    fn answer(net: &mut Net, node: usize, sends: Vec<Send>) {
-        for Send {
+    fn answer(net: &mut Net, node: usize, sends: Vec<HolderEnvelope>) {
+        for HolderEnvelope {
             to,
             upstream,
             message,
@@ -353,9 +356,9 @@
                 self.nodes[node].member.leave(request, net.jobs[n].rank);
                 self.nodes[node].caches[engine].on_grant(&net.jobs[n].prefixes);
                 net.dispatch(n, engine);
-                self.ask(net, node, dispatch.sends);
+                self.ask(net, node, dispatch.messages);
             }
-            Err(DispatchError::Lapsed { sends }) => self.ask(net, node, sends),
+            Err(DispatchError::Lapsed { messages }) => self.ask(net, node, messages),
             Err(DispatchError::NotGranted) => {}
         }
     }
@@ -420,7 +423,7 @@
         let lowest = self.nodes[node].member.lowest_rank(net.now);
         for engine in 0..self.upstreams.len() {
             let queue = self.nodes[node].queues[engine].as_mut();
-            let sends = queue.map(|queue| queue.set_level(net.now, lowest));
+            let sends = queue.map(|queue| queue.set_lowest_rank(net.now, lowest));
             Self::answer(net, node, sends.unwrap_or_default());
         }
     }
@@ -459,7 +462,7 @@
             self.nodes[node].told_far = Some(net.now);
         }
         let queues = self.nodes[node].queues.iter().flatten();
-        let digests: Vec<(UpstreamId, Digest)> = queues
+        let digests: Vec<(UpstreamId, ReplicaDigest)> = queues
             .map(|q| (UpstreamId::clone(q.upstream()), q.digest(net.now)))
             .collect();
         for to in (0..NODES).filter(|to| far || zone_of(*to) == zone_of(node)) {
@@ -499,7 +502,7 @@
             .ended
             .zip(fate.first_token)
             .map(|(end, first)| end - first);
-        let outcome = Outcome {
+        let outcome = RequestOutcome {
             whole: true,
             first_token: first.filter(|_| whole),
             between_tokens: decoding.map(|took| took / job.decode as u32),
@@ -647,7 +650,7 @@
                     leaving: false,
                 };
                 let queue = self.nodes[node].queues[engine].as_mut();
-                let sends = queue.map(|queue| queue.on_report(net.now, report));
+                let sends = queue.map(|queue| queue.on_load_report(net.now, report));
                 Self::answer(net, node, sends.unwrap_or_default());
             }
         }
@@ -677,7 +680,7 @@
             for engine in 0..self.upstreams.len() {
                 let faulty = InstanceId::clone(&self.names[faulty]);
                 let queue = self.nodes[node].queues[engine].as_mut().filter(|_| gone);
-                let sends = queue.map(|queue| queue.on_holder_gone(net.now, &faulty));
+                let sends = queue.map(|queue| queue.on_holder_dead(net.now, &faulty));
                 Self::answer(net, node, sends.unwrap_or_default());
             }
         }
--- a/crates/decisions/src/holder.rs
+++ b/crates/decisions/src/holder.rs
@@ -15,7 +15,9 @@
 use self::held::{Business, Held, HeldRequests, Place, Stage};
 use self::leases::Leases;
 use crate::id::{Incarnation, InstanceId, RequestId, Sequence, UpstreamId};
-use crate::slots::{GRANT_LEASE, Outcome, RENEW_EVERY, Rejection, Reservation, ToHolder, ToOwner};
+use crate::slots::{
+    GRANT_LEASE, RENEW_INTERVAL, Rejection, RequestOutcome, Reservation, ToHolder, ToOwner,
+};
 
 /// Requests that one instance holds; more are refused. About 1 KB each.
 pub const MAX_HELD: usize = 16_384;
@@ -25,7 +27,7 @@
 
 /// A message for the owner of a replica.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ask {
+pub struct OwnerEnvelope {
     /// The replica.
     pub upstream: UpstreamId,
     /// The message.
@@ -55,11 +57,11 @@
 
 /// Actions and messages that follow from an event; no action means that the requests wait on.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Reply {
+pub struct HolderOutput {
     /// What to do.
     pub actions: Vec<HolderAction>,
     /// What to send.
-    pub sends: Vec<Ask>,
+    pub messages: Vec<OwnerEnvelope>,
 }
 
 /// Right to send one request to one replica, valid now.
@@ -68,7 +70,7 @@
     /// The replica.
     pub upstream: UpstreamId,
     /// What to send to owners.
-    pub sends: Vec<Ask>,
+    pub messages: Vec<OwnerEnvelope>,
 }
 
 /// Why a request may not be dispatched now.
@@ -78,7 +80,7 @@
     #[error("the grant has lapsed")]
     Lapsed {
         /// New reservations.
-        sends: Vec<Ask>,
+        messages: Vec<OwnerEnvelope>,
     },
     /// The request is unknown, waits, or was dispatched already.
     #[error("the request has no unused grant")]
@@ -124,7 +126,7 @@
     ///
     /// With a free slot the first owner grants in one round trip: the cached prefix is used and
     /// the other owners hear nothing.
-    pub fn with_widen_after(mut self, after: Duration) -> Self {
+    pub fn with_widen_delay(mut self, after: Duration) -> Self {
         self.widen_after = after;
         self
     }
@@ -152,12 +154,12 @@
         now: Instant,
         reservation: Reservation,
         candidates: &[UpstreamId],
-    ) -> Reply {
+    ) -> HolderOutput {
         let request = RequestId::clone(&reservation.request);
-        let mut reply = Reply::default();
+        let mut reply = HolderOutput::default();
         if self.held.get(&request).is_none() {
             if self.held.len() >= MAX_HELD {
-                reply.refuse(request, Rejection::Full, RENEW_EVERY);
+                reply.refuse(request, Rejection::Full, RENEW_INTERVAL);
                 return reply;
             }
             let mut reservation = reservation;
@@ -179,8 +181,13 @@
     }
 
     /// Handles a message of the owner of `upstream`.
-    pub fn on_message(&mut self, now: Instant, upstream: &UpstreamId, message: ToHolder) -> Reply {
-        let mut reply = Reply::default();
+    pub fn on_message(
+        &mut self,
+        now: Instant,
+        upstream: &UpstreamId,
+        message: ToHolder,
+    ) -> HolderOutput {
+        let mut reply = HolderOutput::default();
         match message {
             ToHolder::Grant { request, asked, .. } => {
                 self.on_grant(now, upstream, &request, asked, &mut reply);
@@ -209,26 +216,28 @@
             // A process that was paused between grant and dispatch: its owner has given the slot
             // to another by now, so two requests would run on it.
             held.stage = Stage::Waiting;
-            let mut reply = Reply::default();
+            let mut reply = HolderOutput::default();
             self.ask(now, request, &mut reply);
-            return Err(DispatchError::Lapsed { sends: reply.sends });
+            return Err(DispatchError::Lapsed {
+                messages: reply.messages,
+            });
         }
         held.stage = Stage::Running {
             upstream: UpstreamId::clone(&upstream),
         };
-        let sends = vec![Ask {
+        let messages = vec![OwnerEnvelope {
             upstream: UpstreamId::clone(&upstream),
             message: ToOwner::Dispatched {
                 request: RequestId::clone(request),
             },
         }];
-        Ok(Dispatch { upstream, sends })
+        Ok(Dispatch { upstream, messages })
     }
 
     /// Tells the owner that the first token of a running request came.
-    pub fn on_started(&self, request: &RequestId, first_token: Duration) -> Vec<Ask> {
+    pub fn on_started(&self, request: &RequestId, first_token: Duration) -> Vec<OwnerEnvelope> {
         let running = self.held.get(request).and_then(Held::running_on);
-        let told = running.map(|upstream| Ask {
+        let told = running.map(|upstream| OwnerEnvelope {
             upstream: UpstreamId::clone(upstream),
             message: ToOwner::Started {
                 request: RequestId::clone(request),
@@ -241,8 +250,13 @@
     /// A running request ended; the owner gets its slot back.
     ///
     /// A caller that went away is no fault of the replica: its outcome is whole, without times.
-    pub fn on_finished(&mut self, now: Instant, request: &RequestId, outcome: Outcome) -> Reply {
-        let mut reply = Reply::default();
+    pub fn on_finished(
+        &mut self,
+        now: Instant,
+        request: &RequestId,
+        outcome: RequestOutcome,
+    ) -> HolderOutput {
+        let mut reply = HolderOutput::default();
         let Some(held) = self.held.remove_if_running(request) else {
             return reply;
         };
@@ -253,15 +267,15 @@
 
     /// Nothing of the dispatched request was sent, as the connection failed: it waits again,
     /// without that replica.
-    pub fn on_connect_failed(&mut self, now: Instant, request: &RequestId) -> Reply {
-        let mut reply = Reply::default();
+    pub fn on_connect_failed(&mut self, now: Instant, request: &RequestId) -> HolderOutput {
+        let mut reply = HolderOutput::default();
         let Some(held) = self.held.get_mut(request) else {
             return reply;
         };
         let Some(upstream) = held.running_on().map(UpstreamId::clone) else {
             return reply;
         };
-        reply.finished(held, Outcome::default());
+        reply.finished(held, RequestOutcome::default());
         held.stage = Stage::Waiting;
         held.exclude(&upstream);
         self.ask(now, request, &mut reply);
@@ -271,29 +285,29 @@
     }
 
     /// Gives up a request that was not dispatched; a running one stays.
-    pub fn withdraw(&mut self, request: &RequestId) -> Vec<Ask> {
+    pub fn withdraw(&mut self, request: &RequestId) -> Vec<OwnerEnvelope> {
         let Some(held) = self.held.remove_if_not_running(request) else {
             return Vec::new();
         };
-        let mut reply = Reply::default();
+        let mut reply = HolderOutput::default();
         reply.withdraw_all(&held, None);
-        reply.sends
+        reply.messages
     }
 
-    /// Reserves more widely what is due, renews at all owners every [`RENEW_EVERY`] and repeats what got no answer.
-    pub fn on_tick(&mut self, now: Instant) -> Reply {
-        let mut reply = Reply::default();
+    /// Reserves more widely what is due, renews at all owners every [`RENEW_INTERVAL`] and repeats what got no answer.
+    pub fn on_tick(&mut self, now: Instant) -> HolderOutput {
+        let mut reply = HolderOutput::default();
         for request in self.held.widened(now) {
             self.ask(now, &request, &mut reply);
         }
-        if self.renewed.is_some_and(|at| now < at + RENEW_EVERY) {
+        if self.renewed.is_some_and(|at| now < at + RENEW_INTERVAL) {
             return reply;
         }
         self.renewed = Some(now);
         let asked = self.leases.next(now);
         for Business { upstream, running } in self.held.business() {
             let message = ToOwner::Renew { asked, running };
-            reply.sends.push(Ask { upstream, message });
+            reply.messages.push(OwnerEnvelope { upstream, message });
         }
         for request in self.held.unanswered(now, REPEAT_EVERY) {
             self.ask(now, &request, &mut reply);
@@ -303,7 +317,12 @@
     }
 
     /// The owner of `upstream` does not answer: `share` of the replica is this instance's own.
-    pub fn on_owner_gone(&mut self, now: Instant, upstream: &UpstreamId, share: u32) -> Reply {
+    pub fn on_owner_gone(
+        &mut self,
+        now: Instant,
+        upstream: &UpstreamId,
+        share: u32,
+    ) -> HolderOutput {
         match self.fallback(upstream) {
             Ok(at) => self.fallbacks[at].share = share,
             Err(at) => {
@@ -312,20 +331,20 @@
             }
         }
         self.held.forget_place(upstream);
-        let mut reply = Reply::default();
+        let mut reply = HolderOutput::default();
         self.use_own_share(now, &mut reply);
         reply
     }
 
     /// The replica has an owner that answers, perhaps another: it learns what runs and waits.
-    pub fn on_owner_changed(&mut self, now: Instant, upstream: &UpstreamId) -> Vec<Ask> {
+    pub fn on_owner_changed(&mut self, now: Instant, upstream: &UpstreamId) -> Vec<OwnerEnvelope> {
         if let Ok(at) = self.fallback(upstream) {
             self.fallbacks.remove(at);
         }
         self.held.forget_place(upstream);
-        let mut reply = Reply::default();
+        let mut reply = HolderOutput::default();
         let asked = self.leases.number(now);
-        reply.sends.push(Ask {
+        reply.messages.push(OwnerEnvelope {
             upstream: UpstreamId::clone(upstream),
             message: ToOwner::Renew {
                 asked,
@@ -335,7 +354,7 @@
         for request in self.held.waiting_for(upstream) {
             self.ask(now, &request, &mut reply);
         }
-        reply.sends
+        reply.messages
     }
 
     fn fallback(&self, upstream: &UpstreamId) -> Result<usize, usize> {
@@ -344,7 +363,7 @@
     }
 
     /// Reserves a waiting request wherever it has no answered place and the owner answers.
-    fn ask(&mut self, now: Instant, request: &RequestId, reply: &mut Reply) {
+    fn ask(&mut self, now: Instant, request: &RequestId, reply: &mut HolderOutput) {
         let asked = self.leases.number(now);
         let Some(held) = self.held.get_mut(request).filter(|held| held.is_waiting()) else {
             return;
@@ -378,7 +397,7 @@
                 Some(known) => known.sent = now,
                 None => held.places.push(place.clone()),
             }
-            reply.sends.push(Ask {
+            reply.messages.push(OwnerEnvelope {
                 upstream: place.upstream,
                 message: ToOwner::Reserve(held.reservation.clone()),
             });
@@ -391,7 +410,7 @@
         upstream: &UpstreamId,
         request: &RequestId,
         asked: Sequence,
-        reply: &mut Reply,
+        reply: &mut HolderOutput,
     ) {
         let until = self.leases.sent(asked).map(|sent| sent + GRANT_LEASE);
         let valid = until.filter(|until| now < *until);
@@ -431,7 +450,7 @@
         request: &RequestId,
         why: Rejection,
         wait: Duration,
-        reply: &mut Reply,
+        reply: &mut HolderOutput,
     ) {
         let Some(held) = self.held.get_mut(request).filter(|held| held.is_waiting()) else {
             return;
@@ -449,7 +468,7 @@
     }
 
     /// Refuses a waiting request that no candidate is left for.
-    fn refuse_if_placeless(&mut self, request: &RequestId, reply: &mut Reply) {
+    fn refuse_if_placeless(&mut self, request: &RequestId, reply: &mut HolderOutput) {
         let Some(held) = self.held.get(request) else {
             return;
         };
@@ -463,7 +482,7 @@
 
     /// Uses this instance's own share of replicas whose owners do not answer, for requests that
     /// no owner is left to grant.
-    fn use_own_share(&mut self, now: Instant, reply: &mut Reply) {
+    fn use_own_share(&mut self, now: Instant, reply: &mut HolderOutput) {
         for fallback in self.fallbacks.clone() {
             let mut free = fallback
                 .share
@@ -486,14 +505,14 @@
     }
 }
 
-impl Reply {
+impl HolderOutput {
     fn refuse(&mut self, request: RequestId, why: Rejection, wait: Duration) {
         self.actions
             .push(HolderAction::Refuse { request, why, wait });
     }
 
     fn withdraw(&mut self, request: &RequestId, upstream: &UpstreamId) {
-        self.sends.push(Ask {
+        self.messages.push(OwnerEnvelope {
             upstream: UpstreamId::clone(upstream),
             message: ToOwner::Withdraw {
                 request: RequestId::clone(request),
@@ -512,9 +531,9 @@
         }
     }
 
-    fn finished(&mut self, held: &Held, outcome: Outcome) {
+    fn finished(&mut self, held: &Held, outcome: RequestOutcome) {
         if let Some(upstream) = held.running_on() {
-            self.sends.push(Ask {
+            self.messages.push(OwnerEnvelope {
                 upstream: UpstreamId::clone(upstream),
                 message: ToOwner::Finished {
                     request: RequestId::clone(&held.reservation.request),
--- a/crates/decisions/src/routing.rs
+++ b/crates/decisions/src/routing.rs
@@ -16,7 +16,7 @@
 use crate::id::{InstanceId, PrefixHash, Rank, Tokens, UpstreamId, ZoneId};
 use crate::ownership::owner;
 use crate::pace::Pace;
-use crate::slots::Digest;
+use crate::slots::ReplicaDigest;
 use crate::work::Work;
 
 /// Most owners at which one request is reserved.
@@ -84,7 +84,7 @@
     /// Its zone.
     pub zone: ZoneId,
     /// What its owner said last, if anything.
-    pub digest: Option<Digest>,
+    pub digest: Option<ReplicaDigest>,
     /// Age of the digest.
     pub age: Duration,
     /// Prompt tokens that its cache probably holds.
--- a/crates/decisions/src/slots.rs
+++ b/crates/decisions/src/slots.rs
@@ -50,7 +50,7 @@
 
 /// How a dispatched request ended, for the concurrency limit, health and fairness.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Outcome {
+pub struct RequestOutcome {
     /// Whether the whole answer came; false on an error or a stall.
     pub whole: bool,
     /// From dispatch to the first token, if one came.
@@ -89,11 +89,11 @@
         /// The request.
         request: RequestId,
         /// How it ended.
-        outcome: Outcome,
+        outcome: RequestOutcome,
     },
-    /// Sent by a holder every [`RENEW_EVERY`] while it has anything here; one message for all its
+    /// Sent by a holder every [`RENEW_INTERVAL`] while it has anything here; one message for all its
     /// reservations and slots. An owner drops what was not renewed for [`GRANT_LEASE`] (waiting)
-    /// or [`HOLDER_LOST`] (running).
+    /// or [`HOLDER_TIMEOUT`] (running).
     Renew {
         /// Number that grows by one each time; the holder remembers when it sent it.
         asked: Sequence,
@@ -103,10 +103,10 @@
 }
 
 /// How often a holder renews at each owner it has business with.
-pub const RENEW_EVERY: Duration = Duration::from_millis(150);
+pub const RENEW_INTERVAL: Duration = Duration::from_millis(150);
 
 /// After this long without a word a holder's running slots are taken back.
-pub const HOLDER_LOST: Duration = Duration::from_secs(3);
+pub const HOLDER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Why an owner will not queue or keep a reservation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -150,7 +150,7 @@
 
 /// A message for one holder, about one replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Send {
+pub struct HolderEnvelope {
     /// Whom it goes to.
     pub to: InstanceId,
     /// The replica that it is about.
@@ -178,7 +178,7 @@
 
 /// Estimate that holders use to choose among owners.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Digest {
+pub struct ReplicaDigest {
     /// Requests running by the owner's count.
     pub running: u32,
     /// Current concurrency limit.
--- a/crates/decisions/src/slots/events.rs
+++ b/crates/decisions/src/slots/events.rs
@@ -6,7 +6,7 @@
 
 use super::feedback::FirstToken;
 use super::taken::{Stage, Taken};
-use super::{GRANT_LEASE, Outcome, Rejection, Reservation, Send, SlotQueue};
+use super::{GRANT_LEASE, HolderEnvelope, Rejection, RequestOutcome, Reservation, SlotQueue};
 use crate::fairness::{Entry, Size};
 use crate::id::{InstanceId, RequestId, Sequence};
 use crate::work::Work;
@@ -17,7 +17,7 @@
         now: Instant,
         from: &InstanceId,
         mut reservation: Reservation,
-        sends: &mut Vec<Send>,
+        sends: &mut Vec<HolderEnvelope>,
     ) {
         self.holders.hear(now, from, reservation.asked);
         if self.taken.get_mut(&reservation.request).is_some() {
@@ -44,7 +44,12 @@
     }
 
     /// The holder woke after its lease had lapsed and asks again: its slot is still kept.
-    fn grant_again(&mut self, now: Instant, reservation: &Reservation, sends: &mut Vec<Send>) {
+    fn grant_again(
+        &mut self,
+        now: Instant,
+        reservation: &Reservation,
+        sends: &mut Vec<HolderEnvelope>,
+    ) {
         let Some(taken) = self.taken.get_mut(&reservation.request) else {
             return;
         };
@@ -141,7 +146,12 @@
         self.feedback.on_first_token(now, first);
     }
 
-    pub(super) fn on_finished(&mut self, now: Instant, request: &RequestId, outcome: Outcome) {
+    pub(super) fn on_finished(
+        &mut self,
+        now: Instant,
+        request: &RequestId,
+        outcome: RequestOutcome,
+    ) {
         if let Some(took) = outcome.first_token {
             self.on_started(now, request, took);
         }
@@ -190,7 +200,7 @@
         }
     }
 
-    pub(super) fn drop_silent_holders(&mut self, now: Instant, sends: &mut Vec<Send>) {
+    pub(super) fn drop_silent_holders(&mut self, now: Instant, sends: &mut Vec<HolderEnvelope>) {
         for seen in self.holders.silent(now) {
             // A holder that was only paused learns from this that it has to ask again.
             let dropped = self.drop_waiting_of(&seen.holder);
@@ -203,7 +213,7 @@
     }
 
     /// Takes back the slots whose grants were not used in time.
-    pub(super) fn free_lapsed(&mut self, now: Instant, sends: &mut Vec<Send>) {
+    pub(super) fn free_lapsed(&mut self, now: Instant, sends: &mut Vec<HolderEnvelope>) {
         let lapsed = self.taken.remove_if(|taken| match taken.stage {
             Stage::Granted { until } => until <= now,
             Stage::Silent { .. } | Stage::Flowing { .. } => false,
--- a/crates/decisions/src/slots/feedback.rs
+++ b/crates/decisions/src/slots/feedback.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use super::Outcome;
+use super::RequestOutcome;
 use super::taken::{Stage, TakenSlots};
 use crate::concurrency::Limit;
 use crate::health::Health;
@@ -160,7 +160,7 @@
     }
 
     /// Notes the end of a request, with `in_use` slots in use before.
-    pub(super) fn on_outcome(&mut self, now: Instant, outcome: Outcome, in_use: u32) {
+    pub(super) fn on_outcome(&mut self, now: Instant, outcome: RequestOutcome, in_use: u32) {
         if !outcome.whole {
             self.limit.on_error(now);
             self.health.on_error(now);
--- a/crates/decisions/src/slots/queue.rs
+++ b/crates/decisions/src/slots/queue.rs
@@ -8,7 +8,10 @@
 use super::seen::SeenHolders;
 use super::taken::{Stage, Taken, TakenSlots};
 use super::wait;
-use super::{Digest, GRANT_LEASE, LoadReport, Rejection, Reservation, Send, ToHolder, ToOwner};
+use super::{
+    GRANT_LEASE, HolderEnvelope, LoadReport, Rejection, ReplicaDigest, Reservation, ToHolder,
+    ToOwner,
+};
 use crate::concurrency::Limit;
 use crate::fairness::{Entry, FairQueue, long_slots};
 use crate::health::Stage as HealthStage;
@@ -75,7 +78,7 @@
     }
 
     /// Sets how many live entry instances the zone has, this one included.
-    pub fn with_neighbours(mut self, neighbours: usize) -> Self {
+    pub fn with_zone_size(mut self, neighbours: usize) -> Self {
         self.neighbours = neighbours.max(1);
         self
     }
@@ -119,7 +122,12 @@
     }
 
     /// Handles a message of holder `from`; the answers may go to others.
-    pub fn on_message(&mut self, now: Instant, from: &InstanceId, message: ToOwner) -> Vec<Send> {
+    pub fn on_message(
+        &mut self,
+        now: Instant,
+        from: &InstanceId,
+        message: ToOwner,
+    ) -> Vec<HolderEnvelope> {
         let mut sends = Vec::new();
         match message {
             ToOwner::Reserve(reservation) => {
@@ -139,7 +147,7 @@
     }
 
     /// Drops what lapsed, looks for stalls and grants; to be called every 50 ms.
-    pub fn on_tick(&mut self, now: Instant) -> Vec<Send> {
+    pub fn on_tick(&mut self, now: Instant) -> Vec<HolderEnvelope> {
         let mut sends = Vec::new();
         self.drop_silent_holders(now, &mut sends);
         self.free_lapsed(now, &mut sends);
@@ -155,7 +163,7 @@
     }
 
     /// Takes in a load report.
-    pub fn on_report(&mut self, now: Instant, report: LoadReport) -> Vec<Send> {
+    pub fn on_load_report(&mut self, now: Instant, report: LoadReport) -> Vec<HolderEnvelope> {
         self.feedback.limit.on_report(now, report);
         if report.leaving {
             return self.set_leaving(now);
@@ -169,7 +177,7 @@
     }
 
     /// Refuses waiting tiers below `lowest` and grants none of them from now on.
-    pub fn set_level(&mut self, now: Instant, lowest: Rank) -> Vec<Send> {
+    pub fn set_lowest_rank(&mut self, now: Instant, lowest: Rank) -> Vec<HolderEnvelope> {
         self.lowest = lowest;
         let shed = self
             .waiting
@@ -178,14 +186,14 @@
     }
 
     /// The replica leaves: refuses all that wait and grants nothing more.
-    pub fn set_leaving(&mut self, now: Instant) -> Vec<Send> {
+    pub fn set_leaving(&mut self, now: Instant) -> Vec<HolderEnvelope> {
         self.leaving = true;
         let all = self.waiting.remove_if(|_| true);
         self.reject_all(now, &all, Rejection::Leaving)
     }
 
     /// The holder is dead: its reservations are dropped and its slots are free.
-    pub fn on_holder_gone(&mut self, now: Instant, holder: &InstanceId) -> Vec<Send> {
+    pub fn on_holder_dead(&mut self, now: Instant, holder: &InstanceId) -> Vec<HolderEnvelope> {
         self.drop_waiting_of(holder);
         self.free_slots_of(holder);
         self.holders.remove(holder);
@@ -195,8 +203,8 @@
     }
 
     /// Estimate for holders that choose among owners.
-    pub fn digest(&self, now: Instant) -> Digest {
-        Digest {
+    pub fn digest(&self, now: Instant) -> ReplicaDigest {
+        ReplicaDigest {
             running: self.taken.len(),
             limit: self.feedback.allowed(now, &self.taken),
             waiting: self.waiting.len() as u32,
@@ -261,7 +269,7 @@
         !self.is_learning(now) || self.granted < alone.max(1)
     }
 
-    fn grant(&mut self, now: Instant, sends: &mut Vec<Send>) {
+    fn grant(&mut self, now: Instant, sends: &mut Vec<HolderEnvelope>) {
         while !self.leaving && !self.waiting.is_empty() && self.has_room(now) {
             let slots = self.feedback.allowed(now, &self.taken);
             let long = self.taken.long() < long_slots(slots);
@@ -272,7 +280,7 @@
         }
     }
 
-    fn grant_entry(&mut self, now: Instant, entry: &Entry, sends: &mut Vec<Send>) {
+    fn grant_entry(&mut self, now: Instant, entry: &Entry, sends: &mut Vec<HolderEnvelope>) {
         let reservation = &entry.reservation;
         let seen = self.holders.get(&reservation.holder);
         let (asked, heard) = seen.map_or((reservation.asked, now), |seen| (seen.asked, seen.heard));
@@ -306,8 +314,8 @@
         }
     }
 
-    pub(super) fn grant_message(&self, taken: &Taken) -> Send {
-        Send {
+    pub(super) fn grant_message(&self, taken: &Taken) -> HolderEnvelope {
+        HolderEnvelope {
             to: InstanceId::clone(&taken.holder),
             upstream: UpstreamId::clone(&self.upstream),
             message: ToHolder::Grant {
@@ -318,14 +326,24 @@
         }
     }
 
-    pub(super) fn reject_all(&self, now: Instant, entries: &[Entry], why: Rejection) -> Vec<Send> {
+    pub(super) fn reject_all(
+        &self,
+        now: Instant,
+        entries: &[Entry],
+        why: Rejection,
+    ) -> Vec<HolderEnvelope> {
         let reservations = entries.iter().map(|entry| &entry.reservation);
         reservations
             .map(|reservation| self.reject(now, reservation, why))
             .collect()
     }
 
-    pub(super) fn reject(&self, now: Instant, reservation: &Reservation, why: Rejection) -> Send {
+    pub(super) fn reject(
+        &self,
+        now: Instant,
+        reservation: &Reservation,
+        why: Rejection,
+    ) -> HolderEnvelope {
         let wait = self.wait(now, reservation.rank);
         self.rejection(&reservation.holder, &reservation.request, why, wait)
     }
@@ -336,8 +354,8 @@
         request: &RequestId,
         why: Rejection,
         wait: Duration,
-    ) -> Send {
-        Send {
+    ) -> HolderEnvelope {
+        HolderEnvelope {
             to: InstanceId::clone(to),
             upstream: UpstreamId::clone(&self.upstream),
             message: ToHolder::Rejected {
--- a/crates/decisions/src/slots/seen.rs
+++ b/crates/decisions/src/slots/seen.rs
@@ -2,7 +2,7 @@
 
 use tokio::time::Instant;
 
-use super::{GRANT_LEASE, HOLDER_LOST};
+use super::{GRANT_LEASE, HOLDER_TIMEOUT};
 use crate::id::{InstanceId, Sequence};
 
 /// Holders known at one replica; the target has 330 entry instances.
@@ -23,7 +23,7 @@
 impl Seen {
     /// Whether its running slots are taken back.
     pub(super) fn is_lost(&self, now: Instant) -> bool {
-        self.heard + HOLDER_LOST <= now
+        self.heard + HOLDER_TIMEOUT <= now
     }
 }
 
--- a/crates/decisions/tests/routing.rs
+++ b/crates/decisions/tests/routing.rs
@@ -5,7 +5,7 @@
 use kingcupfield_decisions::id::{Rank, Tokens};
 use kingcupfield_decisions::pace::Pace;
 use kingcupfield_decisions::routing::{Candidate, LinkBudget, RouteRequest, choose};
-use kingcupfield_decisions::slots::Digest;
+use kingcupfield_decisions::slots::ReplicaDigest;
 use kingcupfield_decisions::work::Work;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
@@ -27,7 +27,7 @@
         upstream: upstream.into(),
         owner: "entry-1".into(),
         zone: zone.into(),
-        digest: Some(Digest {
+        digest: Some(ReplicaDigest {
             running: 8 * waiting,
             limit: 8,
             waiting,
--- a/crates/decisions/tests/schedules.rs
+++ b/crates/decisions/tests/schedules.rs
@@ -3,10 +3,13 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::concurrency::Limit;
-use kingcupfield_decisions::holder::{Ask, DispatchError, Holder, HolderAction, Reply};
+use kingcupfield_decisions::holder::{
+    DispatchError, Holder, HolderAction, HolderOutput, OwnerEnvelope,
+};
 use kingcupfield_decisions::id::{InstanceId, Rank, RequestId, Sequence, UpstreamId};
 use kingcupfield_decisions::slots::{
-    GRANT_LEASE, Outcome, Rejection, Reservation, Send, SlotQueue, ToHolder, ToOwner,
+    GRANT_LEASE, HolderEnvelope, Rejection, RequestOutcome, Reservation, SlotQueue, ToHolder,
+    ToOwner,
 };
 use kingcupfield_decisions::work::Work;
 use proptest::prelude::*;
@@ -144,8 +147,8 @@
         }
     }
 
-    fn post(&mut self, holder: usize, asks: Vec<Ask>) {
-        for Ask { message, .. } in asks {
+    fn post(&mut self, holder: usize, asks: Vec<OwnerEnvelope>) {
+        for OwnerEnvelope { message, .. } in asks {
             if let ToOwner::Renew { asked, .. } = message {
                 self.note_sent(holder, asked);
             }
@@ -167,17 +170,17 @@
         }
     }
 
-    fn take(&mut self, holder: usize, reply: Reply) {
+    fn take(&mut self, holder: usize, reply: HolderOutput) {
         for action in reply.actions {
             if let HolderAction::Dispatch { request, .. } = action {
                 self.claims.push(Claim { holder, request });
             }
         }
-        self.post(holder, reply.sends);
+        self.post(holder, reply.messages);
     }
 
     /// Checks and posts what an owner sends.
-    fn send(&mut self, owner: usize, sends: Vec<Send>) -> Result<(), TestCaseError> {
+    fn send(&mut self, owner: usize, sends: Vec<HolderEnvelope>) -> Result<(), TestCaseError> {
         let is_new = |world: &Self, request: &RequestId| {
             let mut current = world.current.iter();
             !current.any(|granted| granted.owner == owner && granted.request == *request)
@@ -284,10 +287,10 @@
                 self.dispatched.push(RequestId::clone(&claim.request));
                 let holder = claim.holder;
                 self.running.push(claim);
-                self.post(holder, dispatch.sends);
+                self.post(holder, dispatch.messages);
             }
-            Err(DispatchError::Lapsed { sends }) => {
-                self.post(claim.holder, sends);
+            Err(DispatchError::Lapsed { messages }) => {
+                self.post(claim.holder, messages);
             }
             Err(DispatchError::NotGranted) => {}
         }
@@ -315,9 +318,9 @@
 
     fn finish(&mut self, at: usize) {
         let Claim { holder, request } = self.running.swap_remove(at);
-        let outcome = Outcome {
+        let outcome = RequestOutcome {
             whole: true,
-            ..Outcome::default()
+            ..RequestOutcome::default()
         };
         let reply = self.holders[holder].on_finished(self.now, &request, outcome);
         self.take(holder, reply);
@@ -379,7 +382,7 @@
             }
             Step::Level { owner, lowest } => {
                 self.owners[owner].lowest = lowest;
-                let sends = self.owners[owner].queue.set_level(self.now, lowest);
+                let sends = self.owners[owner].queue.set_lowest_rank(self.now, lowest);
                 self.send(owner, sends)?;
             }
             Step::Leave { owner } => {
--- a/crates/decisions/tests/slots.rs
+++ b/crates/decisions/tests/slots.rs
@@ -3,11 +3,13 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::concurrency::Limit;
-use kingcupfield_decisions::holder::{Ask, DispatchError, Holder, HolderAction, Reply};
+use kingcupfield_decisions::holder::{
+    DispatchError, Holder, HolderAction, HolderOutput, OwnerEnvelope,
+};
 use kingcupfield_decisions::id::{InstanceId, Rank, RequestId, UpstreamId};
 use kingcupfield_decisions::slots::{
-    GRANT_LEASE, HOLDER_LOST, LoadReport, Outcome, RENEW_EVERY, Rejection, Reservation, Send,
-    SlotQueue, ToHolder, ToOwner,
+    GRANT_LEASE, HOLDER_TIMEOUT, HolderEnvelope, LoadReport, RENEW_INTERVAL, Rejection,
+    RequestOutcome, Reservation, SlotQueue, ToHolder, ToOwner,
 };
 use kingcupfield_decisions::work::Work;
 use tokio::time::Instant;
@@ -43,7 +45,7 @@
     queue: &mut SlotQueue,
     holder: &mut Holder,
     name: &str,
-    asks: Vec<Ask>,
+    asks: Vec<OwnerEnvelope>,
 ) -> Vec<HolderAction> {
     let from: InstanceId = name.into();
     let mut actions = Vec::new();
@@ -54,7 +56,7 @@
             for send in queue.on_message(now, &from, ask.message) {
                 let reply = holder.on_message(now, &send.upstream, send.message);
                 actions.extend(reply.actions);
-                next.extend(reply.sends);
+                next.extend(reply.messages);
             }
         }
         asks = next;
@@ -62,12 +64,12 @@
     actions
 }
 
-fn reserve(now: Instant, holder: &mut Holder, request: &str, rank: Rank) -> Reply {
+fn reserve(now: Instant, holder: &mut Holder, request: &str, rank: Rank) -> HolderOutput {
     let upstreams: [UpstreamId; 1] = ["drafting-1".into()];
     holder.reserve(now, reservation(request, rank), &upstreams)
 }
 
-fn granted(sends: &[Send]) -> Vec<&str> {
+fn granted(sends: &[HolderEnvelope]) -> Vec<&str> {
     let grants = sends.iter().filter_map(|send| match &send.message {
         ToHolder::Grant { request, .. } => Some(&**request),
         ToHolder::Rejected { .. } => None,
@@ -75,7 +77,7 @@
     grants.collect()
 }
 
-fn rejected(sends: &[Send]) -> Vec<(&str, Rejection)> {
+fn rejected(sends: &[HolderEnvelope]) -> Vec<(&str, Rejection)> {
     let rejected = sends.iter().filter_map(|send| match &send.message {
         ToHolder::Grant { .. } => None,
         ToHolder::Rejected { request, why, .. } => Some((&**request, *why)),
@@ -83,7 +85,13 @@
     rejected.collect()
 }
 
-fn send(queue: &mut SlotQueue, now: Instant, from: &str, request: &str, rank: Rank) -> Vec<Send> {
+fn send(
+    queue: &mut SlotQueue,
+    now: Instant,
+    from: &str,
+    request: &str,
+    rank: Rank,
+) -> Vec<HolderEnvelope> {
     let message = ToOwner::Reserve(reservation(request, rank));
     queue.on_message(now, &from.into(), message)
 }
@@ -93,7 +101,7 @@
     let now = Instant::now();
     let (mut queue, mut holder) = (queue(now, 1), holder("entry-1"));
     let reply = reserve(now, &mut holder, "r1", 0);
-    let actions = settle(now, &mut queue, &mut holder, "entry-1", reply.sends);
+    let actions = settle(now, &mut queue, &mut holder, "entry-1", reply.messages);
     let request: RequestId = "r1".into();
     let upstream: UpstreamId = "drafting-1".into();
     let dispatch = HolderAction::Dispatch {
@@ -114,13 +122,13 @@
     let now = Instant::now();
     let (mut queue, mut holder) = (queue(now, 1), holder("entry-1"));
     let reply = reserve(now, &mut holder, "r1", 0);
-    settle(now, &mut queue, &mut holder, "entry-1", reply.sends);
+    settle(now, &mut queue, &mut holder, "entry-1", reply.messages);
     let woken = now + GRANT_LEASE;
-    let Err(DispatchError::Lapsed { sends }) = holder.dispatch(woken, &"r1".into()) else {
+    let Err(DispatchError::Lapsed { messages }) = holder.dispatch(woken, &"r1".into()) else {
         panic!("a lapsed grant was used");
     };
-    assert_eq!(sends.len(), 1);
-    let actions = settle(woken, &mut queue, &mut holder, "entry-1", sends);
+    assert_eq!(messages.len(), 1);
+    let actions = settle(woken, &mut queue, &mut holder, "entry-1", messages);
     assert_eq!(actions.len(), 1);
     assert!(holder.dispatch(woken, &"r1".into()).is_ok());
 }
@@ -143,7 +151,7 @@
     let mut now = start;
     let mut seen = Vec::new();
     for asked in 1.. {
-        now += RENEW_EVERY;
+        now += RENEW_INTERVAL;
         let renew = ToOwner::Renew {
             asked,
             running: Vec::new(),
@@ -151,7 +159,7 @@
         let mut sends = queue.on_message(now, &"entry-2".into(), renew);
         sends.extend(queue.on_tick(now));
         seen.extend(granted(&sends).into_iter().map(String::from));
-        if now > start + HOLDER_LOST + RENEW_EVERY {
+        if now > start + HOLDER_TIMEOUT + RENEW_INTERVAL {
             break;
         }
     }
@@ -172,7 +180,7 @@
     assert_eq!(rejected(&full), [("lower", Rejection::Full)]);
     let finished = ToOwner::Finished {
         request: "runs".into(),
-        outcome: Outcome::default(),
+        outcome: RequestOutcome::default(),
     };
     let next = queue.on_message(now, &"entry-1".into(), finished);
     assert_eq!(granted(&next), ["high"]);
@@ -185,7 +193,7 @@
     send(&mut queue, now, "entry-1", "runs", 0);
     send(&mut queue, now, "entry-1", "low", 2);
     send(&mut queue, now, "entry-1", "high", 0);
-    let shed = queue.set_level(now, 1);
+    let shed = queue.set_lowest_rank(now, 1);
     assert_eq!(rejected(&shed), [("low", Rejection::Shed)]);
     let shed = send(&mut queue, now, "entry-1", "low-2", 2);
     assert_eq!(rejected(&shed), [("low-2", Rejection::Shed)]);
@@ -197,7 +205,7 @@
         kv_total: 100,
         leaving: true,
     };
-    let left = queue.on_report(now, report);
+    let left = queue.on_load_report(now, report);
     assert_eq!(rejected(&left), [("high", Rejection::Leaving)]);
     let left = send(&mut queue, now, "entry-1", "late", 0);
     assert_eq!(rejected(&left), [("late", Rejection::Leaving)]);
@@ -208,7 +216,7 @@
 #[test]
 fn new_owner_grants_little_until_all_holders_told() {
     let now = Instant::now();
-    let mut queue = queue(now, 8).with_neighbours(4);
+    let mut queue = queue(now, 8).with_zone_size(4);
     let grants: usize = (0..8)
         .map(|i| send(&mut queue, now, "entry-1", &format!("r{i}"), 0))
         .map(|sends| granted(&sends).len())
--- a/crates/spec/src/slots.rs
+++ b/crates/spec/src/slots.rs
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::concurrency::Limit;
-use kingcupfield_decisions::holder::{Ask, Holder, HolderAction, Reply};
+use kingcupfield_decisions::holder::{Holder, HolderAction, HolderOutput, OwnerEnvelope};
 use kingcupfield_decisions::id::{InstanceId, RequestId, UpstreamId};
 use kingcupfield_decisions::slots::{
-    GRANT_LEASE, Outcome, Reservation, Send, SlotQueue, ToHolder, ToOwner,
+    GRANT_LEASE, HolderEnvelope, RequestOutcome, Reservation, SlotQueue, ToHolder, ToOwner,
 };
 use kingcupfield_decisions::work::Work;
 use tokio::time::Instant;
@@ -157,7 +157,7 @@
         }
     }
 
-    fn post_asks(&mut self, asks: Vec<Ask>) {
+    fn post_asks(&mut self, asks: Vec<OwnerEnvelope>) {
         for ask in asks {
             if matches!(ask.message, ToOwner::Reserve(_) | ToOwner::Renew { .. }) {
                 self.asked = self.now;
@@ -167,21 +167,21 @@
         }
     }
 
-    fn post_sends(&mut self, sends: Vec<Send>) {
+    fn post_sends(&mut self, sends: Vec<HolderEnvelope>) {
         for send in sends {
             let message = send.message;
             self.post(Packet::ToHolder { message });
         }
     }
 
-    fn take(&mut self, reply: Reply) {
+    fn take(&mut self, reply: HolderOutput) {
         for action in reply.actions {
             match action {
                 HolderAction::Dispatch { .. } => self.ordered = Some(self.now),
                 HolderAction::Refuse { .. } => self.told_not_run = true,
             }
         }
-        self.post_asks(reply.sends);
+        self.post_asks(reply.messages);
     }
 
     fn reserve(&mut self) {
@@ -229,7 +229,7 @@
         };
         if let Ok(dispatch) = self.holder.dispatch(now, &request()) {
             self.first_byte();
-            self.post_asks(dispatch.sends);
+            self.post_asks(dispatch.messages);
         }
     }
 
@@ -247,7 +247,7 @@
 
     fn finish(&mut self) {
         self.running = false;
-        let reply = (self.holder).on_finished(self.now, &request(), Outcome::default());
+        let reply = (self.holder).on_finished(self.now, &request(), RequestOutcome::default());
         self.take(reply);
     }
 
--- a/examples/capacity/wire.rs
+++ b/examples/capacity/wire.rs
@@ -6,7 +6,9 @@
 
 use kingcupfield::message::{DigestRow, Envelope, PeerMessage};
 use kingcupfield_decisions::pace::Pace;
-use kingcupfield_decisions::slots::{Digest, Outcome, Reservation, ToHolder, ToOwner};
+use kingcupfield_decisions::slots::{
+    ReplicaDigest, RequestOutcome, Reservation, ToHolder, ToOwner,
+};
 use kingcupfield_decisions::work::Work;
 
 const ROUNDS: u32 = 20_000;
@@ -107,7 +109,7 @@
 fn finished() -> PeerMessage {
     to_owner(ToOwner::Finished {
         request: REQUEST.into(),
-        outcome: Outcome {
+        outcome: RequestOutcome {
             whole: true,
             first_token: Some(Duration::from_micros(812_345)),
             between_tokens: Some(Duration::from_micros(23_456)),
@@ -137,7 +139,7 @@
 fn digest() -> DigestRow {
     DigestRow {
         upstream: UPSTREAM.into(),
-        digest: Digest {
+        digest: ReplicaDigest {
             running: 17,
             limit: 32,
             waiting: 4,
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -11,7 +11,7 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use kingcupfield_decisions::id::{RequestId, Tokens};
-use kingcupfield_decisions::slots::Outcome;
+use kingcupfield_decisions::slots::RequestOutcome;
 use kingcupfield_decisions::values::ServiceKind;
 use kingcupfield_decisions::work::Work;
 use serde_json::{Value, json};
@@ -169,7 +169,7 @@
         upstream: &Upstream,
         mut head: oneshot::Sender<Head>,
         grant: &Grant,
-    ) -> Outcome {
+    ) -> RequestOutcome {
         let first = tokio::select! {
             chunk = stream.next() => chunk,
             () = head.closed() => return self.cancel(run, upstream, "caller_gone").await,
@@ -207,7 +207,7 @@
         mut stream: AnswerStream,
         upstream: &Upstream,
         tx: Chunks,
-    ) -> Outcome {
+    ) -> RequestOutcome {
         loop {
             let chunk = tokio::select! {
                 chunk = stream.next() => chunk,
@@ -248,7 +248,7 @@
         first: Option<Result<Bytes, Broken>>,
         upstream: &Upstream,
         mut head: oneshot::Sender<Head>,
-    ) -> Outcome {
+    ) -> RequestOutcome {
         let mut chunk = first;
         loop {
             match chunk {
@@ -279,7 +279,7 @@
     }
 
     /// Cancels the stream upstream and counts its prefill as wasted.
-    async fn cancel(&self, run: Run, upstream: &Upstream, reason: &str) -> Outcome {
+    async fn cancel(&self, run: Run, upstream: &Upstream, reason: &str) -> RequestOutcome {
         let id = run.request.meta().request.clone();
         if let Err(e) = upstream.cancel(&id).await {
             log::debug!(
@@ -336,12 +336,12 @@
         }
     }
 
-    fn outcome(&self, whole: bool, decoded: u64) -> Outcome {
+    fn outcome(&self, whole: bool, decoded: u64) -> RequestOutcome {
         let after_first = self
             .first_token
             .map(|t| self.started.elapsed().saturating_sub(t));
         let gaps = u32::try_from(decoded.saturating_sub(1)).unwrap_or(u32::MAX);
-        Outcome {
+        RequestOutcome {
             whole,
             first_token: self.first_token,
             between_tokens: after_first.filter(|_| gaps > 0).map(|t| t / gaps),
@@ -349,13 +349,13 @@
         }
     }
 
-    fn answered(self, stream: &AnswerStream) -> Outcome {
+    fn answered(self, stream: &AnswerStream) -> RequestOutcome {
         let outcome = self.outcome(true, stream.passed());
         self.request.answered();
         outcome
     }
 
-    fn broke(self, stream: &AnswerStream, broken: Broken) -> Outcome {
+    fn broke(self, stream: &AnswerStream, broken: Broken) -> RequestOutcome {
         let outcome = self.outcome(false, stream.passed());
         self.request.broke(broken.reason);
         outcome
@@ -363,7 +363,7 @@
 
     /// A caller that went away, or whose deadline passed while tokens still came, says nothing of
     /// the replica. A deadline that passed before the first token does.
-    fn cancelled(self, late: bool) -> Outcome {
+    fn cancelled(self, late: bool) -> RequestOutcome {
         let silent = self.first_token.is_none();
         let outcome = self.outcome(!(late && silent), 0);
         if late {
--- a/src/keyed_run.rs
+++ b/src/keyed_run.rs
@@ -208,7 +208,7 @@
         };
         let whole = matches!(outcome, Some(KeyOutcome::Ran { .. }));
         let first_token = whole.then_some(took);
-        grant.finish(slots::Outcome {
+        grant.finish(slots::RequestOutcome {
             whole,
             first_token,
             between_tokens: None,
--- a/src/message.rs
+++ b/src/message.rs
@@ -7,7 +7,7 @@
 use kingcupfield_decisions::limits::{ToLimitMember, ToLimitOwner};
 use kingcupfield_decisions::membership::MembershipMessage;
 use kingcupfield_decisions::shedding::{ToLevelMember, ToLevelOwner};
-use kingcupfield_decisions::slots::{Digest, ToHolder, ToOwner};
+use kingcupfield_decisions::slots::{ReplicaDigest, ToHolder, ToOwner};
 use serde::{Deserialize, Serialize};
 
 /// Version of this protocol; another one is refused.
@@ -141,5 +141,5 @@
     /// The replica.
     pub upstream: UpstreamId,
     /// Its state.
-    pub digest: Digest,
+    pub digest: ReplicaDigest,
 }
--- a/src/plain.rs
+++ b/src/plain.rs
@@ -11,7 +11,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use kingcupfield_decisions::id::{RequestId, ServiceId, Tokens};
-use kingcupfield_decisions::slots::Outcome;
+use kingcupfield_decisions::slots::RequestOutcome;
 use kingcupfield_decisions::values::ServiceKind;
 use percent_encoding::percent_decode_str;
 use tokio::sync::{mpsc, oneshot};
@@ -169,7 +169,7 @@
                 dispatched.first_token();
                 let first_token = started.elapsed();
                 let whole = self.pass_on(dispatched, rsp, head).await;
-                grant.finish(Outcome {
+                grant.finish(RequestOutcome {
                     whole,
                     first_token: Some(first_token),
                     between_tokens: None,
@@ -178,7 +178,7 @@
                 Sent::Done
             }
             Err(e) => {
-                grant.finish(Outcome {
+                grant.finish(RequestOutcome {
                     whole: false,
                     first_token: None,
                     between_tokens: None,
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -14,14 +14,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kingcupfield_decisions::holder::{Ask, DispatchError, Holder, HolderAction, Reply};
+use kingcupfield_decisions::holder::{
+    DispatchError, Holder, HolderAction, HolderOutput, OwnerEnvelope,
+};
 use kingcupfield_decisions::id::{
     Incarnation, InstanceId, PrefixHash, RegionId, RequestId, ServiceId, Tokens, UpstreamId, ZoneId,
 };
 use kingcupfield_decisions::length::Lengths;
 use kingcupfield_decisions::routing::{LINK_BYTES_PER_S, LinkBudget};
 use kingcupfield_decisions::shedding::{ToLevelMember, ToLevelOwner};
-use kingcupfield_decisions::slots::{Outcome, Rejection, ToHolder, ToOwner};
+use kingcupfield_decisions::slots::{Rejection, RequestOutcome, ToHolder, ToOwner};
 use kingcupfield_decisions::work::Work;
 use rand_chacha::ChaCha8Rng;
 use serde_json::{Value, json};
@@ -210,7 +212,7 @@
     /// Makes the scheduler of an instance that knows nobody yet.
     pub fn new(me: Identity, rng: ChaCha8Rng, records: Records, now: Instant) -> Self {
         let holder = Holder::new(me.instance.clone(), me.incarnation)
-            .with_widen_after(kingcupfield_decisions::routing::WIDEN_AFTER);
+            .with_widen_delay(kingcupfield_decisions::routing::WIDEN_AFTER);
         Self {
             snapshot: Arc::default(),
             view: Arc::default(),
@@ -295,7 +297,7 @@
     }
 
     /// A dispatched request ended.
-    pub fn on_finished(&mut self, now: Instant, request: &RequestId, outcome: Outcome) {
+    pub fn on_finished(&mut self, now: Instant, request: &RequestId, outcome: RequestOutcome) {
         if let Ok(at) = self.running_at(request) {
             let running = self.running.remove(at);
             if outcome.whole && running.predicts && outcome.between_tokens.is_some() {
@@ -353,8 +355,8 @@
     }
 
     /// Carries out what the holder wants.
-    fn apply(&mut self, now: Instant, reply: Reply) {
-        self.send_asks(reply.sends);
+    fn apply(&mut self, now: Instant, reply: HolderOutput) {
+        self.send_asks(reply.messages);
         for action in reply.actions {
             match action {
                 HolderAction::Dispatch { request, upstream } => {
@@ -379,8 +381,8 @@
             .address_to_dispatch(upstream, &regions, &self.view);
         match self.holder.dispatch(now, request) {
             Err(DispatchError::NotGranted) => return,
-            Err(DispatchError::Lapsed { sends }) => return self.send_asks(sends),
-            Ok(claimed) => self.send_asks(claimed.sends),
+            Err(DispatchError::Lapsed { messages }) => return self.send_asks(messages),
+            Ok(claimed) => self.send_asks(claimed.messages),
         }
         let (Ok(at), Some(address)) = (self.waiter_at(request), address) else {
             // The replica left since its owner granted: the request waits again, without it.
@@ -406,9 +408,9 @@
             let reply = self.holder.on_finished(
                 now,
                 request,
-                Outcome {
+                RequestOutcome {
                     whole: true,
-                    ..Outcome::default()
+                    ..RequestOutcome::default()
                 },
             );
             return self.apply(now, reply);
@@ -424,8 +426,8 @@
         }
     }
 
-    fn send_asks(&mut self, asks: Vec<Ask>) {
-        for Ask { upstream, message } in asks {
+    fn send_asks(&mut self, asks: Vec<OwnerEnvelope>) {
+        for OwnerEnvelope { upstream, message } in asks {
             match self.replicas.owner(&upstream) {
                 Some(owner) if *owner != self.me.instance => {
                     let to = owner.clone();
--- a/src/scheduler/owned.rs
+++ b/src/scheduler/owned.rs
@@ -2,7 +2,7 @@
 
 use kingcupfield_decisions::id::{InstanceId, UpstreamId};
 use kingcupfield_decisions::prefixes::CacheEvent;
-use kingcupfield_decisions::slots::{LoadReport, Send, SlotQueue, ToOwner};
+use kingcupfield_decisions::slots::{HolderEnvelope, LoadReport, SlotQueue, ToOwner};
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
@@ -37,7 +37,7 @@
     pub fn on_report(&mut self, now: Instant, upstream: &UpstreamId, report: LoadReport) {
         if let Ok(at) = self.owned_at(upstream) {
             self.owned[at].leaving |= report.leaving;
-            let sends = self.owned[at].queue.on_report(now, report);
+            let sends = self.owned[at].queue.on_load_report(now, report);
             self.send_to_holders(sends);
             self.settle(now);
         }
@@ -83,7 +83,7 @@
                     .replicas
                     .usual_pace(&replica.service, replica.generation.as_deref());
                 self.owned[at].queue.set_usual_pace(usual);
-                let sends = self.owned[at].queue.set_level(now, lowest);
+                let sends = self.owned[at].queue.set_lowest_rank(now, lowest);
                 self.send_to_holders(sends);
             }
             let sends = self.owned[at].queue.on_tick(now);
@@ -141,7 +141,7 @@
     pub(super) fn free_holders(&mut self, now: Instant, gone: &[InstanceId]) {
         for at in 0..self.owned.len() {
             for holder in gone {
-                let sends = self.owned[at].queue.on_holder_gone(now, holder);
+                let sends = self.owned[at].queue.on_holder_dead(now, holder);
                 self.send_to_holders(sends);
             }
         }
@@ -151,7 +151,7 @@
         let replica = self.replicas.get(upstream)?;
         let neighbours = self.view.live(&replica.zone).len().max(1);
         let mut queue = SlotQueue::new(upstream.clone(), replica.generation.clone(), now)
-            .with_neighbours(neighbours);
+            .with_zone_size(neighbours);
         let usual = self
             .replicas
             .usual_pace(&replica.service, replica.generation.as_deref());
@@ -167,8 +167,8 @@
         })
     }
 
-    fn send_to_holders(&mut self, sends: Vec<Send>) {
-        for Send {
+    fn send_to_holders(&mut self, sends: Vec<HolderEnvelope>) {
+        for HolderEnvelope {
             to,
             upstream,
             message,
--- a/src/scheduler/refusing.rs
+++ b/src/scheduler/refusing.rs
@@ -4,7 +4,7 @@
 
 use kingcupfield_decisions::id::{RequestId, ServiceId};
 use kingcupfield_decisions::shedding;
-use kingcupfield_decisions::slots::{Outcome, Rejection};
+use kingcupfield_decisions::slots::{Rejection, RequestOutcome};
 use tokio::time::Instant;
 
 use super::{GivenUp, Scheduler};
@@ -15,9 +15,9 @@
     pub fn on_cancel(&mut self, now: Instant, request: &RequestId) {
         let Ok(at) = self.waiter_at(request) else {
             // Granted in the same moment: nobody will send it, so its slot is given back.
-            let outcome = Outcome {
+            let outcome = RequestOutcome {
                 whole: true,
-                ..Outcome::default()
+                ..RequestOutcome::default()
             };
             return self.on_finished(now, request, outcome);
         };
--- a/src/scheduler/replicas.rs
+++ b/src/scheduler/replicas.rs
@@ -10,7 +10,7 @@
 use kingcupfield_decisions::prefixes::PrefixCache;
 use kingcupfield_decisions::regions::Regions;
 use kingcupfield_decisions::routing::{CACHED_AT_HOME, Candidate, home};
-use kingcupfield_decisions::slots::Digest;
+use kingcupfield_decisions::slots::ReplicaDigest;
 use kingcupfield_decisions::values::{Role, State};
 use serde_json::{Value, json};
 use tokio::time::Instant;
@@ -37,7 +37,7 @@
     pub(super) address: String,
     pub(super) live: bool,
     pub(super) owner: InstanceId,
-    pub(super) digest: Option<Digest>,
+    pub(super) digest: Option<ReplicaDigest>,
     pub(super) heard: Option<Instant>,
     prefixes: PrefixCache,
 }
--- a/src/slots.rs
+++ b/src/slots.rs
@@ -5,7 +5,7 @@
 
 use kingcupfield_decisions::id::{InstanceId, RequestId, UpstreamId};
 use kingcupfield_decisions::prefixes::CacheEvent;
-use kingcupfield_decisions::slots::{LoadReport, Outcome};
+use kingcupfield_decisions::slots::{LoadReport, RequestOutcome};
 use kingcupfield_decisions::work::Work;
 use serde_json::Value;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -52,7 +52,7 @@
     },
     Finished {
         request: RequestId,
-        outcome: Outcome,
+        outcome: RequestOutcome,
     },
     Peer {
         from: InstanceId,
@@ -85,7 +85,7 @@
     pub address: String,
     request: RequestId,
     claimed: Instant,
-    outcome: Outcome,
+    outcome: RequestOutcome,
     slots: Slots,
 }
 
@@ -105,7 +105,7 @@
     }
 
     /// Tells how the request ended.
-    pub fn finish(mut self, outcome: Outcome) {
+    pub fn finish(mut self, outcome: RequestOutcome) {
         self.outcome = outcome;
     }
 }
@@ -137,8 +137,8 @@
 }
 
 /// Outcome of a request that broke before any token.
-pub fn failed() -> Outcome {
-    Outcome {
+pub fn failed() -> RequestOutcome {
+    RequestOutcome {
         whole: false,
         first_token: None,
         between_tokens: None,
@@ -187,9 +187,9 @@
             at,
         } = decided.unwrap_or_else(|_| Err(Refusal::new(Kind::Unavailable)))?;
         // Until told otherwise the request ended by no fault of the replica.
-        let outcome = Outcome {
+        let outcome = RequestOutcome {
             whole: true,
-            ..Outcome::default()
+            ..RequestOutcome::default()
         };
         Ok(Grant {
             upstream,
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -12,7 +12,7 @@
 use kingcupfield::scheduler::{Granted, Identity, Need, Scheduler};
 use kingcupfield_decisions::configuration::Name;
 use kingcupfield_decisions::id::{InstanceId, Rank, RequestId, UpstreamId};
-use kingcupfield_decisions::slots::{LoadReport, Outcome};
+use kingcupfield_decisions::slots::{LoadReport, RequestOutcome};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use serde_json::{Value, json};
@@ -128,9 +128,9 @@
     }
 
     fn finish(&mut self, at: usize, request: &RequestId) {
-        let outcome = Outcome {
+        let outcome = RequestOutcome {
             whole: true,
-            ..Outcome::default()
+            ..RequestOutcome::default()
         };
         self.nodes[at]
             .scheduler
