--- a/crates/decisions/src/idempotency/issuer.rs
+++ b/crates/decisions/src/idempotency/issuer.rs
@@ -1,4 +1,4 @@
-//! The issuer's memory: the only place from which a key may be dispatched.
+//! State of an issuer: its keys can be dispatched only through this state machine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,189 +7,205 @@
 
 use crate::id::{Incarnation, InstanceId, OrganisationId, RequestId, Sequence, UpstreamId};
 
-use super::answer::MAX_ANSWER;
-use super::handover::Adopted;
+use super::handover::AdoptedRecord;
+use super::outcome::MAX_RESPONSE_BYTES;
 use super::{
     DispatchRights, IssuerReply, KEY_LIFETIME, Key, KeyOutcome, MAX_RECORDS,
     MAX_RECORDS_PER_ORGANISATION, NotRun, RECORD_RETENTION, StoredResponse, WitnessId,
     WitnessReply, WitnessRequest,
 };
 
-/// Most bytes of answers kept for replay; the oldest make room.
-pub const MAX_ANSWERS: usize = 4 * 1024 * 1024;
+/// Maximum total size of the response bodies kept for replay; the oldest are dropped first.
+pub const MAX_TOTAL_RESPONSE_BYTES: usize = 4 * 1024 * 1024;
 
-/// Most calls of one key that are told apart before its first byte; with more, a refusal ends
-/// the key for good.
+/// Maximum number of calls recorded for one key before its first byte is sent; with more, a refusal
+/// ends the key.
 pub const MAX_CALLS_PER_KEY: usize = 16;
 
-/// A call that arrived with a key, at the key's issuer.
+/// One call with a key, as it arrives at the issuer of the key.
 #[derive(Debug, Clone)]
 pub struct CallAttempt {
-    /// The request, as the receiving instance numbered it. A message that carries a refused call
-    /// again is told from the caller's next try by it.
+    /// Identifier that the receiving instance gave the request. It distinguishes a duplicate of a
+    /// refused message from the caller's next attempt.
     pub id: RequestId,
-    /// Hash over method, path and body, so that one key can't carry two calls.
+    /// Hash of method, path and body; a second call with the same key must have the same hash.
     pub hash: u64,
-    /// The caller's deadline.
+    /// Latest time at which the call may be dispatched.
     pub deadline: Instant,
 }
 
-/// What a call with a key meets at its issuer.
+/// What the issuer does with a call that has a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum UseDecision {
-    /// It is the first: queue it, then [`KeyIssuer::request_permission`], [`KeyIssuer::dispatch`], [`KeyIssuer::finish`]; or
-    /// [`KeyIssuer::refuse`] it.
+    /// The first call with this key: queue it, then call [`KeyIssuer::request_permission`],
+    /// [`KeyIssuer::dispatch`] and [`KeyIssuer::finish`], or [`KeyIssuer::refuse`].
     First,
-    /// The same call is under way; give this caller its answer when it ends.
+    /// The same call is already queued or running; its response is sent to this caller too.
     Join,
-    /// Answer at once.
+    /// Send this reply at once.
     Answer(IssuerReply),
 }
 
-/// What a first use needs before it may be dispatched.
+/// Result of a request for permission to dispatch a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Permission {
-    /// Send this to the witness and pass its answer to [`KeyIssuer::on_witness_reply`].
+    /// Send this message to the witness and pass its reply to [`KeyIssuer::on_witness_reply`].
     AskWitness {
-        /// The witness.
+        /// The instance that runs the witness.
         to: InstanceId,
-        /// The message.
+        /// A [`WitnessRequest::Permit`].
         message: WitnessRequest,
     },
-    /// The key names no witness.
+    /// The key has no witness and may be dispatched.
     Granted,
-    /// It will not run.
+    /// The call will not run, for this reason.
     NotRun(NotRun),
 }
 
-/// How far a key has come at its issuer.
+/// Progress of a key at its issuer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyPhase {
-    /// Its call is queued.
+    /// A call is queued; the witness has not been asked.
     Waiting,
-    /// Its calls so far were refused.
+    /// All calls so far were refused; the next call may run.
     Refused,
-    /// The witness was asked.
+    /// The witness was asked and has not replied.
     Asking,
-    /// It may be dispatched.
+    /// The call may be dispatched.
     Permitted,
-    /// It was dispatched.
+    /// The call was dispatched and has not ended.
     Running,
-    /// It ended.
+    /// The outcome of the key is final.
     Done,
 }
 
+/// State of a used key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum State {
-    /// Queued; nobody was asked yet.
+enum KeyState {
+    /// A call is queued; the witness has not been asked.
     Waiting,
-    /// Every call so far was refused before anybody was asked; the next one may try.
+    /// Every call so far was refused before the witness was asked; the next call may run.
     Refused,
-    /// The witness was asked.
+    /// The witness was asked and has not replied.
     Asking { upstream: UpstreamId },
-    /// The first byte may go out until the deadline.
+    /// The first byte may be sent until the deadline.
     Permitted { upstream: UpstreamId },
-    /// The first byte went out.
+    /// The first byte was sent.
     Running { upstream: UpstreamId },
-    /// It ended.
+    /// The outcome is final.
     Done(KeyOutcome),
 }
 
+/// A used key.
 #[derive(Debug, Clone, Hash)]
-struct Record {
+struct KeyRecord {
     key: Key,
+    /// Hash of the method, path and body of the first call.
     hash: u64,
-    /// Deadline of the call that is queued.
+    /// Deadline of the queued call.
     deadline: Instant,
-    /// Calls that were told, or will be told, the same as the queued one.
-    calls: Vec<RequestId>,
-    state: State,
+    /// Calls that get the same response as the queued one.
+    attempts: Vec<RequestId>,
+    state: KeyState,
 }
 
-/// What one life of an instance knows of the keys that it issued, and what leavers left to it.
+/// Keys that one incarnation issued, and records that other instances handed over to it.
 #[derive(Debug, Clone, Hash)]
 pub struct KeyIssuer {
-    me: InstanceId,
+    instance: InstanceId,
     incarnation: Incarnation,
-    started: Instant,
-    next: Sequence,
-    records: Vec<Record>,
-    answer_bytes: usize,
-    pub(super) adopted: Vec<Adopted>,
+    /// Start of the incarnation, or of the takeover at a successor.
+    started_at: Instant,
+    /// Sequence of the key that was issued last.
+    last_sequence: Sequence,
+    /// Used keys, sorted by sequence.
+    records: Vec<KeyRecord>,
+    /// Total size of the stored response bodies.
+    response_bytes: usize,
+    /// Records that leaving instances handed over, sorted by key.
+    pub(super) adopted: Vec<AdoptedRecord>,
+    /// Set once the keys were handed over; from then on nothing is dispatched here.
     pub(super) successor: Option<InstanceId>,
-    /// Age of the life when it was inherited; zero for a life of one's own.
-    inherited_age: Duration,
+    /// Age of the incarnation when a successor took it over; zero at the incarnation itself.
+    age_at_takeover: Duration,
 }
 
 impl KeyIssuer {
-    /// Makes the memory of a life that begins now.
-    pub fn new(me: InstanceId, incarnation: Incarnation, now: Instant) -> Self {
+    /// Creates the state of an incarnation that starts now.
+    pub fn new(instance: InstanceId, incarnation: Incarnation, now: Instant) -> Self {
         Self {
-            me,
+            instance,
             incarnation,
-            started: now,
-            next: 0,
+            started_at: now,
+            last_sequence: 0,
             records: Vec::new(),
-            answer_bytes: 0,
+            response_bytes: 0,
             adopted: Vec::new(),
             successor: None,
-            inherited_age: Duration::ZERO,
+            age_at_takeover: Duration::ZERO,
         }
     }
 
-    /// Continues a life of `age` that began elsewhere, for an heir.
+    /// Sets the age of the incarnation at the time of its takeover, for a successor.
     pub fn with_age(mut self, age: Duration) -> Self {
-        self.inherited_age = age;
+        self.age_at_takeover = age;
         self
     }
 
-    /// Gives up the right to dispatch for `successor` and tells what it may dispatch.
+    /// Gives up the right to dispatch and returns what `successor` needs to dispatch unused keys.
     ///
-    /// From now on nothing is dispatched here, whether or not the estate arrives.
+    /// From now on nothing is dispatched here, even if the returned message is lost.
     pub fn hand_over_rights(&mut self, now: Instant, successor: &InstanceId) -> DispatchRights {
         self.successor = Some(Arc::clone(successor));
         DispatchRights {
-            issuer: Arc::clone(&self.me),
+            issuer: Arc::clone(&self.instance),
             incarnation: self.incarnation,
-            age: self.life(now),
-            used: self.records.iter().map(|r| r.key.sequence).collect(),
+            age: self.incarnation_age(now),
+            used: self
+                .records
+                .iter()
+                .map(|record| record.key.sequence)
+                .collect(),
         }
     }
 
-    /// Age of this life.
-    fn life(&self, now: Instant) -> Duration {
-        now.duration_since(self.started) + self.inherited_age
+    /// Time since the incarnation started, at whichever instance.
+    fn incarnation_age(&self, now: Instant) -> Duration {
+        now.duration_since(self.started_at) + self.age_at_takeover
     }
 
-    /// Issues a key; nothing is remembered of it until its first use.
+    /// Issues a key. No record is stored before the first call with it.
     pub fn issue(
         &mut self,
         now: Instant,
         organisation: OrganisationId,
         witness: Option<WitnessId>,
     ) -> Key {
-        self.next += 1;
+        self.last_sequence += 1;
         Key {
-            issuer: Arc::clone(&self.me),
+            issuer: Arc::clone(&self.instance),
             incarnation: self.incarnation,
             witness,
             organisation,
-            sequence: self.next,
-            issued_ms: now.duration_since(self.started).as_millis() as u64,
+            sequence: self.last_sequence,
+            issued_ms: now.duration_since(self.started_at).as_millis() as u64,
         }
     }
 
-    /// The witness for the next key: the other live instances in turn, so that each carries its
-    /// part and the loss of one touches few keys. None if this instance is alone.
+    /// The witness for the next key: the other live instances in turn, which spreads the load and
+    /// limits how many keys depend on one witness. `None` if no other instance is live.
     pub fn next_witness<'a>(&self, live: &'a [InstanceId]) -> Option<&'a InstanceId> {
-        let others = live.iter().filter(|id| **id != self.me).collect::<Vec<_>>();
-        let turn = self.next as usize % others.len().max(1);
+        let others = live
+            .iter()
+            .filter(|id| **id != self.instance)
+            .collect::<Vec<_>>();
+        let turn = self.last_sequence as usize % others.len().max(1);
         others.get(turn).copied()
     }
 
-    /// Takes a call whose key was checked, here or at the instance where it came in.
+    /// Handles a call whose key was verified here or at the instance that received the call.
     pub fn on_use(&mut self, now: Instant, key: &Key, call: CallAttempt) -> UseDecision {
-        if key.issuer != self.me || key.incarnation != self.incarnation {
+        if key.issuer != self.instance || key.incarnation != self.incarnation {
             let outcome = self.adopted_outcome(now, &key.id());
             return UseDecision::Answer(outcome.map_or(IssuerReply::NotHere, IssuerReply::Outcome));
         }
@@ -199,90 +215,99 @@
         }
         self.expire(now);
         match self.find(key.sequence) {
-            Ok(i) => self.later_use(i, now, call),
-            Err(i) => self.first_use(i, now, key, call),
+            Ok(i) => self.on_repeated_use(i, now, call),
+            Err(i) => self.on_first_use(i, now, key, call),
         }
     }
 
-    fn later_use(&mut self, i: usize, now: Instant, call: CallAttempt) -> UseDecision {
+    fn on_repeated_use(&mut self, i: usize, now: Instant, call: CallAttempt) -> UseDecision {
         let record = &mut self.records[i];
         if record.hash != call.hash {
             let outcome = KeyOutcome::NotRun(NotRun::Mismatch);
             return UseDecision::Answer(IssuerReply::Outcome(outcome));
         }
         match &record.state {
-            State::Done(outcome) => UseDecision::Answer(IssuerReply::Outcome(outcome.clone())),
-            // The refusal was, or will be, told as "not run": this very call must not run.
-            State::Refused if record.calls.contains(&call.id) => {
+            KeyState::Done(outcome) => UseDecision::Answer(IssuerReply::Outcome(outcome.clone())),
+            // This call was or will be answered "not run", so it must not run when it arrives
+            // again.
+            KeyState::Refused if record.attempts.contains(&call.id) => {
                 UseDecision::Answer(IssuerReply::Refused)
             }
-            State::Refused if call.deadline <= now => {
+            KeyState::Refused if call.deadline <= now => {
                 let outcome = KeyOutcome::NotRun(NotRun::Late);
                 UseDecision::Answer(IssuerReply::Outcome(outcome))
             }
-            State::Refused => {
-                record.state = State::Waiting;
+            KeyState::Refused => {
+                record.state = KeyState::Waiting;
                 record.deadline = call.deadline;
-                record.calls.push(call.id);
+                record.attempts.push(call.id);
                 UseDecision::First
             }
             _ => {
-                if record.calls.len() < MAX_CALLS_PER_KEY && !record.calls.contains(&call.id) {
-                    record.calls.push(call.id);
+                if record.attempts.len() < MAX_CALLS_PER_KEY && !record.attempts.contains(&call.id)
+                {
+                    record.attempts.push(call.id);
                 }
                 UseDecision::Join
             }
         }
     }
 
-    fn first_use(&mut self, i: usize, now: Instant, key: &Key, call: CallAttempt) -> UseDecision {
-        let age = self.age(now, key);
+    fn on_first_use(
+        &mut self,
+        i: usize,
+        now: Instant,
+        key: &Key,
+        call: CallAttempt,
+    ) -> UseDecision {
+        let age = self.key_age(now, key);
         let not_run = if age >= RECORD_RETENTION {
-            // A record may have stood here and been forgotten.
+            // The key may have had a record that was dropped.
             let outcome = KeyOutcome::Unknown { upstream: None };
             return UseDecision::Answer(IssuerReply::Outcome(outcome));
         } else if age >= KEY_LIFETIME {
             Some(NotRun::Expired)
         } else if call.deadline <= now {
             Some(NotRun::Late)
-        } else if !self.has_room(&key.organisation) {
+        } else if !self.has_capacity(&key.organisation) {
             Some(NotRun::Full)
         } else {
             None
         };
-        if let Some(why) = not_run {
-            return UseDecision::Answer(IssuerReply::Outcome(KeyOutcome::NotRun(why)));
+        if let Some(reason) = not_run {
+            return UseDecision::Answer(IssuerReply::Outcome(KeyOutcome::NotRun(reason)));
         }
-        let record = Record {
+        let record = KeyRecord {
             key: key.clone(),
             hash: call.hash,
             deadline: call.deadline,
-            calls: vec![call.id],
-            state: State::Waiting,
+            attempts: vec![call.id],
+            state: KeyState::Waiting,
         };
         self.records.insert(i, record);
         UseDecision::First
     }
 
-    /// Ends a first use that was not dispatched and for which nobody was asked, such as a shed
-    /// one; tells what to answer to it and to all that joined it. The caller may use the key again
-    /// for a new call. None once somebody was asked; see [`Self::abandon`].
+    /// Refuses a queued call before the witness was asked, for example when it is shed.
+    ///
+    /// Returns the reply for this call and for all that wait for its response. The caller may use
+    /// the key again for a new call. `None` once the witness was asked; see [`Self::abandon`].
     pub fn refuse(&mut self, sequence: Sequence) -> Option<IssuerReply> {
         let i = self.find(sequence).ok()?;
         let record = &mut self.records[i];
-        if record.state != State::Waiting {
+        if record.state != KeyState::Waiting {
             return None;
         }
-        if record.calls.len() >= MAX_CALLS_PER_KEY {
-            // A call that was not noted could come again after its refusal and run.
-            let why = self.give_up_at(i, NotRun::Full);
-            return Some(IssuerReply::Outcome(KeyOutcome::NotRun(why)));
+        if record.attempts.len() >= MAX_CALLS_PER_KEY {
+            // A call that was not recorded could arrive again after its refusal and run.
+            let reason = self.abandon_at(i, NotRun::Full);
+            return Some(IssuerReply::Outcome(KeyOutcome::NotRun(reason)));
         }
-        record.state = State::Refused;
+        record.state = KeyState::Refused;
         Some(IssuerReply::Refused)
     }
 
-    /// Asks for the right to dispatch to this upstream; once for each key.
+    /// Requests permission to dispatch a queued call to `upstream`; asked once for each key.
     pub fn request_permission(
         &mut self,
         now: Instant,
@@ -292,17 +317,17 @@
         let Ok(i) = self.find(sequence) else {
             return Permission::NotRun(NotRun::Expired);
         };
-        if let Err(why) = self.in_time(now, i) {
-            return Permission::NotRun(self.give_up_at(i, why));
+        if let Err(reason) = self.check_time_limits(now, i) {
+            return Permission::NotRun(self.abandon_at(i, reason));
         }
         let record = &mut self.records[i];
         let upstream = Arc::clone(upstream);
         match (&record.state, &record.key.witness) {
-            (State::Waiting, None) => {
-                record.state = State::Permitted { upstream };
+            (KeyState::Waiting, None) => {
+                record.state = KeyState::Permitted { upstream };
                 Permission::Granted
             }
-            (State::Waiting, Some(witness)) => {
+            (KeyState::Waiting, Some(witness)) => {
                 let ask = Permission::AskWitness {
                     to: Arc::clone(&witness.instance),
                     message: WitnessRequest::Permit {
@@ -311,173 +336,176 @@
                         upstream: Arc::clone(&upstream),
                     },
                 };
-                record.state = State::Asking { upstream };
+                record.state = KeyState::Asking { upstream };
                 ask
             }
-            // Asked before: a second permission could never be told from the first.
-            _ => Permission::NotRun(self.give_up_at(i, NotRun::NoWitness)),
+            // Already asked: the replies to two requests could not be told apart.
+            _ => Permission::NotRun(self.abandon_at(i, NotRun::NoWitness)),
         }
     }
 
-    /// Takes the witness's answer; none if it could not be reached or has not answered in time.
+    /// Handles the reply of the witness; `None` if it is unreachable or did not reply in time.
     ///
     /// # Errors
-    /// Why the call will not run. An answer that comes after that changes nothing.
+    /// Why the call will not run. A reply that arrives after that is ignored.
     pub fn on_witness_reply(
         &mut self,
         sequence: Sequence,
-        answer: Option<&WitnessReply>,
+        reply: Option<&WitnessReply>,
     ) -> Result<(), NotRun> {
         let i = self.find(sequence).map_err(|_| NotRun::Expired)?;
         let record = &mut self.records[i];
-        let State::Asking { upstream } = &record.state else {
+        let KeyState::Asking { upstream } = &record.state else {
             return match &record.state {
-                State::Done(KeyOutcome::NotRun(why)) => Err(*why),
+                KeyState::Done(KeyOutcome::NotRun(reason)) => Err(*reason),
                 _ => Ok(()),
             };
         };
-        match answer {
+        match reply {
             Some(WitnessReply::Permitted) => {
                 let upstream = Arc::clone(upstream);
-                record.state = State::Permitted { upstream };
+                record.state = KeyState::Permitted { upstream };
                 Ok(())
             }
-            Some(WitnessReply::Closed) => Err(self.give_up_at(i, NotRun::Closed)),
-            _ => Err(self.give_up_at(i, NotRun::NoWitness)),
+            Some(WitnessReply::Closed) => Err(self.abandon_at(i, NotRun::Closed)),
+            _ => Err(self.abandon_at(i, NotRun::NoWitness)),
         }
     }
 
-    /// Takes the right to send the first byte now; call it right before. It is given once.
+    /// Claims the right to send the first byte; called right before it is sent. Succeeds once.
     ///
-    /// The process may have been paused since the permission came, so deadline and expiry are
-    /// checked here again: a booking must not happen minutes after its foreman gave up.
+    /// Deadline and expiry are checked again because the process may have been paused since it got
+    /// the permission: a booking must not be made minutes after its caller gave up.
     ///
     /// # Errors
     /// Why the call will not run.
     pub fn dispatch(&mut self, now: Instant, sequence: Sequence) -> Result<UpstreamId, NotRun> {
         let i = self.find(sequence).map_err(|_| NotRun::Expired)?;
         match self.records[i].state.clone() {
-            State::Permitted { upstream } => {
-                if let Err(why) = self.in_time(now, i) {
-                    return Err(self.give_up_at(i, why));
+            KeyState::Permitted { upstream } => {
+                if let Err(reason) = self.check_time_limits(now, i) {
+                    return Err(self.abandon_at(i, reason));
                 }
-                self.records[i].state = State::Running {
+                self.records[i].state = KeyState::Running {
                     upstream: Arc::clone(&upstream),
                 };
                 Ok(upstream)
             }
-            State::Done(KeyOutcome::NotRun(why)) => Err(why),
-            // Never: the first byte went out before, or nobody allowed it.
+            KeyState::Done(KeyOutcome::NotRun(reason)) => Err(reason),
+            // The first byte was sent before, or the call has no permission.
             _ => Err(NotRun::NoWitness),
         }
     }
 
-    /// Notes how a dispatched call ended, or that it broke and nobody knows.
+    /// Records how a dispatched call ended; `None` if the connection broke and the result is
+    /// unknown.
     pub fn finish(
         &mut self,
         sequence: Sequence,
-        answer: Option<StoredResponse>,
+        response: Option<StoredResponse>,
     ) -> Option<KeyOutcome> {
         let i = self.find(sequence).ok()?;
-        let State::Running { upstream } = &self.records[i].state else {
+        let KeyState::Running { upstream } = &self.records[i].state else {
             return None;
         };
         let upstream = Arc::clone(upstream);
-        let outcome = match answer {
+        let outcome = match response {
             None => KeyOutcome::Unknown {
                 upstream: Some(upstream),
             },
-            Some(answer) => KeyOutcome::Ran {
+            Some(response) => KeyOutcome::Ran {
                 upstream,
-                answer: Some(answer),
+                answer: Some(response),
             },
         };
-        self.records[i].state = State::Done(outcome.clone());
-        self.keep_answer(i);
+        self.records[i].state = KeyState::Done(outcome.clone());
+        self.limit_stored_responses(i);
         Some(outcome)
     }
 
-    /// Notes that not one byte of a dispatched call went out, as no connection could be made. The
-    /// key is given up: the witness has named this upstream and permits no other.
+    /// Records that no byte of a dispatched call was sent, as the connection could not be opened.
+    ///
+    /// The key ends here: the witness has permitted it for this upstream and permits no other.
     pub fn on_not_sent(&mut self, sequence: Sequence) -> Option<KeyOutcome> {
         let i = self.find(sequence).ok()?;
-        let running = matches!(self.records[i].state, State::Running { .. });
-        running.then(|| KeyOutcome::NotRun(self.give_up_at(i, NotRun::NotSent)))
+        let running = matches!(self.records[i].state, KeyState::Running { .. });
+        running.then(|| KeyOutcome::NotRun(self.abandon_at(i, NotRun::NotSent)))
     }
 
-    /// Gives a key up that was not dispatched; it will never run. Does nothing to one that was.
-    pub fn abandon(&mut self, sequence: Sequence, why: NotRun) -> Option<KeyOutcome> {
+    /// Ends a key that was not dispatched, which then never runs. Returns the outcome of a key that
+    /// ended already, and `None` for one that is running.
+    pub fn abandon(&mut self, sequence: Sequence, reason: NotRun) -> Option<KeyOutcome> {
         let i = self.find(sequence).ok()?;
         match &self.records[i].state {
-            State::Running { .. } => None,
-            State::Done(outcome) => Some(outcome.clone()),
-            _ => Some(KeyOutcome::NotRun(self.give_up_at(i, why))),
+            KeyState::Running { .. } => None,
+            KeyState::Done(outcome) => Some(outcome.clone()),
+            _ => Some(KeyOutcome::NotRun(self.abandon_at(i, reason))),
         }
     }
 
-    /// Forgets what may be forgotten.
+    /// Drops records that are older than [`RECORD_RETENTION`], except those of running calls.
     pub fn expire(&mut self, now: Instant) {
-        let life = self.life(now);
+        let incarnation_age = self.incarnation_age(now);
         let mut freed = 0;
         self.records.retain(|r| {
-            let age = life.saturating_sub(r.key.issued());
-            let running = matches!(r.state, State::Running { .. });
+            let age = incarnation_age.saturating_sub(r.key.issued());
+            let running = matches!(r.state, KeyState::Running { .. });
             let keep = age < RECORD_RETENTION || running;
-            freed += if keep { 0 } else { r.state.answer_len() };
+            freed += if keep { 0 } else { r.state.response_len() };
             keep
         });
-        self.answer_bytes -= freed;
+        self.response_bytes -= freed;
         self.adopted
-            .retain(|a| now.duration_since(a.since) < RECORD_RETENTION);
+            .retain(|a| now.duration_since(a.adopted_at) < RECORD_RETENTION);
     }
 
-    /// The life of the instance that this memory belongs to.
+    /// The incarnation that issued the keys.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// How far a key has come here; none if it was not used or its record is gone.
+    /// Progress of a key; `None` if it was not used or its record was dropped.
     pub fn phase(&self, sequence: Sequence) -> Option<KeyPhase> {
         let i = self.find(sequence).ok()?;
         Some(match self.records[i].state {
-            State::Waiting => KeyPhase::Waiting,
-            State::Refused => KeyPhase::Refused,
-            State::Asking { .. } => KeyPhase::Asking,
-            State::Permitted { .. } => KeyPhase::Permitted,
-            State::Running { .. } => KeyPhase::Running,
-            State::Done(_) => KeyPhase::Done,
+            KeyState::Waiting => KeyPhase::Waiting,
+            KeyState::Refused => KeyPhase::Refused,
+            KeyState::Asking { .. } => KeyPhase::Asking,
+            KeyState::Permitted { .. } => KeyPhase::Permitted,
+            KeyState::Running { .. } => KeyPhase::Running,
+            KeyState::Done(_) => KeyPhase::Done,
         })
     }
 
-    /// Number of keys remembered, for the dump.
+    /// Number of records, for the state dump.
     pub fn len(&self) -> usize {
         self.records.len() + self.adopted.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Empties the memory for a hand-over: what has not ended is given up here first.
-    pub(super) fn take_ended(&mut self) -> Vec<Ended> {
+    /// Removes all records for a handover and ends the keys that have not ended.
+    pub(super) fn remove_all(&mut self) -> Vec<EndedKey> {
         for i in 0..self.records.len() {
             match &self.records[i].state {
-                State::Done(_) => {}
-                State::Running { upstream } => {
+                KeyState::Done(_) => {}
+                KeyState::Running { upstream } => {
                     let upstream = Some(Arc::clone(upstream));
-                    self.records[i].state = State::Done(KeyOutcome::Unknown { upstream });
+                    self.records[i].state = KeyState::Done(KeyOutcome::Unknown { upstream });
                 }
                 _ => {
-                    self.give_up_at(i, NotRun::Leaving);
+                    self.abandon_at(i, NotRun::Leaving);
                 }
             }
         }
-        self.answer_bytes = 0;
+        self.response_bytes = 0;
         std::mem::take(&mut self.records)
             .into_iter()
             .filter_map(|r| match r.state {
-                State::Done(outcome) => Some(Ended {
+                KeyState::Done(outcome) => Some(EndedKey {
                     key: r.key,
                     outcome,
                 }),
@@ -488,60 +516,61 @@
 
     fn find(&self, sequence: Sequence) -> Result<usize, usize> {
         self.records
-            .binary_search_by_key(&sequence, |r| r.key.sequence)
+            .binary_search_by_key(&sequence, |record| record.key.sequence)
     }
 
-    fn age(&self, now: Instant, key: &Key) -> Duration {
-        self.life(now).saturating_sub(key.issued())
+    fn key_age(&self, now: Instant, key: &Key) -> Duration {
+        self.incarnation_age(now).saturating_sub(key.issued())
     }
 
-    fn has_room(&self, organisation: &str) -> bool {
+    fn has_capacity(&self, organisation: &str) -> bool {
         let records = self.records.iter();
         let own = records.filter(|r| *r.key.organisation == *organisation);
         self.records.len() < MAX_RECORDS && own.count() < MAX_RECORDS_PER_ORGANISATION
     }
 
-    fn in_time(&self, now: Instant, i: usize) -> Result<(), NotRun> {
+    fn check_time_limits(&self, now: Instant, i: usize) -> Result<(), NotRun> {
         let record = &self.records[i];
         if now >= record.deadline {
             Err(NotRun::Late)
-        } else if self.age(now, &record.key) >= KEY_LIFETIME {
+        } else if self.key_age(now, &record.key) >= KEY_LIFETIME {
             Err(NotRun::Expired)
         } else {
             Ok(())
         }
     }
 
-    fn give_up_at(&mut self, i: usize, why: NotRun) -> NotRun {
-        self.records[i].state = State::Done(KeyOutcome::NotRun(why));
-        why
+    fn abandon_at(&mut self, i: usize, reason: NotRun) -> NotRun {
+        self.records[i].state = KeyState::Done(KeyOutcome::NotRun(reason));
+        reason
     }
 
-    /// Counts a new answer and drops bodies, the oldest first, until all fit.
-    fn keep_answer(&mut self, i: usize) {
-        if self.records[i].state.answer_len() > MAX_ANSWER {
-            self.records[i].state.drop_answer();
+    /// Enforces the limits on the size of one stored response body and of all together, dropping
+    /// the oldest bodies first.
+    fn limit_stored_responses(&mut self, i: usize) {
+        if self.records[i].state.response_len() > MAX_RESPONSE_BYTES {
+            self.records[i].state.drop_response();
         }
-        self.answer_bytes += self.records[i].state.answer_len();
+        self.response_bytes += self.records[i].state.response_len();
         for record in &mut self.records {
-            if self.answer_bytes <= MAX_ANSWERS {
+            if self.response_bytes <= MAX_TOTAL_RESPONSE_BYTES {
                 break;
             }
-            self.answer_bytes -= record.state.answer_len();
-            record.state.drop_answer();
+            self.response_bytes -= record.state.response_len();
+            record.state.drop_response();
         }
     }
 }
 
-/// A key that has ended, taken out for a hand-over.
+/// A key and its final outcome, removed from the issuer for a handover.
 #[derive(Debug)]
-pub(super) struct Ended {
+pub(super) struct EndedKey {
     pub(super) key: Key,
     pub(super) outcome: KeyOutcome,
 }
 
-impl State {
-    fn answer_len(&self) -> usize {
+impl KeyState {
+    fn response_len(&self) -> usize {
         match self {
             Self::Done(KeyOutcome::Ran {
                 answer: Some(answer),
@@ -551,7 +580,7 @@
         }
     }
 
-    fn drop_answer(&mut self) {
+    fn drop_response(&mut self) {
         if let Self::Done(KeyOutcome::Ran { answer, .. }) = self {
             *answer = None;
         }
--- a/crates/decisions/src/idempotency/answer.rs
+++ b/crates/decisions/src/idempotency/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of a call with an idempotency key.
+//! Outcome of a call with an idempotency key.
 
 use std::fmt;
 
@@ -8,10 +8,10 @@
 
 use crate::id::UpstreamId;
 
-/// Largest body that is kept for replay; of a larger answer only the fact remains.
-pub const MAX_ANSWER: usize = 64 * 1024;
+/// Maximum size of a response body kept for replay; of a larger response only the outcome is kept.
+pub const MAX_RESPONSE_BYTES: usize = 64 * 1024;
 
-/// The upstream's answer, as it is replayed to repeated calls.
+/// The upstream's response, replayed to repeated calls with the same key.
 #[derive(Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct StoredResponse {
@@ -24,7 +24,7 @@
     pub body: Vec<u8>,
 }
 
-// A dump must not show what callers were told.
+// Omits the body: a state dump must not show response data.
 impl fmt::Debug for StoredResponse {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Answer")
@@ -46,50 +46,50 @@
     D: Deserializer<'de>,
 {
     let text = String::deserialize(deserializer)?;
-    if text.len() > MAX_ANSWER * 2 {
+    if text.len() > MAX_RESPONSE_BYTES * 2 {
         return Err(de::Error::custom("the answer is too large"));
     }
     STANDARD.decode(text).map_err(de::Error::custom)
 }
 
-/// Why a call did not run.
+/// Why a call did not run. Log lines and messages show these names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum NotRun {
-    /// The caller's deadline had passed before the first byte could go out.
+    /// The caller's deadline passed before the first byte could be sent.
     Late,
-    /// The key was not used within its time.
+    /// The key was first used after [`KEY_LIFETIME`](super::KEY_LIFETIME).
     Expired,
-    /// The key was closed, as its issuer could not be reached.
+    /// The witness closed the key because its issuer was unreachable.
     Closed,
-    /// The witness could not be reached, had restarted or had no room.
+    /// The witness was unreachable, had restarted or had no room for another record.
     NoWitness,
-    /// Too many keys are remembered.
+    /// The limit on records was reached.
     Full,
-    /// The key was used for another call before; this one did not run.
+    /// The key was used for a different call before.
     Mismatch,
-    /// The issuer left before it came to the call.
+    /// The issuer left before it dispatched the call.
     Leaving,
-    /// The upstream could not be connected, so not one byte went out.
+    /// The connection to the upstream failed before any byte was sent.
     NotSent,
 }
 
-/// What became of a key.
+/// Result of the call with a key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum KeyOutcome {
-    /// It ran once.
+    /// The call ran once.
     Ran {
         /// The upstream that ran it.
         upstream: UpstreamId,
-        /// Its answer; none if it was too large or had to make room.
+        /// Its response; `None` if it was too large or was dropped to make room.
         answer: Option<StoredResponse>,
     },
-    /// It did not run and never will.
+    /// The call did not run and never will.
     NotRun(NotRun),
-    /// It may have run; it will not run again.
+    /// The call may have run; it will not run again.
     Unknown {
-        /// The upstream to ask, if known.
+        /// The upstream that may have run the call, if known.
         upstream: Option<UpstreamId>,
     },
 }
--- a/crates/decisions/src/idempotency/receiver.rs
+++ b/crates/decisions/src/idempotency/receiver.rs
@@ -1,4 +1,4 @@
-//! The life of one call with a key at the instance where it came in.
+//! State machine of one call with a key at the instance that received it.
 
 use std::sync::Arc;
 
@@ -8,80 +8,84 @@
 
 use super::{Key, KeyOutcome, KeySuccessor, NotRun, WitnessReply, WitnessRequest};
 
-/// Answer of a key's issuer to a call that was passed on to it.
+/// Reply of a key's issuer to a call that was forwarded to it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum IssuerReply {
-    /// What became of the key.
+    /// The outcome of the key is final.
     Outcome(KeyOutcome),
-    /// This call did not run for want of capacity or by a limit; the key may be used again.
+    /// The call did not run, as it was shed or exceeded a limit; the key may be used again.
     Refused,
-    /// The records were handed over.
+    /// The records were handed over to another instance.
     Moved {
-        /// The instance that knows.
+        /// The instance that holds the records now.
         successor: InstanceId,
     },
-    /// Another life of the instance issued the key, or the record was never here.
+    /// Another incarnation issued the key, or this instance has no record of it.
     NotHere,
 }
 
-/// What the receiving instance has to do next.
+/// Next action of the instance that received the call.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum ReceiverStep {
-    /// Pass the call on to the key's issuer.
+    /// Forward the call to the key's issuer.
     Forward {
         /// The issuer.
         to: InstanceId,
     },
-    /// Ask the successor of a leaver what became of the key; never for a dispatch.
+    /// Look up the outcome of the key at the successor of its issuer; this never dispatches the
+    /// call.
     LookUp {
         /// The successor.
         to: InstanceId,
     },
     /// Ask the witness to close the key.
     Close {
-        /// The witness.
+        /// The instance that runs the witness.
         to: InstanceId,
-        /// The message.
+        /// A [`WitnessRequest::Close`].
         message: WitnessRequest,
     },
-    /// Answer the caller.
+    /// Send the outcome to the caller.
     Answer(KeyOutcome),
-    /// Refuse the caller; it did not run, and the key may be used again.
+    /// Refuse the call; it did not run, and the key may be used again.
     Refuse,
 }
 
-/// Whom the call waits for.
+/// Which reply the call waits for.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum Stage {
+enum ReceiverState {
+    /// That of the issuer.
     Issuer,
-    /// A successor that the issuer named; if it does not know, the witness decides.
+    /// A successor that the issuer named; if it has no record, the witness decides.
     Successor,
+    /// That of the witness, which was asked to close the key.
     Witness,
-    /// A successor that the witness named; if it does not know, nobody does.
-    Forwarded {
-        upstream: UpstreamId,
-    },
+    /// A successor that the witness named; if it has no record, the outcome is unknown.
+    Forwarded { upstream: UpstreamId },
+    /// None; the caller was answered.
     Answered,
 }
 
-/// One call with a key, at the instance where it came in.
+/// One call with a key at the instance that received it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Receiver {
     key: Key,
-    stage: Stage,
+    state: ReceiverState,
 }
 
 impl Receiver {
-    /// Begins with a call whose key was checked. `issuer` is the latest incarnation of the
-    /// issuer that is known here; a later one than the key's means that the issuer's life ended.
-    pub fn start(key: Key, issuer: Option<Incarnation>) -> StartedReceiver {
+    /// Starts the call; its key was verified.
+    ///
+    /// `latest_incarnation` is the latest incarnation of the issuer that this instance has seen. If it is later
+    /// than the key's, the issuer has restarted and the witness is asked at once.
+    pub fn start(key: Key, latest_incarnation: Option<Incarnation>) -> StartedReceiver {
         let mut receiver = Self {
             key,
-            stage: Stage::Issuer,
+            state: ReceiverState::Issuer,
         };
-        let step = if issuer.is_some_and(|known| known > receiver.key.incarnation) {
-            receiver.close()
+        let step = if latest_incarnation.is_some_and(|latest| latest > receiver.key.incarnation) {
+            receiver.close_at_witness()
         } else {
             ReceiverStep::Forward {
                 to: Arc::clone(&receiver.key.issuer),
@@ -90,68 +94,70 @@
         StartedReceiver { receiver, step }
     }
 
-    /// Takes the answer of the issuer or of a successor.
-    pub fn on_issuer_reply(&mut self, answer: IssuerReply) -> Option<ReceiverStep> {
-        match (&self.stage, answer) {
+    /// Handles the reply of the issuer or of a successor.
+    pub fn on_issuer_reply(&mut self, reply: IssuerReply) -> Option<ReceiverStep> {
+        match (&self.state, reply) {
             (
-                Stage::Issuer | Stage::Successor | Stage::Forwarded { .. },
-                IssuerReply::Outcome(o),
-            ) => Some(self.answer(o)),
-            (Stage::Issuer, IssuerReply::Refused) => {
-                self.stage = Stage::Answered;
+                ReceiverState::Issuer | ReceiverState::Successor | ReceiverState::Forwarded { .. },
+                IssuerReply::Outcome(outcome),
+            ) => Some(self.end_with(outcome)),
+            (ReceiverState::Issuer, IssuerReply::Refused) => {
+                self.state = ReceiverState::Answered;
                 Some(ReceiverStep::Refuse)
             }
-            (Stage::Issuer, IssuerReply::Moved { successor }) => {
-                self.stage = Stage::Successor;
+            (ReceiverState::Issuer, IssuerReply::Moved { successor }) => {
+                self.state = ReceiverState::Successor;
                 Some(ReceiverStep::LookUp { to: successor })
             }
-            (Stage::Witness | Stage::Answered, _) => None,
-            _ => Some(self.lost()),
+            (ReceiverState::Witness | ReceiverState::Answered, _) => None,
+            _ => Some(self.on_no_reply()),
         }
     }
 
-    /// Takes the answer of the witness.
-    pub fn on_witness_reply(&mut self, answer: WitnessReply) -> Option<ReceiverStep> {
-        if self.stage != Stage::Witness {
+    /// Handles the reply of the witness.
+    pub fn on_witness_reply(&mut self, reply: WitnessReply) -> Option<ReceiverStep> {
+        if self.state != ReceiverState::Witness {
             return None;
         }
-        Some(match answer {
-            WitnessReply::Closed => self.answer(KeyOutcome::NotRun(NotRun::Closed)),
-            WitnessReply::MayHaveRun { upstream } => self.answer(KeyOutcome::Unknown {
+        Some(match reply {
+            WitnessReply::Closed => self.end_with(KeyOutcome::NotRun(NotRun::Closed)),
+            WitnessReply::MayHaveRun { upstream } => self.end_with(KeyOutcome::Unknown {
                 upstream: Some(upstream),
             }),
             WitnessReply::Forwarded(KeySuccessor { instance, upstream }) => {
-                self.stage = Stage::Forwarded { upstream };
+                self.state = ReceiverState::Forwarded { upstream };
                 ReceiverStep::LookUp { to: instance }
             }
             WitnessReply::Permitted
             | WitnessReply::Repeated
             | WitnessReply::Lost
-            | WitnessReply::Noted => self.answer(KeyOutcome::Unknown { upstream: None }),
+            | WitnessReply::Noted => self.end_with(KeyOutcome::Unknown { upstream: None }),
         })
     }
 
-    /// Whoever the call waits for can't be reached or has not answered in time.
+    /// The instance whose reply the call waits for is unreachable or did not reply in time.
     pub fn on_unreachable(&mut self) -> Option<ReceiverStep> {
-        (self.stage != Stage::Answered).then(|| self.lost())
+        (self.state != ReceiverState::Answered).then(|| self.on_no_reply())
     }
 
-    fn lost(&mut self) -> ReceiverStep {
-        match &self.stage {
-            Stage::Issuer | Stage::Successor => self.close(),
-            Stage::Forwarded { upstream } => {
+    fn on_no_reply(&mut self) -> ReceiverStep {
+        match &self.state {
+            ReceiverState::Issuer | ReceiverState::Successor => self.close_at_witness(),
+            ReceiverState::Forwarded { upstream } => {
                 let upstream = Some(Arc::clone(upstream));
-                self.answer(KeyOutcome::Unknown { upstream })
+                self.end_with(KeyOutcome::Unknown { upstream })
+            }
+            ReceiverState::Witness | ReceiverState::Answered => {
+                self.end_with(KeyOutcome::Unknown { upstream: None })
             }
-            Stage::Witness | Stage::Answered => self.answer(KeyOutcome::Unknown { upstream: None }),
         }
     }
 
-    fn close(&mut self) -> ReceiverStep {
+    fn close_at_witness(&mut self) -> ReceiverStep {
         let Some(witness) = &self.key.witness else {
-            return self.answer(KeyOutcome::Unknown { upstream: None });
+            return self.end_with(KeyOutcome::Unknown { upstream: None });
         };
-        self.stage = Stage::Witness;
+        self.state = ReceiverState::Witness;
         ReceiverStep::Close {
             to: Arc::clone(&witness.instance),
             message: WitnessRequest::Close {
@@ -161,17 +167,17 @@
         }
     }
 
-    fn answer(&mut self, outcome: KeyOutcome) -> ReceiverStep {
-        self.stage = Stage::Answered;
+    fn end_with(&mut self, outcome: KeyOutcome) -> ReceiverStep {
+        self.state = ReceiverState::Answered;
         ReceiverStep::Answer(outcome)
     }
 }
 
-/// A call and its first step.
+/// A started call and its first step.
 #[derive(Debug)]
 pub struct StartedReceiver {
     /// The call.
     pub receiver: Receiver,
-    /// What to do first.
+    /// The first step.
     pub step: ReceiverStep,
 }
--- a/crates/decisions/src/idempotency/witness.rs
+++ b/crates/decisions/src/idempotency/witness.rs
@@ -1,4 +1,4 @@
-//! The witness's memory of keys that others issued.
+//! State of a witness: records of keys that other instances issued.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,27 +10,28 @@
 
 use super::{KeyId, KeySuccessor, MAX_RECORDS, RECORD_RETENTION};
 
-/// Most issuers whose forgotten keys are told apart; at 160 restarts a day about three weeks.
-pub const MAX_ISSUERS: usize = 4_096;
+/// Maximum number of entries for dropped records, one per issuer incarnation; at 160 restarts a day
+/// enough for about three weeks.
+pub const MAX_ISSUER_INCARNATIONS: usize = 4_096;
 
-/// Incarnation of a witness that gave its memory away; no key names it, as lives are numbered by
-/// the time of their start.
-const NOBODY: Incarnation = 0;
+/// Incarnation of a witness that handed its records over. No key names it, as incarnations are
+/// numbered by start time.
+const NO_INCARNATION: Incarnation = 0;
 
-/// Message to a witness. `witness` is the incarnation that the key names.
+/// Request to a witness. The field `witness` is the incarnation that the key names.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum WitnessRequest {
-    /// The issuer asks whether it may dispatch; asked once for each key.
+    /// The issuer asks for permission to dispatch; sent once for each key.
     Permit {
         /// The key.
         key: KeyId,
         /// Incarnation of the witness.
         witness: Incarnation,
-        /// Where the issuer will send the call.
+        /// The upstream that will get the call.
         upstream: UpstreamId,
     },
-    /// A receiving instance can't reach the issuer.
+    /// An instance that received a call can't reach the issuer.
     Close {
         /// The key.
         key: KeyId,
@@ -43,93 +44,97 @@
         keys: Vec<KeyId>,
         /// Incarnation of the witness.
         witness: Incarnation,
-        /// The instance that knows from now on.
+        /// The instance that holds the records from now on.
         successor: InstanceId,
     },
 }
 
-/// Answer of a witness.
+/// Reply of a witness.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum WitnessReply {
-    /// The issuer may dispatch; said once for each key.
+    /// The issuer may dispatch; sent once for each key.
     Permitted,
-    /// The key was permitted before.
+    /// The key had been permitted before.
     Repeated,
     /// The key is closed and will never be permitted.
     Closed,
     /// The key was permitted and can't be closed.
     MayHaveRun {
-        /// Where the issuer was to send the call.
+        /// The upstream for which the key was permitted.
         upstream: UpstreamId,
     },
-    /// The key was permitted and its record handed over.
+    /// The key was permitted and its record was handed over.
     Forwarded(KeySuccessor),
-    /// This incarnation can't tell: it is not the one named, has forgotten or has no room.
+    /// This witness can't tell: it is another incarnation than the key names, the record may have
+    /// been dropped, or there is no room.
     Lost,
-    /// A forwarding word was taken.
+    /// A [`WitnessRequest::Forward`] was applied.
     Noted,
 }
 
+/// What the witness answered for a key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-enum State {
+enum WitnessedState {
     Permitted { upstream: UpstreamId },
     Closed,
     Forwarded(KeySuccessor),
 }
 
+/// A key that was permitted or closed.
 #[derive(Debug, Clone, Hash)]
-struct Record {
+struct WitnessRecord {
     key: KeyId,
-    state: State,
-    since: Instant,
+    state: WitnessedState,
+    recorded_at: Instant,
 }
 
-/// The memory of a witness as it crosses to an heir.
+/// The records of a witness in a handover.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct WitnessMemory {
+pub struct WitnessSnapshot {
     incarnation: Incarnation,
-    records: Vec<Witnessed>,
-    forgotten: Vec<Forgotten>,
+    records: Vec<HandedOverRecord>,
+    forgotten: Vec<ForgottenRange>,
     floor: Incarnation,
 }
 
-impl WitnessMemory {
-    /// The life that it belongs to.
+impl WitnessSnapshot {
+    /// The incarnation of the witness.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 }
 
+/// A record in a snapshot, with its age instead of its time.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Witnessed {
+struct HandedOverRecord {
     key: KeyId,
-    state: State,
+    state: WitnessedState,
     age: Duration,
 }
 
-/// The highest sequence of one issuer's life whose record was forgotten.
+/// The highest sequence among the dropped records of one issuer incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-struct Forgotten {
+struct ForgottenRange {
     issuer: InstanceId,
     incarnation: Incarnation,
     up_to: Sequence,
 }
 
-/// What this incarnation of an instance has permitted and closed.
+/// Keys that one incarnation of an instance has permitted or closed as a witness.
 #[derive(Debug, Clone, Hash)]
 pub struct Witness {
     incarnation: Incarnation,
-    records: Vec<Record>,
-    forgotten: Vec<Forgotten>,
-    /// Lives of issuers up to this number without an entry in `forgotten` may have been dropped
-    /// from it.
+    records: Vec<WitnessRecord>,
+    forgotten: Vec<ForgottenRange>,
+    /// Highest incarnation whose entry was removed from `forgotten`; an issuer incarnation up to it
+    /// without an entry may have had dropped records.
     floor: Incarnation,
 }
 
 impl Witness {
-    /// Makes the empty memory of a life that begins.
+    /// Creates the empty state of a new incarnation.
     pub fn new(incarnation: Incarnation) -> Self {
         Self {
             incarnation,
@@ -139,9 +144,9 @@
         }
     }
 
-    /// Answers an issuer, a receiving instance or a leaver.
+    /// Handles a request of an issuer or of an instance that received a call.
     pub fn on_message(&mut self, now: Instant, message: &WitnessRequest) -> WitnessReply {
-        self.expire(now);
+        self.forget_expired(now);
         match message {
             WitnessRequest::Permit {
                 key,
@@ -165,51 +170,51 @@
         }
     }
 
-    /// Gives the whole memory away: from now on this witness can tell nothing.
-    pub fn hand_over(&mut self, now: Instant) -> WitnessMemory {
-        let left = std::mem::replace(self, Self::new(NOBODY));
-        let records = left.records.into_iter().map(|r| Witnessed {
-            age: now.duration_since(r.since),
+    /// Removes all records for a handover. From now on every request is answered "lost".
+    pub fn hand_over(&mut self, now: Instant) -> WitnessSnapshot {
+        let former = std::mem::replace(self, Self::new(NO_INCARNATION));
+        let records = former.records.into_iter().map(|r| HandedOverRecord {
+            age: now.duration_since(r.recorded_at),
             key: r.key,
             state: r.state,
         });
-        WitnessMemory {
-            incarnation: left.incarnation,
+        WitnessSnapshot {
+            incarnation: former.incarnation,
             records: records.collect(),
-            forgotten: left.forgotten,
-            floor: left.floor,
+            forgotten: former.forgotten,
+            floor: former.floor,
         }
     }
 
-    /// The life that keys name.
+    /// The incarnation that keys name.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Continues the life of a witness that left.
-    pub fn from_memory(memory: WitnessMemory, now: Instant) -> Self {
-        let records = memory.records.into_iter().map(|r| Record {
-            // Where the clock does not reach back so far the record is kept longer, never shorter.
-            since: now.checked_sub(r.age).unwrap_or(now),
+    /// Restores the state of a witness from its handover.
+    pub fn from_snapshot(snapshot: WitnessSnapshot, now: Instant) -> Self {
+        let records = snapshot.records.into_iter().map(|r| WitnessRecord {
+            // If the clock doesn't reach back that far, the record is kept longer, never shorter.
+            recorded_at: now.checked_sub(r.age).unwrap_or(now),
             key: r.key,
             state: r.state,
         });
         let mut witness = Self {
-            incarnation: memory.incarnation,
+            incarnation: snapshot.incarnation,
             records: records.collect(),
-            forgotten: memory.forgotten,
-            floor: memory.floor,
+            forgotten: snapshot.forgotten,
+            floor: snapshot.floor,
         };
         witness.records.sort_by(|a, b| a.key.cmp(&b.key));
         witness
     }
 
-    /// Number of keys remembered, for the dump.
+    /// Number of records, for the state dump.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no key is remembered.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
@@ -223,13 +228,15 @@
     ) -> WitnessReply {
         match self.find(key) {
             Ok(i) => match self.records[i].state {
-                State::Closed => WitnessReply::Closed,
-                State::Permitted { .. } | State::Forwarded(_) => WitnessReply::Repeated,
+                WitnessedState::Closed => WitnessReply::Closed,
+                WitnessedState::Permitted { .. } | WitnessedState::Forwarded(_) => {
+                    WitnessReply::Repeated
+                }
             },
-            Err(_) if witness != self.incarnation || !self.can_remember(key) => WitnessReply::Lost,
+            Err(_) if witness != self.incarnation || !self.can_record(key) => WitnessReply::Lost,
             Err(i) => {
                 let upstream = Arc::clone(upstream);
-                self.insert(i, now, key, State::Permitted { upstream });
+                self.insert(i, now, key, WitnessedState::Permitted { upstream });
                 WitnessReply::Permitted
             }
         }
@@ -238,16 +245,17 @@
     fn close(&mut self, now: Instant, key: &KeyId, witness: Incarnation) -> WitnessReply {
         match self.find(key) {
             Ok(i) => match &self.records[i].state {
-                State::Closed => WitnessReply::Closed,
-                State::Permitted { upstream } => WitnessReply::MayHaveRun {
+                WitnessedState::Closed => WitnessReply::Closed,
+                WitnessedState::Permitted { upstream } => WitnessReply::MayHaveRun {
                     upstream: Arc::clone(upstream),
                 },
-                State::Forwarded(successor) => WitnessReply::Forwarded(successor.clone()),
+                WitnessedState::Forwarded(successor) => WitnessReply::Forwarded(successor.clone()),
             },
-            // A former life, or this one before it forgot, may have permitted it.
-            Err(_) if witness != self.incarnation || !self.can_remember(key) => WitnessReply::Lost,
+            // An earlier incarnation, or this one before it dropped the record, may have permitted
+            // the key.
+            Err(_) if witness != self.incarnation || !self.can_record(key) => WitnessReply::Lost,
             Err(i) => {
-                self.insert(i, now, key, State::Closed);
+                self.insert(i, now, key, WitnessedState::Closed);
                 WitnessReply::Closed
             }
         }
@@ -257,35 +265,35 @@
         let Ok(i) = self.find(key) else { return };
         let state = &mut self.records[i].state;
         let upstream = match state {
-            State::Permitted { upstream } => Arc::clone(upstream),
-            State::Forwarded(s) => Arc::clone(&s.upstream),
-            State::Closed => return,
+            WitnessedState::Permitted { upstream } => Arc::clone(upstream),
+            WitnessedState::Forwarded(s) => Arc::clone(&s.upstream),
+            WitnessedState::Closed => return,
         };
-        *state = State::Forwarded(KeySuccessor {
+        *state = WitnessedState::Forwarded(KeySuccessor {
             instance: Arc::clone(successor),
             upstream,
         });
     }
 
     fn find(&self, key: &KeyId) -> Result<usize, usize> {
-        self.records.binary_search_by(|r| r.key.cmp(key))
+        self.records.binary_search_by(|record| record.key.cmp(key))
     }
 
-    fn insert(&mut self, i: usize, now: Instant, key: &KeyId, state: State) {
-        let record = Record {
+    fn insert(&mut self, i: usize, now: Instant, key: &KeyId, state: WitnessedState) {
+        let record = WitnessRecord {
             key: key.clone(),
             state,
-            since: now,
+            recorded_at: now,
         };
         self.records.insert(i, record);
     }
 
-    /// Whether a key without a record surely never had one, and there is room for one.
+    /// Whether a key without a record certainly never had one, and there is room for a record.
     ///
-    /// Sequences grow in order of issue, so every key up to a forgotten one is at least as old:
-    /// past [`RECORD_RETENTION`], longer than its issuer may dispatch it. Answering "closed" for such a key
-    /// would call a booking "not run" that ran before it was forgotten.
-    fn can_remember(&self, key: &KeyId) -> bool {
+    /// Sequences ascend in order of issue, so every key up to a dropped one is at least as old:
+    /// older than [`RECORD_RETENTION`], which is longer than its issuer may dispatch it. Closing
+    /// such a key would report a booking as "not run" that ran before its record was dropped.
+    fn can_record(&self, key: &KeyId) -> bool {
         let fresh = match self.find_forgotten(&key.issuer, key.incarnation) {
             Ok(i) => key.sequence > self.forgotten[i].up_to,
             Err(_) => key.incarnation > self.floor,
@@ -298,8 +306,8 @@
             .binary_search_by(|f| (&*f.issuer, f.incarnation).cmp(&(issuer, incarnation)))
     }
 
-    fn expire(&mut self, now: Instant) {
-        let old = |r: &Record| now.duration_since(r.since) >= RECORD_RETENTION;
+    fn forget_expired(&mut self, now: Instant) {
+        let old = |r: &WitnessRecord| now.duration_since(r.recorded_at) >= RECORD_RETENTION;
         if !self.records.iter().any(old) {
             return;
         }
@@ -317,7 +325,7 @@
                 *up_to = key.sequence.max(*up_to);
             }
             Err(i) => {
-                let entry = Forgotten {
+                let entry = ForgottenRange {
                     issuer: Arc::clone(&key.issuer),
                     incarnation: key.incarnation,
                     up_to: key.sequence,
@@ -325,7 +333,7 @@
                 self.forgotten.insert(i, entry);
             }
         }
-        if self.forgotten.len() > MAX_ISSUERS {
+        if self.forgotten.len() > MAX_ISSUER_INCARNATIONS {
             let oldest = (0..self.forgotten.len())
                 .min_by_key(|i| self.forgotten[*i].incarnation)
                 .unwrap_or_default();
