--- a/crates/decisions/src/slots.rs
+++ b/crates/decisions/src/slots.rs
@@ -1,8 +1,8 @@
-//! Who may send to a replica: the queue of reservations that stands before each replica.
+//! Queue of reservations for one replica, which decides which request may be sent to it next.
 //!
-//! Load pattern: bursts and overload on engines that know no priorities and admit in order of
-//! arrival. Without this queue a low tier that arrived first runs first inside the engine, and a
-//! stale load report sends many requests to one replica at once.
+//! Load pattern: bursts and overload on engines that know no priorities and admit requests in order
+//! of arrival. Without this queue a request of a low tier that arrived first runs first inside the
+//! engine, and a stale load report sends many requests to one replica at once.
 
 use std::time::Duration;
 
@@ -15,49 +15,50 @@
 
 mod events;
 mod feedback;
+mod known_holders;
 mod queue;
-mod seen;
-mod taken;
+mod used_slots;
 mod wait;
 
 pub use queue::SlotQueue;
 
-/// How long a grant may be used, by the holder's clock, from when the holder *asked*.
+/// Time for which a grant may be used, by the holder's clock, counted from when the holder *sent*
+/// the message that the grant answers.
 pub const GRANT_LEASE: Duration = Duration::from_millis(500);
 
-/// A request's place in the queue of one replica; the payload stays with its holder.
+/// A request in the queue of one replica; the payload stays at its holder.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Reservation {
-    /// The request that waits.
+    /// The waiting request.
     pub request: RequestId,
     /// The entry instance that holds the request and alone may dispatch it.
     pub holder: InstanceId,
-    /// The organisation to charge.
+    /// The organisation that is charged for the work.
     pub organisation: OrganisationId,
     /// Weight of the organisation inside its tier.
     pub weight: u32,
-    /// Rank of the request's tier.
+    /// Rank of the request's tier; 0 is the highest.
     pub rank: Rank,
-    /// Expected work; `prefill` counts the whole prompt, the owner subtracts what is cached.
+    /// Expected work; `prefill` counts the whole prompt, the owner subtracts the cached part.
     pub work: Work,
     /// Hashes of the prompt's prefixes, shortest first.
     pub prefixes: Vec<PrefixHash>,
-    /// Time left until the caller's deadline when the message was sent.
+    /// Time between sending this message and the caller's deadline.
     pub time_left: Duration,
-    /// Number of the holder's latest renewal (see [`ToOwner::Renew`]).
+    /// Sequence number of the message, from the same sequence as [`ToOwner::Renew`].
     pub asked: Sequence,
 }
 
-/// How a dispatched request ended, for the concurrency limit, health and fairness.
+/// How a dispatched request ended, used for the concurrency limit, health and fairness.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestOutcome {
-    /// Whether the whole answer came; false on an error or a stall.
+    /// Whether the response was complete; false after an error or a stall.
     pub whole: bool,
-    /// From dispatch to the first token, if one came.
+    /// Time from dispatch to the first token, if one arrived.
     pub first_token: Option<Duration>,
-    /// Mean time between tokens, if two came.
+    /// Mean time between tokens, if at least two arrived.
     pub between_tokens: Option<Duration>,
-    /// Work that was really done.
+    /// Work that was actually done.
     pub work: Work,
 }
 
@@ -65,23 +66,23 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ToOwner {
-    /// Queue this request; repeated for the same request it changes nothing.
+    /// Queues the request; a duplicate for the same request changes nothing.
     Reserve(Reservation),
-    /// The request was granted elsewhere, refused or given up.
+    /// The request was granted by another owner, refused or abandoned.
     Withdraw {
         /// The request.
         request: RequestId,
     },
-    /// The grant was used: the first byte goes out now.
+    /// The grant was used: the first byte is being sent.
     Dispatched {
         /// The request.
         request: RequestId,
     },
-    /// The first token came; without this word an owner notices a stall only at the end.
+    /// The first token arrived; without this message an owner notices a stall only at the end.
     Started {
         /// The request.
         request: RequestId,
-        /// From dispatch to the first token.
+        /// Time from dispatch to the first token.
         first_token: Duration,
     },
     /// The dispatched request ended and its slot is free.
@@ -91,36 +92,37 @@
         /// How it ended.
         outcome: RequestOutcome,
     },
-    /// Sent by a holder every [`RENEW_INTERVAL`] while it has anything here; one message for all its
-    /// reservations and slots. An owner drops what was not renewed for [`GRANT_LEASE`] (waiting)
-    /// or [`HOLDER_TIMEOUT`] (running).
+    /// Sent by a holder every [`RENEW_INTERVAL`] while it has reservations or slots at this
+    /// replica; one message renews them all. An owner drops reservations that were not renewed for
+    /// [`GRANT_LEASE`] and running slots that were not renewed for [`HOLDER_TIMEOUT`].
     Renew {
-        /// Number that grows by one each time; the holder remembers when it sent it.
+        /// Sequence number that grows by one each time; the holder records when it sent it.
         asked: Sequence,
-        /// Requests of this holder that run on the replica, so that a new owner learns them.
+        /// Requests of this holder that run on the replica; a new owner takes its slots from this
+        /// list.
         running: Vec<RequestId>,
     },
 }
 
-/// How often a holder renews at each owner it has business with.
+/// Interval at which a holder renews at each owner where it has reservations or slots.
 pub const RENEW_INTERVAL: Duration = Duration::from_millis(150);
 
-/// After this long without a word a holder's running slots are taken back.
+/// Time without a message from a holder after which the slots of its running requests are freed.
 pub const HOLDER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why an owner will not queue or keep a reservation.
+/// Why an owner refuses or drops a reservation. Log lines show these names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rejection {
-    /// The replica leaves, or this instance does not know it.
+    /// The replica is leaving or unknown to this instance.
     Leaving,
-    /// Its deadline can't be met here.
+    /// The replica can't serve the request before its deadline.
     Late,
-    /// The tier stands below the shed level.
+    /// The tier is below the lowest one that is served under overload.
     Shed,
     /// The queue is full.
     Full,
-    /// It was not renewed, or its grant not used, in time; the holder asks again if it still wants.
+    /// It was not renewed in time, or its grant was not used in time; the holder may reserve again.
     Lapsed,
 }
 
@@ -128,43 +130,43 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ToHolder {
-    /// The request may be dispatched to the replica until the lease of `asked` ends.
+    /// The request may be dispatched to the replica until the lease counted from `asked` ends.
     Grant {
         /// The request.
         request: RequestId,
-        /// The holder's renewal or reservation number that this grant answers.
+        /// Sequence number of the holder's renewal or reservation that this grant answers.
         asked: Sequence,
         /// Uncached prompt tokens that the owner expects.
         prefill: u64,
     },
-    /// The request will not be granted here.
+    /// The replica will not grant the request.
     Rejected {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// Why the owner refused.
         why: Rejection,
-        /// Estimated wait here, for the caller's `Retry-After`.
+        /// Estimated wait at this replica, for the caller's `Retry-After`.
         wait: Duration,
     },
 }
 
-/// A message for one holder, about one replica.
+/// A message for a holder and the replica that it concerns.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HolderEnvelope {
-    /// Whom it goes to.
+    /// The instance that holds the request.
     pub to: InstanceId,
-    /// The replica that it is about.
+    /// The replica that the message concerns.
     pub upstream: UpstreamId,
     /// The message.
     pub message: ToHolder,
 }
 
-/// What an owner knows about a replica from its load report; it only lowers the limit.
+/// A replica's report of its load; it can only lower the concurrency limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// When the replica measured it, by its own clock, in milliseconds.
+    /// Time of measurement by the replica's own clock, in milliseconds.
     pub at_ms: u64,
-    /// Requests in the batch.
+    /// Requests in the running batch.
     pub running: u32,
     /// Requests queued inside the replica.
     pub waiting: u32,
@@ -172,24 +174,24 @@
     pub kv_used: u64,
     /// All KV cache blocks.
     pub kv_total: u64,
-    /// The replica's own word that it leaves.
+    /// Whether the replica reports that it is leaving.
     pub leaving: bool,
 }
 
-/// Estimate that holders use to choose among owners.
+/// Summary of a replica's queue, used by holders to choose among owners.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaDigest {
-    /// Requests running by the owner's count.
+    /// Requests running, as counted by the owner.
     pub running: u32,
-    /// Current concurrency limit.
+    /// Current concurrency limit, in slots.
     pub limit: u32,
     /// Waiting reservations.
     pub waiting: u32,
     /// Expected wait of a new reservation of the lowest tier.
     pub wait: Duration,
-    /// Observed speed, by which owners of the same generation judge their replicas.
+    /// Measured speed; owners compare it with that of replicas of the same hardware generation.
     pub pace: Option<Pace>,
 }
 
-/// Instant at which something about the queue changes by time alone.
+/// Time at which the queue must be called again although no message arrived.
 pub type Wakeup = Option<Instant>;
--- a/crates/decisions/src/slots/events.rs
+++ b/crates/decisions/src/slots/events.rs
@@ -1,11 +1,11 @@
-//! What a queue does on each message of a holder and when time passes.
+//! Handling of the messages of holders and of expired leases.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
 use super::feedback::FirstToken;
-use super::taken::{Stage, Taken};
+use super::used_slots::{SlotState, UsedSlot};
 use super::{GRANT_LEASE, HolderEnvelope, Rejection, RequestOutcome, Reservation, SlotQueue};
 use crate::fairness::{Entry, Size};
 use crate::id::{InstanceId, RequestId, Sequence};
@@ -17,11 +17,11 @@
         now: Instant,
         from: &InstanceId,
         mut reservation: Reservation,
-        sends: &mut Vec<HolderEnvelope>,
+        messages: &mut Vec<HolderEnvelope>,
     ) {
-        self.holders.hear(now, from, reservation.asked);
-        if self.taken.get_mut(&reservation.request).is_some() {
-            self.grant_again(now, &reservation, sends);
+        self.holders.record_sequence(now, from, reservation.asked);
+        if self.used_slots.get_mut(&reservation.request).is_some() {
+            self.renew_grant(now, &reservation, messages);
             return;
         }
         if self.waiting.contains(&reservation.request) {
@@ -30,8 +30,8 @@
         reservation.holder = InstanceId::clone(from);
         let prompt = reservation.work.prefill;
         reservation.work = self.cache.uncached(reservation.work, &reservation.prefixes);
-        if let Some(why) = self.objection(now, &reservation) {
-            sends.push(self.reject(now, &reservation, why));
+        if let Some(why) = self.rejection_reason(now, &reservation) {
+            messages.push(self.reject(now, &reservation, why));
             return;
         }
         let deadline = now + reservation.time_left;
@@ -39,108 +39,112 @@
         if self.waiting.len() > self.max_waiting
             && let Some(last) = self.waiting.remove_last()
         {
-            sends.push(self.reject(now, &last.reservation, Rejection::Full));
+            messages.push(self.reject(now, &last.reservation, Rejection::Full));
         }
     }
 
-    /// The holder woke after its lease had lapsed and asks again: its slot is still kept.
-    fn grant_again(
+    /// Grants again to a holder whose lease expired before it used the grant, if its slot is still
+    /// reserved.
+    fn renew_grant(
         &mut self,
         now: Instant,
         reservation: &Reservation,
-        sends: &mut Vec<HolderEnvelope>,
+        messages: &mut Vec<HolderEnvelope>,
     ) {
-        let Some(taken) = self.taken.get_mut(&reservation.request) else {
+        let Some(slot) = self.used_slots.get_mut(&reservation.request) else {
             return;
         };
-        if taken.is_running() || reservation.asked <= taken.asked {
+        if slot.is_running() || reservation.asked <= slot.asked {
             return;
         }
-        taken.asked = reservation.asked;
-        taken.stage = Stage::Granted {
-            until: now + GRANT_LEASE,
+        slot.asked = reservation.asked;
+        slot.state = SlotState::Granted {
+            lease_end: now + GRANT_LEASE,
         };
-        let taken = taken.clone();
-        sends.push(self.grant_message(&taken));
+        let slot = slot.clone();
+        messages.push(self.grant_message(&slot));
     }
 
-    /// Why a reservation cannot be queued at all.
-    fn objection(&self, now: Instant, reservation: &Reservation) -> Option<Rejection> {
+    /// Why a new reservation can't be queued, if so.
+    fn rejection_reason(&self, now: Instant, reservation: &Reservation) -> Option<Rejection> {
         if self.leaving {
             return Some(Rejection::Leaving);
         }
-        if reservation.rank > self.lowest {
+        if reservation.rank > self.lowest_rank {
             return Some(Rejection::Shed);
         }
-        let wait = self.wait(now, reservation.rank);
+        let wait = self.expected_wait(now, reservation.rank);
         let late = self
             .feedback
-            .is_late(wait, reservation.work, reservation.time_left);
+            .misses_deadline(wait, reservation.work, reservation.time_left);
         late.then_some(Rejection::Late)
     }
 
     pub(super) fn on_withdraw(&mut self, from: &InstanceId, request: &RequestId) {
         self.waiting.remove(request);
-        let granted = self.taken.get_mut(request);
-        if granted.is_some_and(|taken| !taken.is_running() && taken.holder == *from)
-            && let Some(taken) = self.taken.remove(request)
+        let granted = self.used_slots.get_mut(request);
+        if granted.is_some_and(|slot| !slot.is_running() && slot.holder == *from)
+            && let Some(slot) = self.used_slots.remove(request)
         {
-            self.refund(&taken, Work::default());
+            self.refund(&slot, Work::default());
         }
     }
 
     pub(super) fn on_dispatched(&mut self, now: Instant, from: &InstanceId, request: RequestId) {
-        let before = self.taken.silent_prefill();
-        let prompts = self.taken.silent_prompts();
-        let Some(taken) = self.taken.get_mut(&request) else {
-            // Dispatched by a grant of an earlier owner, or by one that this owner had given up.
-            self.learn(now, from, request);
+        let uncached_ahead = self.used_slots.awaited_prefill();
+        let prompts_ahead = self.used_slots.awaited_prompts();
+        let Some(slot) = self.used_slots.get_mut(&request) else {
+            // Granted by an earlier owner of the replica, or by this owner, which has freed the
+            // slot since.
+            self.adopt_running(now, from, request);
             return;
         };
-        if !taken.is_running() {
-            taken.ahead = before.saturating_add(taken.work.prefill);
-            taken.prompts_ahead = prompts.saturating_add(taken.prompt);
-            taken.stage = self
-                .feedback
-                .dispatched(now, taken.ahead, taken.prompts_ahead);
+        if !slot.is_running() {
+            slot.uncached_tokens_ahead = uncached_ahead.saturating_add(slot.work.prefill);
+            slot.prompt_tokens_ahead = prompts_ahead.saturating_add(slot.prompt_tokens);
+            slot.state = self.feedback.state_after_dispatch(
+                now,
+                slot.uncached_tokens_ahead,
+                slot.prompt_tokens_ahead,
+            );
         }
     }
 
-    /// Counts a slot that this owner did not grant.
-    fn learn(&mut self, now: Instant, holder: &InstanceId, request: RequestId) {
+    /// Counts a running request that this owner has no grant for.
+    fn adopt_running(&mut self, now: Instant, holder: &InstanceId, request: RequestId) {
         self.waiting.remove(&request);
-        self.taken.insert(Taken {
+        self.used_slots.insert(UsedSlot {
             request,
             holder: InstanceId::clone(holder),
             asked: 0,
             charge: None,
             size: Size::Short,
             work: Work::default(),
-            prompt: 0,
-            ahead: 0,
-            prompts_ahead: 0,
-            stage: Stage::Flowing { since: now },
-            missed: 0,
+            prompt_tokens: 0,
+            uncached_tokens_ahead: 0,
+            prompt_tokens_ahead: 0,
+            state: SlotState::Streaming { dispatched_at: now },
+            missed_renewals: 0,
         });
         if self.is_learning(now) {
-            self.feedback.limit.on_learned(self.taken.len());
+            self.feedback.limit.on_learned(self.used_slots.len());
         }
     }
 
-    pub(super) fn on_started(&mut self, now: Instant, request: &RequestId, took: Duration) {
-        let in_use = self.taken.len();
-        let Some(taken) = self.taken.get_mut(request) else {
+    pub(super) fn on_started(&mut self, now: Instant, request: &RequestId, first_token: Duration) {
+        let in_use = self.used_slots.len();
+        let Some(slot) = self.used_slots.get_mut(request) else {
             return;
         };
-        let Stage::Silent { since, .. } = taken.stage else {
+        let SlotState::AwaitingFirstToken { dispatched_at, .. } = slot.state else {
             return;
         };
-        taken.stage = Stage::Flowing { since };
+        slot.state = SlotState::Streaming { dispatched_at };
         let first = FirstToken {
-            since,
-            ahead: taken.ahead,
-            prompts_ahead: taken.prompts_ahead,
-            took,
+            dispatched_at,
+            uncached_tokens_ahead: slot.uncached_tokens_ahead,
+            prompt_tokens_ahead: slot.prompt_tokens_ahead,
+            elapsed: first_token,
             in_use,
         };
         self.feedback.on_first_token(now, first);
@@ -152,16 +156,21 @@
         request: &RequestId,
         outcome: RequestOutcome,
     ) {
-        if let Some(took) = outcome.first_token {
-            self.on_started(now, request, took);
-        }
-        let in_use = self.taken.len();
-        if let Some(taken) = self.taken.remove(request) {
-            self.refund(&taken, outcome.work);
-            if let Stage::Silent { since, late, .. } = taken.stage
-                && late < now
+        if let Some(first_token) = outcome.first_token {
+            self.on_started(now, request, first_token);
+        }
+        let in_use = self.used_slots.len();
+        if let Some(slot) = self.used_slots.remove(request) {
+            self.refund(&slot, outcome.work);
+            if let SlotState::AwaitingFirstToken {
+                dispatched_at,
+                late_at,
+                ..
+            } = slot.state
+                && late_at < now
             {
-                self.feedback.on_silent_end(now, since, late);
+                self.feedback
+                    .on_end_without_first_token(now, dispatched_at, late_at);
             } else {
                 self.feedback.on_outcome(now, outcome, in_use);
             }
@@ -175,15 +184,15 @@
         asked: Sequence,
         running: Vec<RequestId>,
     ) {
-        if !self.holders.renew(now, from, asked) {
+        if !self.holders.record_renewal(now, from, asked) {
             return;
         }
-        for taken in self.taken.on_renew(from, &running) {
-            self.refund(&taken, taken.work);
+        for slot in self.used_slots.on_renew(from, &running) {
+            self.refund(&slot, slot.work);
         }
         for request in running {
-            let known = self.taken.get_mut(&request);
-            if known.is_none_or(|taken| !taken.is_running()) {
+            let slot = self.used_slots.get_mut(&request);
+            if slot.is_none_or(|slot| !slot.is_running()) {
                 self.on_dispatched(now, from, request);
             }
         }
@@ -195,33 +204,33 @@
     }
 
     pub(super) fn free_slots_of(&mut self, holder: &InstanceId) {
-        for taken in self.taken.remove_if(|taken| taken.holder == *holder) {
-            self.refund(&taken, Work::default());
+        for slot in self.used_slots.remove_if(|slot| slot.holder == *holder) {
+            self.refund(&slot, Work::default());
         }
     }
 
-    pub(super) fn drop_silent_holders(&mut self, now: Instant, sends: &mut Vec<HolderEnvelope>) {
-        for seen in self.holders.silent(now) {
-            // A holder that was only paused learns from this that it has to ask again.
-            let dropped = self.drop_waiting_of(&seen.holder);
-            sends.extend(self.reject_all(now, &dropped, Rejection::Lapsed));
-            if seen.is_lost(now) {
-                self.free_slots_of(&seen.holder);
-                self.holders.remove(&seen.holder);
+    pub(super) fn drop_silent_holders(&mut self, now: Instant, messages: &mut Vec<HolderEnvelope>) {
+        for known in self.holders.lease_expired(now) {
+            // A holder that was only paused reserves again when it receives this rejection.
+            let dropped = self.drop_waiting_of(&known.holder);
+            messages.extend(self.reject_all(now, &dropped, Rejection::Lapsed));
+            if known.has_timed_out(now) {
+                self.free_slots_of(&known.holder);
+                self.holders.remove(&known.holder);
             }
         }
     }
 
-    /// Takes back the slots whose grants were not used in time.
-    pub(super) fn free_lapsed(&mut self, now: Instant, sends: &mut Vec<HolderEnvelope>) {
-        let lapsed = self.taken.remove_if(|taken| match taken.stage {
-            Stage::Granted { until } => until <= now,
-            Stage::Silent { .. } | Stage::Flowing { .. } => false,
+    /// Frees the slots whose grants were not used in time.
+    pub(super) fn free_lapsed(&mut self, now: Instant, messages: &mut Vec<HolderEnvelope>) {
+        let lapsed = self.used_slots.remove_if(|slot| match slot.state {
+            SlotState::Granted { lease_end } => lease_end <= now,
+            SlotState::AwaitingFirstToken { .. } | SlotState::Streaming { .. } => false,
         });
-        for taken in &lapsed {
-            self.refund(taken, Work::default());
+        for slot in &lapsed {
+            self.refund(slot, Work::default());
             let why = Rejection::Lapsed;
-            sends.push(self.rejection(&taken.holder, &taken.request, why, Duration::ZERO));
+            messages.push(self.rejection(&slot.holder, &slot.request, why, Duration::ZERO));
         }
     }
 }
--- a/crates/decisions/src/slots/wait.rs
+++ b/crates/decisions/src/slots/wait.rs
@@ -1,27 +1,33 @@
-//! When a request that is queued now would get a slot.
+//! Estimate of the time until a newly queued request gets a slot.
 
 use std::time::Duration;
 
-/// Time until `slots` slots, taken by requests that end after `ends_in`, have done `waiting` work.
+/// Time until `slots` slots have done the `waiting` work; they are in use by requests that end
+/// after `ends_in`.
 ///
-/// The slots that end first take what waits, so one long request among short ones does not make
-/// the wait long. Slots above the number taken are free now; above the limit they do not count.
-pub(super) fn expected(mut ends_in: Vec<Duration>, slots: usize, waiting: Duration) -> Duration {
-    let taken = ends_in.len();
-    ends_in.resize(taken.max(slots), Duration::ZERO);
+/// The slots that become free first do the waiting work, so one long request among short ones
+/// doesn't make the wait long. Slots that are not in use are free now; slots in use above the limit
+/// don't count.
+pub(super) fn expected_wait(
+    mut ends_in: Vec<Duration>,
+    slots: usize,
+    waiting: Duration,
+) -> Duration {
+    let in_use = ends_in.len();
+    ends_in.resize(in_use.max(slots), Duration::ZERO);
     ends_in.sort_unstable();
-    let ends_in = &ends_in[taken.saturating_sub(slots)..];
-    let mut done = Duration::ZERO;
+    let ends_in = &ends_in[in_use.saturating_sub(slots)..];
+    let mut work_done = Duration::ZERO;
     for (n, pair) in ends_in.windows(2).enumerate() {
-        let sharers = n as u32 + 1;
-        let step = pair[1].saturating_sub(pair[0]).saturating_mul(sharers);
-        if done.saturating_add(step) >= waiting {
-            return pair[0] + waiting.saturating_sub(done) / sharers;
+        let free_slots = n as u32 + 1;
+        let step = pair[1].saturating_sub(pair[0]).saturating_mul(free_slots);
+        if work_done.saturating_add(step) >= waiting {
+            return pair[0] + waiting.saturating_sub(work_done) / free_slots;
         }
-        done += step;
+        work_done += step;
     }
     let last = ends_in.last().copied().unwrap_or_default();
-    last.saturating_add(waiting.saturating_sub(done) / ends_in.len().max(1) as u32)
+    last.saturating_add(waiting.saturating_sub(work_done) / ends_in.len().max(1) as u32)
 }
 
 #[cfg(test)]
@@ -39,7 +45,7 @@
     )]
     fn waits(ends_in: &[u64], slots: usize, waiting: u64, expected_s: u64) {
         let ends_in = ends_in.iter().copied().map(Duration::from_secs).collect();
-        let wait = expected(ends_in, slots, Duration::from_secs(waiting));
+        let wait = expected_wait(ends_in, slots, Duration::from_secs(waiting));
         assert_eq!(wait, Duration::from_secs(expected_s));
     }
 }
