--- a/crates/decisions/src/holder.rs
+++ b/crates/decisions/src/holder.rs
@@ -1,154 +1,163 @@
-//! The entry instance's side of all its requests: where they are reserved and which grant is used.
+//! Requests that an entry instance holds: where each is reserved, and which grant it uses.
 //!
-//! Load pattern: replicas that are busy or free at other moments than their reports say. A request
-//! is reserved at several owners and goes to the first replica that is really free. Without the
-//! lease check at the dispatch, a process that wakes late would use a slot that its owner has
-//! long given to another.
+//! Load pattern: replicas that become busy or free between two of their load reports. A request is
+//! reserved at several owners and goes to the first replica that is really free. The lease is
+//! checked at the dispatch; without that check a process that resumes after a pause would use a
+//! slot that its owner granted to another request long ago.
 
-mod held;
 mod leases;
+mod requests;
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-use self::held::{Business, Held, HeldRequests, Place, Stage};
 use self::leases::Leases;
+use self::requests::{HeldRequest, HeldRequests, ReplicaUse, RequestState, SentReservation};
 use crate::id::{Incarnation, InstanceId, RequestId, Sequence, UpstreamId};
 use crate::slots::{
     GRANT_LEASE, RENEW_INTERVAL, Rejection, RequestOutcome, Reservation, ToHolder, ToOwner,
 };
 
-/// Requests that one instance holds; more are refused. About 1 KB each.
-pub const MAX_HELD: usize = 16_384;
+/// Maximum number of requests that one instance holds, about 1 KB each; more are refused.
+pub const MAX_HELD_REQUESTS: usize = 16_384;
 
-/// A reservation that is not answered is repeated after this time, in case it was lost.
-pub const REPEAT_EVERY: Duration = Duration::from_secs(1);
+/// Time after which a reservation without an answer is sent again, in case it was lost.
+pub const RESEND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A message for the owner of a replica.
+/// A message and the replica to whose owner it goes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OwnerEnvelope {
     /// The replica.
     pub upstream: UpstreamId,
-    /// The message.
+    /// The message for the owner.
     pub message: ToOwner,
 }
 
-/// What the caller of the state machine must do.
+/// An action that the caller of the state machine must carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HolderAction {
-    /// Call [`Holder::dispatch`] and, if it agrees, send the request to the replica.
+    /// Call [`Holder::dispatch`] and, if it succeeds, send the request to the replica.
     Dispatch {
-        /// The request.
+        /// The granted request.
         request: RequestId,
-        /// The replica.
+        /// The replica that granted it.
         upstream: UpstreamId,
     },
     /// Refuse the request, which did not run.
     Refuse {
         /// The request.
         request: RequestId,
-        /// Why.
+        /// Why the last owner refused, or the owner with the shortest wait.
         why: Rejection,
         /// Shortest wait that an owner estimated.
         wait: Duration,
     },
 }
 
-/// Actions and messages that follow from an event; no action means that the requests wait on.
+/// Result of an event; requests without an action keep waiting.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct HolderOutput {
-    /// What to do.
+    /// Actions to carry out, in order.
     pub actions: Vec<HolderAction>,
-    /// What to send.
+    /// Messages to send to owners.
     pub messages: Vec<OwnerEnvelope>,
 }
 
-/// Right to send one request to one replica, valid now.
+/// Permission to send one request to one replica at this moment.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Dispatch {
+pub struct DispatchPermit {
     /// The replica.
     pub upstream: UpstreamId,
-    /// What to send to owners.
+    /// Messages to send to owners.
     pub messages: Vec<OwnerEnvelope>,
 }
 
 /// Why a request may not be dispatched now.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum DispatchError {
-    /// The lease ended, as after a pause; the request waits again.
+    /// The lease expired, for example during a pause of the process; the request waits again.
     #[error("the grant has lapsed")]
     Lapsed {
-        /// New reservations.
+        /// Messages that reserve the request again.
         messages: Vec<OwnerEnvelope>,
     },
-    /// The request is unknown, waits, or was dispatched already.
+    /// The request is unknown, has no grant or was dispatched already.
     #[error("the request has no unused grant")]
     NotGranted,
 }
 
-/// A replica whose owner does not answer, and this instance's own share of it.
+/// A replica whose owner doesn't answer, and the number of its slots that this instance may use
+/// without a grant.
 #[derive(Debug, Clone)]
 struct Fallback {
     upstream: UpstreamId,
+    /// Number of slots.
     share: u32,
 }
 
-/// The requests that one entry instance holds.
+/// All requests that one entry instance holds, as a state machine.
 #[derive(Debug, Clone)]
 pub struct Holder {
     instance: InstanceId,
-    held: HeldRequests,
+    requests: HeldRequests,
     leases: Leases,
+    /// Replicas without an owner that answers, sorted by replica.
     fallbacks: Vec<Fallback>,
-    renewed: Option<Instant>,
-    widen_after: Duration,
+    last_renewal: Option<Instant>,
+    /// Time for which a request is reserved at its first candidate alone; zero for no delay.
+    widen_delay: Duration,
 }
 
 impl Holder {
-    /// Makes the holder of `instance`.
+    /// Creates the holder of `instance`.
     ///
-    /// Its numbers start at the incarnation, in milliseconds since a fixed date, and grow by less
-    /// than one each millisecond; so a restarted instance's numbers are above its earlier ones.
+    /// Its sequence numbers start at the incarnation, in milliseconds since a fixed date, and grow
+    /// by less than one each millisecond, so a restarted instance uses higher numbers than before.
     pub fn new(instance: InstanceId, incarnation: Incarnation) -> Self {
         Self {
             instance,
-            held: HeldRequests::default(),
+            requests: HeldRequests::default(),
             leases: Leases::new(incarnation),
             fallbacks: Vec::new(),
-            renewed: None,
-            widen_after: Duration::ZERO,
+            last_renewal: None,
+            widen_delay: Duration::ZERO,
         }
     }
 
-    /// Reserves at the first candidate alone and at the others only `after` that time without a
-    /// grant, or when the first refuses.
+    /// Reserves at the first candidate alone, and at the others only `after` that time without a
+    /// grant or when the first one refuses.
     ///
-    /// With a free slot the first owner grants in one round trip: the cached prefix is used and
-    /// the other owners hear nothing.
+    /// If the first replica has a free slot, its owner grants in one round trip: the cached prefix
+    /// is used and the other owners get no message.
     pub fn with_widen_delay(mut self, after: Duration) -> Self {
-        self.widen_after = after;
+        self.widen_delay = after;
         self
     }
 
-    /// Requests held: waiting, granted and running.
+    /// Number of requests held: waiting, granted and running.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.requests.len()
     }
 
     /// Whether no request is held.
     pub fn is_empty(&self) -> bool {
-        self.held.len() == 0
+        self.requests.len() == 0
     }
 
-    /// Requests that wait, lowest tier first, latest first inside a tier: the order of eviction.
+    /// Waiting requests in order of eviction: lowest tier first, latest first inside a tier.
     pub fn waiting(&self) -> Vec<&Reservation> {
-        let mut waiting: Vec<_> = self.held.iter().filter(|held| held.is_waiting()).collect();
-        waiting.sort_by_key(|held| std::cmp::Reverse((held.reservation.rank, held.arrived)));
+        let mut waiting: Vec<_> = self
+            .requests
+            .iter()
+            .filter(|held| held.is_waiting())
+            .collect();
+        waiting.sort_by_key(|held| std::cmp::Reverse((held.reservation.rank, held.arrival)));
         waiting.iter().map(|held| &held.reservation).collect()
     }
 
-    /// Reserves a request at the owners of `candidates`; for a waiting request it adds places.
+    /// Reserves a request at the owners of `candidates`; if it waits already, adds the new
+    /// candidates.
     pub fn reserve(
         &mut self,
         now: Instant,
@@ -156,73 +165,77 @@
         candidates: &[UpstreamId],
     ) -> HolderOutput {
         let request = RequestId::clone(&reservation.request);
-        let mut reply = HolderOutput::default();
-        if self.held.get(&request).is_none() {
-            if self.held.len() >= MAX_HELD {
-                reply.refuse(request, Rejection::Full, RENEW_INTERVAL);
-                return reply;
+        let mut output = HolderOutput::default();
+        if self.requests.get(&request).is_none() {
+            if self.requests.len() >= MAX_HELD_REQUESTS {
+                output.refuse(request, Rejection::Full, RENEW_INTERVAL);
+                return output;
             }
             let mut reservation = reservation;
             reservation.holder = InstanceId::clone(&self.instance);
-            self.held.insert(reservation, now);
+            self.requests.insert(reservation, now);
             if let Some(held) = self
-                .held
+                .requests
                 .get_mut(&request)
-                .filter(|_| !self.widen_after.is_zero())
+                .filter(|_| !self.widen_delay.is_zero())
             {
-                held.widens = Some(now + self.widen_after);
+                held.widen_at = Some(now + self.widen_delay);
             }
         }
-        self.held.add_candidates(&request, candidates);
-        self.ask(now, &request, &mut reply);
-        self.refuse_if_placeless(&request, &mut reply);
-        self.use_own_share(now, &mut reply);
-        reply
+        self.requests.add_candidates(&request, candidates);
+        self.send_reservations(now, &request, &mut output);
+        self.refuse_without_candidates(&request, &mut output);
+        self.grant_from_own_share(now, &mut output);
+        output
     }
 
-    /// Handles a message of the owner of `upstream`.
+    /// Handles a message from the owner of `upstream`.
     pub fn on_message(
         &mut self,
         now: Instant,
         upstream: &UpstreamId,
         message: ToHolder,
     ) -> HolderOutput {
-        let mut reply = HolderOutput::default();
+        let mut output = HolderOutput::default();
         match message {
             ToHolder::Grant { request, asked, .. } => {
-                self.on_grant(now, upstream, &request, asked, &mut reply);
+                self.on_grant(now, upstream, &request, asked, &mut output);
             }
             ToHolder::Rejected { request, why, wait } => {
-                self.on_rejected(now, upstream, &request, why, wait, &mut reply);
+                self.on_rejected(now, upstream, &request, why, wait, &mut output);
             }
         }
-        reply
+        output
     }
 
-    /// Claims the right to send the request now, right before its first byte goes out.
+    /// Claims the right to send the request; called right before its first byte is sent.
     pub fn dispatch(
         &mut self,
         now: Instant,
         request: &RequestId,
-    ) -> Result<Dispatch, DispatchError> {
-        let Some(held) = self.held.get_mut(request) else {
+    ) -> Result<DispatchPermit, DispatchError> {
+        let Some(held) = self.requests.get_mut(request) else {
             return Err(DispatchError::NotGranted);
         };
-        let Stage::Granted { upstream, until } = &held.stage else {
+        let RequestState::Granted {
+            upstream,
+            lease_end,
+        } = &held.state
+        else {
             return Err(DispatchError::NotGranted);
         };
         let upstream = UpstreamId::clone(upstream);
-        if now >= *until {
-            // A process that was paused between grant and dispatch: its owner has given the slot
-            // to another by now, so two requests would run on it.
-            held.stage = Stage::Waiting;
-            let mut reply = HolderOutput::default();
-            self.ask(now, request, &mut reply);
+        if now >= *lease_end {
+            // The process was paused between grant and dispatch. The owner has granted the slot to
+            // another request by now, so two requests would run in it.
+            held.state = RequestState::Waiting;
+            let mut output = HolderOutput::default();
+            self.send_reservations(now, request, &mut output);
             return Err(DispatchError::Lapsed {
-                messages: reply.messages,
+                messages: output.messages,
             });
         }
-        held.stage = Stage::Running {
+        held.state = RequestState::Running {
             upstream: UpstreamId::clone(&upstream),
         };
         let messages = vec![OwnerEnvelope {
@@ -231,130 +244,137 @@
                 request: RequestId::clone(request),
             },
         }];
-        Ok(Dispatch { upstream, messages })
+        Ok(DispatchPermit { upstream, messages })
     }
 
-    /// Tells the owner that the first token of a running request came.
+    /// Reports the first token of a running request to the owner.
     pub fn on_started(&self, request: &RequestId, first_token: Duration) -> Vec<OwnerEnvelope> {
-        let running = self.held.get(request).and_then(Held::running_on);
-        let told = running.map(|upstream| OwnerEnvelope {
+        let running = self.requests.get(request).and_then(HeldRequest::running_on);
+        let message = running.map(|upstream| OwnerEnvelope {
             upstream: UpstreamId::clone(upstream),
             message: ToOwner::Started {
                 request: RequestId::clone(request),
                 first_token,
             },
         });
-        told.into_iter().collect()
+        message.into_iter().collect()
     }
 
-    /// A running request ended; the owner gets its slot back.
+    /// Reports the end of a running request to the owner, which frees the slot.
     ///
-    /// A caller that went away is no fault of the replica: its outcome is whole, without times.
+    /// A caller that disconnected is no fault of the replica: the outcome is complete, without
+    /// times.
     pub fn on_finished(
         &mut self,
         now: Instant,
         request: &RequestId,
         outcome: RequestOutcome,
     ) -> HolderOutput {
-        let mut reply = HolderOutput::default();
-        let Some(held) = self.held.remove_if_running(request) else {
-            return reply;
+        let mut output = HolderOutput::default();
+        let Some(held) = self.requests.remove_if_running(request) else {
+            return output;
         };
-        reply.finished(&held, outcome);
-        self.use_own_share(now, &mut reply);
-        reply
+        output.report_finished(&held, outcome);
+        self.grant_from_own_share(now, &mut output);
+        output
     }
 
-    /// Nothing of the dispatched request was sent, as the connection failed: it waits again,
-    /// without that replica.
+    /// Puts a dispatched request back into the queue after its connection failed before any byte
+    /// was sent, and excludes that replica.
     pub fn on_connect_failed(&mut self, now: Instant, request: &RequestId) -> HolderOutput {
-        let mut reply = HolderOutput::default();
-        let Some(held) = self.held.get_mut(request) else {
-            return reply;
+        let mut output = HolderOutput::default();
+        let Some(held) = self.requests.get_mut(request) else {
+            return output;
         };
         let Some(upstream) = held.running_on().map(UpstreamId::clone) else {
-            return reply;
+            return output;
         };
-        reply.finished(held, RequestOutcome::default());
-        held.stage = Stage::Waiting;
+        output.report_finished(held, RequestOutcome::default());
+        held.state = RequestState::Waiting;
         held.exclude(&upstream);
-        self.ask(now, request, &mut reply);
-        self.refuse_if_placeless(request, &mut reply);
-        self.use_own_share(now, &mut reply);
-        reply
+        self.send_reservations(now, request, &mut output);
+        self.refuse_without_candidates(request, &mut output);
+        self.grant_from_own_share(now, &mut output);
+        output
     }
 
-    /// Gives up a request that was not dispatched; a running one stays.
+    /// Removes a request that was not dispatched and withdraws its reservations; a running one
+    /// stays.
     pub fn withdraw(&mut self, request: &RequestId) -> Vec<OwnerEnvelope> {
-        let Some(held) = self.held.remove_if_not_running(request) else {
+        let Some(held) = self.requests.remove_if_not_running(request) else {
             return Vec::new();
         };
-        let mut reply = HolderOutput::default();
-        reply.withdraw_all(&held, None);
-        reply.messages
+        let mut output = HolderOutput::default();
+        output.withdraw_all(&held, None);
+        output.messages
     }
 
-    /// Reserves more widely what is due, renews at all owners every [`RENEW_INTERVAL`] and repeats what got no answer.
+    /// Widens reservations that are due, and every [`RENEW_INTERVAL`] renews at all owners and
+    /// resends reservations without an answer.
     pub fn on_tick(&mut self, now: Instant) -> HolderOutput {
-        let mut reply = HolderOutput::default();
-        for request in self.held.widened(now) {
-            self.ask(now, &request, &mut reply);
+        let mut output = HolderOutput::default();
+        for request in self.requests.take_due_to_widen(now) {
+            self.send_reservations(now, &request, &mut output);
         }
-        if self.renewed.is_some_and(|at| now < at + RENEW_INTERVAL) {
-            return reply;
+        if self
+            .last_renewal
+            .is_some_and(|at| now < at + RENEW_INTERVAL)
+        {
+            return output;
         }
-        self.renewed = Some(now);
-        let asked = self.leases.next(now);
-        for Business { upstream, running } in self.held.business() {
+        self.last_renewal = Some(now);
+        let asked = self.leases.next_sequence(now);
+        for ReplicaUse { upstream, running } in self.requests.replica_uses() {
             let message = ToOwner::Renew { asked, running };
-            reply.messages.push(OwnerEnvelope { upstream, message });
+            output.messages.push(OwnerEnvelope { upstream, message });
         }
-        for request in self.held.unanswered(now, REPEAT_EVERY) {
-            self.ask(now, &request, &mut reply);
+        for request in self.requests.unanswered_since(now, RESEND_INTERVAL) {
+            self.send_reservations(now, &request, &mut output);
         }
-        self.use_own_share(now, &mut reply);
-        reply
+        self.grant_from_own_share(now, &mut output);
+        output
     }
 
-    /// The owner of `upstream` does not answer: `share` of the replica is this instance's own.
-    pub fn on_owner_gone(
+    /// Handles an unreachable owner: this instance may use `share` slots of the replica by itself.
+    pub fn on_owner_unreachable(
         &mut self,
         now: Instant,
         upstream: &UpstreamId,
         share: u32,
     ) -> HolderOutput {
         match self.fallback(upstream) {
-            Ok(at) => self.fallbacks[at].share = share,
-            Err(at) => {
+            Ok(i) => self.fallbacks[i].share = share,
+            Err(i) => {
                 let upstream = UpstreamId::clone(upstream);
-                self.fallbacks.insert(at, Fallback { upstream, share });
+                self.fallbacks.insert(i, Fallback { upstream, share });
             }
         }
-        self.held.forget_place(upstream);
-        let mut reply = HolderOutput::default();
-        self.use_own_share(now, &mut reply);
-        reply
+        self.requests.remove_reservations_at(upstream);
+        let mut output = HolderOutput::default();
+        self.grant_from_own_share(now, &mut output);
+        output
     }
 
-    /// The replica has an owner that answers, perhaps another: it learns what runs and waits.
+    /// Handles a replica whose owner answers again or is another instance: sends it the running and
+    /// waiting requests.
     pub fn on_owner_changed(&mut self, now: Instant, upstream: &UpstreamId) -> Vec<OwnerEnvelope> {
-        if let Ok(at) = self.fallback(upstream) {
-            self.fallbacks.remove(at);
+        if let Ok(i) = self.fallback(upstream) {
+            self.fallbacks.remove(i);
         }
-        self.held.forget_place(upstream);
-        let mut reply = HolderOutput::default();
-        let asked = self.leases.number(now);
-        reply.messages.push(OwnerEnvelope {
+        self.requests.remove_reservations_at(upstream);
+        let mut output = HolderOutput::default();
+        let asked = self.leases.current_sequence(now);
+        output.messages.push(OwnerEnvelope {
             upstream: UpstreamId::clone(upstream),
             message: ToOwner::Renew {
                 asked,
-                running: self.held.running_at(upstream),
+                running: self.requests.running_at(upstream),
             },
         });
-        for request in self.held.waiting_for(upstream) {
-            self.ask(now, &request, &mut reply);
+        for request in self.requests.waiting_for(upstream) {
+            self.send_reservations(now, &request, &mut output);
         }
-        reply.messages
+        output.messages
     }
 
     fn fallback(&self, upstream: &UpstreamId) -> Result<usize, usize> {
@@ -362,20 +382,24 @@
             .binary_search_by(|fallback| fallback.upstream.cmp(upstream))
     }
 
-    /// Reserves a waiting request wherever it has no answered place and the owner answers.
-    fn ask(&mut self, now: Instant, request: &RequestId, reply: &mut HolderOutput) {
-        let asked = self.leases.number(now);
-        let Some(held) = self.held.get_mut(request).filter(|held| held.is_waiting()) else {
+    /// Sends the missing reservations of a waiting request to the owners that answer.
+    fn send_reservations(&mut self, now: Instant, request: &RequestId, output: &mut HolderOutput) {
+        let asked = self.leases.current_sequence(now);
+        let Some(held) = self
+            .requests
+            .get_mut(request)
+            .filter(|held| held.is_waiting())
+        else {
             return;
         };
         held.reservation.asked = asked;
         held.reservation.time_left = held.deadline.saturating_duration_since(now);
-        let reach = if held.widens.is_some() {
+        let candidate_count = if held.widen_at.is_some() {
             1
         } else {
             held.candidates.len()
         };
-        for upstream in held.candidates.iter().take(reach) {
+        for upstream in held.candidates.iter().take(candidate_count) {
             let fallbacks = &self.fallbacks;
             if fallbacks
                 .binary_search_by(|f| f.upstream.cmp(upstream))
@@ -384,21 +408,21 @@
                 continue;
             }
             let upstream = UpstreamId::clone(upstream);
-            let place = Place {
+            let reservation = SentReservation {
                 upstream,
-                sent: now,
+                sent_at: now,
             };
             match held
-                .places
+                .reservations
                 .iter_mut()
-                .find(|p| p.upstream == place.upstream)
+                .find(|sent| sent.upstream == reservation.upstream)
             {
-                Some(known) if now < known.sent + REPEAT_EVERY => continue,
-                Some(known) => known.sent = now,
-                None => held.places.push(place.clone()),
+                Some(earlier) if now < earlier.sent_at + RESEND_INTERVAL => continue,
+                Some(earlier) => earlier.sent_at = now,
+                None => held.reservations.push(reservation.clone()),
             }
-            reply.messages.push(OwnerEnvelope {
-                upstream: place.upstream,
+            output.messages.push(OwnerEnvelope {
+                upstream: reservation.upstream,
                 message: ToOwner::Reserve(held.reservation.clone()),
             });
         }
@@ -410,34 +434,37 @@
         upstream: &UpstreamId,
         request: &RequestId,
         asked: Sequence,
-        reply: &mut HolderOutput,
+        output: &mut HolderOutput,
     ) {
-        let until = self.leases.sent(asked).map(|sent| sent + GRANT_LEASE);
-        let valid = until.filter(|until| now < *until);
-        let Some(held) = self.held.get_mut(request) else {
-            reply.withdraw(request, upstream);
+        let lease_end = self.leases.sent_at(asked).map(|sent| sent + GRANT_LEASE);
+        let valid = lease_end.filter(|lease_end| now < *lease_end);
+        let Some(held) = self.requests.get_mut(request) else {
+            output.withdraw(request, upstream);
             return;
         };
-        if let Some(used) = held.used() {
+        if let Some(used) = held.assigned_replica() {
             if used != upstream {
-                reply.withdraw(request, upstream);
-            } else if let (Stage::Granted { until, .. }, Some(valid)) = (&mut held.stage, valid) {
-                *until = valid.max(*until);
+                output.withdraw(request, upstream);
+            } else if let (RequestState::Granted { lease_end, .. }, Some(valid)) =
+                (&mut held.state, valid)
+            {
+                *lease_end = valid.max(*lease_end);
             }
             return;
         }
-        held.places.retain(|place| place.upstream != *upstream);
-        let Some(until) = valid else {
-            self.ask(now, request, reply);
+        held.reservations
+            .retain(|reservation| reservation.upstream != *upstream);
+        let Some(lease_end) = valid else {
+            self.send_reservations(now, request, output);
             return;
         };
-        reply.withdraw_all(held, Some(upstream));
-        held.places.clear();
-        held.stage = Stage::Granted {
+        output.withdraw_all(held, Some(upstream));
+        held.reservations.clear();
+        held.state = RequestState::Granted {
             upstream: UpstreamId::clone(upstream),
-            until,
+            lease_end,
         };
-        reply.actions.push(HolderAction::Dispatch {
+        output.actions.push(HolderAction::Dispatch {
             request: RequestId::clone(request),
             upstream: UpstreamId::clone(upstream),
         });
@@ -450,52 +477,57 @@
         request: &RequestId,
         why: Rejection,
         wait: Duration,
-        reply: &mut HolderOutput,
+        output: &mut HolderOutput,
     ) {
-        let Some(held) = self.held.get_mut(request).filter(|held| held.is_waiting()) else {
+        let Some(held) = self
+            .requests
+            .get_mut(request)
+            .filter(|held| held.is_waiting())
+        else {
             return;
         };
-        held.places.retain(|place| place.upstream != *upstream);
+        held.reservations
+            .retain(|reservation| reservation.upstream != *upstream);
         if why == Rejection::Lapsed {
-            self.ask(now, request, reply);
+            self.send_reservations(now, request, output);
             return;
         }
         held.exclude(upstream);
-        held.note_refusal(why, wait);
-        self.ask(now, request, reply);
-        self.refuse_if_placeless(request, reply);
-        self.use_own_share(now, reply);
+        held.record_refusal(why, wait);
+        self.send_reservations(now, request, output);
+        self.refuse_without_candidates(request, output);
+        self.grant_from_own_share(now, output);
     }
 
-    /// Refuses a waiting request that no candidate is left for.
-    fn refuse_if_placeless(&mut self, request: &RequestId, reply: &mut HolderOutput) {
-        let Some(held) = self.held.get(request) else {
+    /// Refuses a waiting request that has no candidate left.
+    fn refuse_without_candidates(&mut self, request: &RequestId, output: &mut HolderOutput) {
+        let Some(held) = self.requests.get(request) else {
             return;
         };
         if !held.is_waiting() || !held.candidates.is_empty() {
             return;
         }
         let (why, wait) = (held.refusal.why, held.refusal.wait);
-        self.held.remove_if_not_running(request);
-        reply.refuse(RequestId::clone(request), why, wait);
+        self.requests.remove_if_not_running(request);
+        output.refuse(RequestId::clone(request), why, wait);
     }
 
-    /// Uses this instance's own share of replicas whose owners do not answer, for requests that
-    /// no owner is left to grant.
-    fn use_own_share(&mut self, now: Instant, reply: &mut HolderOutput) {
+    /// Grants the own share of replicas whose owners don't answer to requests that no reachable
+    /// owner can grant.
+    fn grant_from_own_share(&mut self, now: Instant, output: &mut HolderOutput) {
         for fallback in self.fallbacks.clone() {
             let mut free = fallback
                 .share
-                .saturating_sub(self.held.used_at(&fallback.upstream));
+                .saturating_sub(self.requests.slots_used_at(&fallback.upstream));
             while free > 0 {
-                let Some(held) = self.held.next_stranded(&fallback.upstream) else {
+                let Some(held) = self.requests.next_without_owner(&fallback.upstream) else {
                     break;
                 };
-                held.stage = Stage::Granted {
+                held.state = RequestState::Granted {
                     upstream: UpstreamId::clone(&fallback.upstream),
-                    until: now + GRANT_LEASE,
+                    lease_end: now + GRANT_LEASE,
                 };
-                reply.actions.push(HolderAction::Dispatch {
+                output.actions.push(HolderAction::Dispatch {
                     request: RequestId::clone(&held.reservation.request),
                     upstream: UpstreamId::clone(&fallback.upstream),
                 });
@@ -520,18 +552,21 @@
         });
     }
 
-    /// Withdraws everywhere but at the owner of `kept`.
-    fn withdraw_all(&mut self, held: &Held, kept: Option<&UpstreamId>) {
-        let granted = held.used();
-        let places = held.places.iter().map(|place| &place.upstream);
-        for upstream in places.chain(granted) {
+    /// Withdraws the request at all owners but that of `kept`.
+    fn withdraw_all(&mut self, held: &HeldRequest, kept: Option<&UpstreamId>) {
+        let granted = held.assigned_replica();
+        let reservations = held
+            .reservations
+            .iter()
+            .map(|reservation| &reservation.upstream);
+        for upstream in reservations.chain(granted) {
             if Some(upstream) != kept {
                 self.withdraw(&held.reservation.request, upstream);
             }
         }
     }
 
-    fn finished(&mut self, held: &Held, outcome: RequestOutcome) {
+    fn report_finished(&mut self, held: &HeldRequest, outcome: RequestOutcome) {
         if let Some(upstream) = held.running_on() {
             self.messages.push(OwnerEnvelope {
                 upstream: UpstreamId::clone(upstream),
--- a/crates/decisions/src/holder/leases.rs
+++ b/crates/decisions/src/holder/leases.rs
@@ -1,4 +1,4 @@
-//! When each number was sent, from which the leases of the grants that answer it are counted.
+//! Send times of sequence numbers, from which the leases of grants are counted.
 
 use std::time::Duration;
 
@@ -7,53 +7,56 @@
 use crate::id::{Incarnation, Sequence};
 use crate::slots::GRANT_LEASE;
 
-/// A number is used again for this long; the lease is shorter by as much.
-const REUSED_FOR: Duration = Duration::from_millis(10);
+/// Time for which a sequence number is used again; leases are shorter by as much.
+const SEQUENCE_REUSE: Duration = Duration::from_millis(10);
 
-/// One number and when it was first sent.
+/// A sequence number and the time at which it was first sent.
 #[derive(Debug, Clone, Copy)]
-struct Sent {
-    number: Sequence,
-    at: Instant,
+struct SentSequence {
+    sequence: Sequence,
+    sent_at: Instant,
 }
 
-/// Numbers of the last [`GRANT_LEASE`], sorted; at most one each [`REUSED_FOR`] and renewal.
+/// Sequence numbers of the last [`GRANT_LEASE`], ascending; at most one for each [`SEQUENCE_REUSE`]
+/// and for each renewal.
 #[derive(Debug, Clone)]
 pub(super) struct Leases {
-    sent: Vec<Sent>,
-    next: Sequence,
+    sent: Vec<SentSequence>,
+    last_sequence: Sequence,
 }
 
 impl Leases {
     pub(super) fn new(incarnation: Incarnation) -> Self {
         Self {
             sent: Vec::new(),
-            next: incarnation,
+            last_sequence: incarnation,
         }
     }
 
-    /// Number for a message that is sent now.
-    pub(super) fn number(&mut self, now: Instant) -> Sequence {
+    /// Sequence number for a message that is sent now; may be that of an earlier message.
+    pub(super) fn current_sequence(&mut self, now: Instant) -> Sequence {
         match self.sent.last() {
-            Some(last) if now < last.at + REUSED_FOR => last.number,
-            _ => self.next(now),
+            Some(last) if now < last.sent_at + SEQUENCE_REUSE => last.sequence,
+            _ => self.next_sequence(now),
         }
     }
 
-    /// New number for a message that is sent now.
-    pub(super) fn next(&mut self, now: Instant) -> Sequence {
-        self.sent.retain(|sent| now < sent.at + GRANT_LEASE);
-        self.next += 1;
-        self.sent.push(Sent {
-            number: self.next,
-            at: now,
+    /// New sequence number for a message that is sent now.
+    pub(super) fn next_sequence(&mut self, now: Instant) -> Sequence {
+        self.sent.retain(|sent| now < sent.sent_at + GRANT_LEASE);
+        self.last_sequence += 1;
+        self.sent.push(SentSequence {
+            sequence: self.last_sequence,
+            sent_at: now,
         });
-        self.next
+        self.last_sequence
     }
 
     /// When the number was first sent; `None` if that is longer ago than any lease.
-    pub(super) fn sent(&self, number: Sequence) -> Option<Instant> {
-        let found = self.sent.binary_search_by_key(&number, |sent| sent.number);
-        found.ok().map(|at| self.sent[at].at)
+    pub(super) fn sent_at(&self, sequence: Sequence) -> Option<Instant> {
+        let found = self
+            .sent
+            .binary_search_by_key(&sequence, |sent| sent.sequence);
+        found.ok().map(|i| self.sent[i].sent_at)
     }
 }
