--- a/crates/decisions/src/drain.rs
+++ b/crates/decisions/src/drain.rs
@@ -1,132 +1,137 @@
-//! The life of a leaving instance or upstream.
+//! Graceful shutdown of an instance, and draining of an upstream that leaves.
 //!
-//! Load pattern: rolling restarts under load. Without this module a stopped instance cuts the
-//! streams that it carries and the calls that the balancer still sends it, and an upstream that
-//! leaves gets work that it will not finish.
+//! Load pattern: rolling restarts under load. Without this module a stopped instance cuts its open
+//! streams and the requests that the load balancer still sends it, and an upstream that leaves gets
+//! work that it will not finish.
 //!
-//! The states are types: a drained instance can't take a request and a serving one can't end, in
-//! code that compiles.
+//! The states are types: code in which a drained instance accepts a request, or a serving one ends,
+//! doesn't compile.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// How long an instance goes on accepting after it announced that it leaves.
+/// Time for which an instance still accepts requests after it announced that it leaves.
 ///
-/// The balancer polls readiness about once a second and needs two failures; a peer's reservation
-/// may be under way for a lease. Keys that were issued just before are used in this time.
-pub const BALANCER_LAG: Duration = Duration::from_secs(5);
+/// The load balancer polls readiness about once a second and needs two failures; a reservation of a
+/// peer may be under way for a lease. Recently issued idempotency keys are used in this time.
+pub const LEAVE_GRACE: Duration = Duration::from_secs(5);
 
-/// Longest time that a leaving instance waits for its last stream; then the platform's own limit
-/// would kill it anyway, and a clean hand-over is worth more than a stuck stream.
-pub const DRAIN_LIMIT: Duration = Duration::from_mins(10);
+/// Maximum time for which a leaving instance waits for its last stream. After that the platform
+/// would kill the process anyway, and a clean handover is worth more than a stuck stream.
+pub const DRAIN_TIMEOUT: Duration = Duration::from_mins(10);
 
-/// An instance that takes requests and is ready.
+/// State of an instance that is ready and accepts requests.
 #[derive(Debug)]
 pub struct Serving;
 
-/// An instance that is not ready, announces that it leaves, and serves what still comes.
+/// State of an instance that reports not ready, announces that it leaves, and still serves the
+/// requests that arrive.
 #[derive(Debug)]
 pub struct Leaving {
     since: Instant,
 }
 
-/// An instance whose last request has ended; it hands its records over and exits.
+/// State of an instance whose last request has ended; it hands over its records and exits.
 #[derive(Debug)]
 pub struct Drained {
-    /// Requests that were cut because [`DRAIN_LIMIT`] passed; 0 in a clean stop.
-    pub cut: usize,
+    /// Number of requests cut off because [`DRAIN_TIMEOUT`] passed; 0 after a clean shutdown.
+    pub aborted: usize,
 }
 
-/// What is still going on at a leaving instance.
+/// Number of unfinished requests at a leaving instance.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Busy {
-    /// Requests of callers that wait or run, with their streams.
+pub struct InFlight {
+    /// Requests of callers that are waiting, running or streaming.
     pub requests: usize,
-    /// Calls that peers passed on to this instance and wait for.
+    /// Calls that peers forwarded to this instance and whose response they await.
     pub forwarded: usize,
 }
 
-impl Busy {
+impl InFlight {
     fn total(self) -> usize {
         self.requests + self.forwarded
     }
 }
 
-/// The life of an entry instance.
+/// Lifecycle of an entry instance.
 #[derive(Debug)]
-pub struct Life<S> {
+pub struct InstanceLifecycle<S> {
     state: S,
 }
 
-impl Life<Serving> {
-    /// Begins.
+impl InstanceLifecycle<Serving> {
+    /// Creates the lifecycle of an instance that has started.
     pub fn new() -> Self {
         Self { state: Serving }
     }
 
-    /// On SIGTERM, `POST /drain` or the list's word. The caller of this stops being ready and
-    /// announces that it leaves.
-    pub fn leave(self, now: Instant) -> Life<Leaving> {
-        Life {
+    /// Starts leaving, on SIGTERM, on `POST /drain` or when the published list marks this instance
+    /// as leaving. The caller reports not ready and announces the leaving.
+    pub fn leave(self, now: Instant) -> InstanceLifecycle<Leaving> {
+        InstanceLifecycle {
             state: Leaving { since: now },
         }
     }
 }
 
-impl Default for Life<Serving> {
+impl Default for InstanceLifecycle<Serving> {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Life<Leaving> {
-    /// Ends once nothing is going on any more and nobody should send anything new.
+impl InstanceLifecycle<Leaving> {
+    /// Ends when nothing is unfinished and no new request is expected, or when the timeout passed.
     ///
     /// # Errors
-    /// The life itself while it must go on.
-    pub fn end(self, now: Instant, busy: Busy) -> Result<Life<Drained>, Self> {
-        let waited = now.duration_since(self.state.since);
-        let idle = busy.total() == 0 && waited >= BALANCER_LAG;
-        if idle || waited >= DRAIN_LIMIT {
-            let cut = busy.total();
-            return Ok(Life {
-                state: Drained { cut },
+    /// Returns itself while it must continue.
+    pub fn try_end(
+        self,
+        now: Instant,
+        in_flight: InFlight,
+    ) -> Result<InstanceLifecycle<Drained>, Self> {
+        let leaving_for = now.duration_since(self.state.since);
+        let idle = in_flight.total() == 0 && leaving_for >= LEAVE_GRACE;
+        if idle || leaving_for >= DRAIN_TIMEOUT {
+            let aborted = in_flight.total();
+            return Ok(InstanceLifecycle {
+                state: Drained { aborted },
             });
         }
         Err(self)
     }
 
-    /// When [`Self::end`] should be tried although nothing has ended.
-    pub fn wakeup(&self, now: Instant) -> Instant {
-        let lag = self.state.since + BALANCER_LAG;
-        if now < lag {
-            lag
+    /// Latest time at which [`Self::try_end`] should be called again even if no request has ended.
+    pub fn next_check(&self, now: Instant) -> Instant {
+        let grace_end = self.state.since + LEAVE_GRACE;
+        if now < grace_end {
+            grace_end
         } else {
-            self.state.since + DRAIN_LIMIT
+            self.state.since + DRAIN_TIMEOUT
         }
     }
 }
 
-impl Life<Drained> {
-    /// Requests that were cut; 0 in a clean stop.
-    pub fn cut(&self) -> usize {
-        self.state.cut
+impl InstanceLifecycle<Drained> {
+    /// Number of requests cut off; 0 after a clean shutdown.
+    pub fn aborted(&self) -> usize {
+        self.state.aborted
     }
 }
 
-/// The life of an upstream as its owner sees it.
+/// Lifecycle of an upstream at its owner.
 ///
-/// Kept apart from the list: it leaves by whichever word comes first (the list's, its own, a
-/// peer's), see [`crate::membership::Membership::leaving_upstreams`].
+/// Independent of the published list: the upstream leaves with the first message that says so, from
+/// the list, from itself or from a peer, see [`crate::membership::Membership::leaving_upstreams`].
 #[derive(Debug)]
-pub struct Replica<S> {
+pub struct ReplicaLifecycle<S> {
     running: usize,
     state: S,
 }
 
-impl Replica<Serving> {
-    /// A replica that takes work.
+impl ReplicaLifecycle<Serving> {
+    /// Creates the lifecycle of a replica that accepts work.
     pub fn new() -> Self {
         Self {
             running: 0,
@@ -134,50 +139,50 @@
         }
     }
 
-    /// Work was sent to it; only a serving replica has this method.
-    pub fn begin(&mut self) {
+    /// Counts a request that was sent to the replica; only a serving replica has this method.
+    pub fn on_request_started(&mut self) {
         self.running += 1;
     }
 
-    /// Work has ended.
-    pub fn finish(&mut self) {
+    /// Counts the end of a request.
+    pub fn on_request_finished(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
-    /// It leaves: from here on nothing can be sent.
-    pub fn leave(self, now: Instant) -> Replica<Leaving> {
-        Replica {
+    /// Starts leaving; from now on nothing can be sent to the replica.
+    pub fn leave(self, now: Instant) -> ReplicaLifecycle<Leaving> {
+        ReplicaLifecycle {
             running: self.running,
             state: Leaving { since: now },
         }
     }
 }
 
-impl Default for Replica<Serving> {
+impl Default for ReplicaLifecycle<Serving> {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl Replica<Leaving> {
-    /// Work has ended.
-    pub fn finish(&mut self) {
+impl ReplicaLifecycle<Leaving> {
+    /// Counts the end of a request.
+    pub fn on_request_finished(&mut self) {
         self.running = self.running.saturating_sub(1);
     }
 
-    /// Whether its last work has ended and connections to it may be closed.
+    /// Whether the last request has ended and connections to the replica may be closed.
     pub fn is_drained(&self) -> bool {
         self.running == 0
     }
 
-    /// How long it has been leaving.
+    /// Time since the replica started to leave.
     pub fn leaving_for(&self, now: Instant) -> Duration {
         now.duration_since(self.state.since)
     }
 
-    /// It came back by a later list.
-    pub fn return_to_service(self) -> Replica<Serving> {
-        Replica {
+    /// Handles a replica that a later published list marks as serving again.
+    pub fn return_to_service(self) -> ReplicaLifecycle<Serving> {
+        ReplicaLifecycle {
             running: self.running,
             state: Serving,
         }
--- a/crates/decisions/tests/drain.rs
+++ b/crates/decisions/tests/drain.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use kingcupfield_decisions::drain::{BALANCER_LAG, Busy, DRAIN_LIMIT, Life, Replica};
+use kingcupfield_decisions::drain::{
+    DRAIN_TIMEOUT, InFlight, InstanceLifecycle, LEAVE_GRACE, ReplicaLifecycle,
+};
 use tokio::time::Instant;
 use yare::parameterized;
 
@@ -10,48 +12,50 @@
 /// a moment. A caller must notice nothing: it ends only when both are over.
 #[parameterized(
     at_once = { Duration::ZERO, 0, None },
-    balancer_still_sends = { BALANCER_LAG.mul_f32(0.99), 0, None },
-    idle = { BALANCER_LAG, 0, Some(0) },
-    a_stream_runs = { BALANCER_LAG * 3, 1, None },
-    a_stream_hangs = { DRAIN_LIMIT, 2, Some(2) },
+    balancer_still_sends = { LEAVE_GRACE.mul_f32(0.99), 0, None },
+    idle = { LEAVE_GRACE, 0, Some(0) },
+    a_stream_runs = { LEAVE_GRACE * 3, 1, None },
+    a_stream_hangs = { DRAIN_TIMEOUT, 2, Some(2) },
 )]
-fn an_instance_ends_when_nothing_is_cut(after: Duration, requests: usize, cut: Option<usize>) {
-    for busy in [
-        Busy {
+fn an_instance_ends_when_nothing_is_cut(after: Duration, requests: usize, aborted: Option<usize>) {
+    for in_flight in [
+        InFlight {
             requests,
             forwarded: 0,
         },
-        Busy {
+        InFlight {
             requests: 0,
             forwarded: requests,
         },
     ] {
         let now = Instant::now();
-        let ended = Life::new().leave(now).end(now + after, busy);
-        assert_eq!(ended.ok().map(|drained| drained.cut()), cut);
+        let ended = InstanceLifecycle::new()
+            .leave(now)
+            .try_end(now + after, in_flight);
+        assert_eq!(ended.ok().map(|drained| drained.aborted()), aborted);
     }
 }
 
 #[test]
 fn a_leaving_instance_wakes_for_the_balancer_and_for_the_limit() {
     let now = Instant::now();
-    let life = Life::new().leave(now);
-    assert_eq!(life.wakeup(now), now + BALANCER_LAG);
-    assert_eq!(life.wakeup(now + BALANCER_LAG), now + DRAIN_LIMIT);
+    let life = InstanceLifecycle::new().leave(now);
+    assert_eq!(life.next_check(now), now + LEAVE_GRACE);
+    assert_eq!(life.next_check(now + LEAVE_GRACE), now + DRAIN_TIMEOUT);
 }
 
 /// An upstream is taken out while it still decodes two answers. They must come whole.
 #[test]
 fn an_upstream_is_drained_with_its_last_answer() {
     let now = Instant::now();
-    let mut replica = Replica::new();
-    replica.begin();
-    replica.begin();
+    let mut replica = ReplicaLifecycle::new();
+    replica.on_request_started();
+    replica.on_request_started();
     let mut leaving = replica.leave(now);
-    leaving.finish();
+    leaving.on_request_finished();
     assert!(!leaving.is_drained());
-    leaving.finish();
+    leaving.on_request_finished();
     assert!(leaving.is_drained());
-    assert_eq!(leaving.leaving_for(now + BALANCER_LAG), BALANCER_LAG);
-    leaving.return_to_service().begin();
+    assert_eq!(leaving.leaving_for(now + LEAVE_GRACE), LEAVE_GRACE);
+    leaving.return_to_service().on_request_started();
 }
