--- a/crates/decisions/src/idempotency/key.rs
+++ b/crates/decisions/src/idempotency/key.rs
@@ -74,7 +74,7 @@
     Malformed,
     /// The end of the text is missing.
     #[error("the key is cut short")]
-    Cut,
+    Truncated,
     /// The HMAC does not match: the key was made or changed by someone without the secret.
     #[error("the key was not issued here")]
     Forged,
@@ -171,7 +171,7 @@
             let groups = text.get(..text.len() / 4 * 4).unwrap_or_default();
             let begin = URL_SAFE_NO_PAD.decode(groups).unwrap_or_default();
             return Err(match split(&begin) {
-                Err(KeyError::Cut) => KeyError::Cut,
+                Err(KeyError::Truncated) => KeyError::Truncated,
                 _ => KeyError::Malformed,
             });
         };
@@ -193,7 +193,7 @@
     };
     let length = usize::from(u16::from_be_bytes([*high, *low]));
     match rest.len().cmp(&(length + TAG_BYTES)) {
-        std::cmp::Ordering::Less => Err(KeyError::Cut),
+        std::cmp::Ordering::Less => Err(KeyError::Truncated),
         std::cmp::Ordering::Greater => Err(KeyError::Malformed),
         std::cmp::Ordering::Equal => Ok(buf.split_at(HEADER_BYTES + length)),
     }
--- a/crates/decisions/tests/idempotency_key.rs
+++ b/crates/decisions/tests/idempotency_key.rs
@@ -42,7 +42,7 @@
     for end in 0..text.len() {
         let refused = Key::decode(&text[..end], &secret(1), "org");
         assert!(
-            matches!(refused, Err(KeyError::Cut | KeyError::Malformed)),
+            matches!(refused, Err(KeyError::Truncated | KeyError::Malformed)),
             "{end}: {refused:?}"
         );
     }
@@ -64,7 +64,7 @@
     padded = { "AAAA====", KeyError::Malformed },
     other_script = { "khóa", KeyError::Malformed },
     format = { "AgAAAA", KeyError::Malformed },
-    huge_length = { "Af__AA", KeyError::Cut },
+    huge_length = { "Af__AA", KeyError::Truncated },
     long = { &"A".repeat(5000), KeyError::TooLong },
 )]
 fn malformed_texts_have_a_reason(text: &str, expected: KeyError) {
--- a/src/keyed.rs
+++ b/src/keyed.rs
@@ -67,9 +67,10 @@
     shared.keys.decode(text, organisation).map_err(|e| {
         let kind = match e {
             KeyError::OtherOrganisation | KeyError::Forged => Kind::Forbidden,
-            KeyError::TooLong | KeyError::Malformed | KeyError::Cut | KeyError::ShortSecret => {
-                Kind::BadRequest
-            }
+            KeyError::TooLong
+            | KeyError::Malformed
+            | KeyError::Truncated
+            | KeyError::ShortSecret => Kind::BadRequest,
         };
         Refusal::new(kind).with_message(format!("Idempotency-Key: {e}"))
     })
