--- a/crates/spec/src/idempotency.rs
+++ b/crates/spec/src/idempotency.rs
@@ -8,8 +8,9 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::idempotency::{
-    Answer, Ask, Call, EXPIRES, FromIssuer, FromWitness, HandedOver, Key, Keys, NotRun, Outcome,
-    Phase, RETAIN, Receiver, Step, ToWitness, Use, Witness, WitnessName,
+    CallAttempt, EndedKeyRecord, IssuerReply, KEY_LIFETIME, Key, KeyIssuer, KeyOutcome, KeyPhase,
+    NotRun, Permission, RECORD_RETENTION, Receiver, ReceiverStep, StoredResponse, UseDecision,
+    Witness, WitnessId, WitnessReply, WitnessRequest,
 };
 use tokio::time::Instant;
 
@@ -29,8 +30,10 @@
 const TIMES: [Duration; 4] = [
     Duration::ZERO,
     DEADLINE,
-    EXPIRES,
-    RETAIN.saturating_add(DEADLINE).saturating_add(DEADLINE),
+    KEY_LIFETIME,
+    RECORD_RETENTION
+        .saturating_add(DEADLINE)
+        .saturating_add(DEADLINE),
 ];
 
 /// Most calls that the caller sends: the first at the issuer, the others at the second instance.
@@ -44,14 +47,14 @@
     start: Instant,
     time: usize,
     key: Key,
-    issuer: Option<Keys>,
+    issuer: Option<KeyIssuer>,
     restarted: bool,
     witness: Witness,
     witness_restarted: bool,
     /// The second instance's own memory, into which a leaver hands over.
-    second: Keys,
-    handed: Vec<HandedOver>,
-    forward: Option<ToWitness>,
+    second: KeyIssuer,
+    handed: Vec<EndedKeyRecord>,
+    forward: Option<WitnessRequest>,
     receivers: [Option<Receiver>; CALLS],
     /// Calls that wait for an answer of the issuer.
     joined: Vec<usize>,
@@ -67,8 +70,8 @@
     /// Makes the world in which the key was just issued.
     pub fn new(variant: Variant, bounds: Bounds) -> Self {
         let start = Instant::now();
-        let mut issuer = Keys::new("issuer".into(), 1, start);
-        let witness = WitnessName {
+        let mut issuer = KeyIssuer::new("issuer".into(), 1, start);
+        let witness = WitnessId {
             instance: "witness".into(),
             incarnation: 7,
         };
@@ -84,7 +87,7 @@
             restarted: false,
             witness: Witness::new(7),
             witness_restarted: false,
-            second: Keys::new("second".into(), 3, start),
+            second: KeyIssuer::new("second".into(), 3, start),
             handed: Vec::new(),
             forward: None,
             receivers: [const { None }; CALLS],
@@ -117,46 +120,46 @@
         self.step(call, started.step);
     }
 
-    fn step(&mut self, call: usize, step: Step) {
+    fn step(&mut self, call: usize, step: ReceiverStep) {
         match step {
-            Step::Forward { .. } => self.post(Packet::Call { call }),
-            Step::LookUp { .. } => {
-                let known = self.second.adopted(self.now(), &self.key.id());
-                let answer = known.map_or(FromIssuer::NotHere, FromIssuer::Outcome);
+            ReceiverStep::Forward { .. } => self.post(Packet::Call { call }),
+            ReceiverStep::LookUp { .. } => {
+                let known = self.second.adopted_outcome(self.now(), &self.key.id());
+                let answer = known.map_or(IssuerReply::NotHere, IssuerReply::Outcome);
                 self.answer(call, answer);
             }
-            Step::Close { .. } if self.variant == Variant::NoWitness => {
-                self.tell(call, &Outcome::NotRun(NotRun::Closed));
+            ReceiverStep::Close { .. } if self.variant == Variant::NoWitness => {
+                self.tell(call, &KeyOutcome::NotRun(NotRun::Closed));
             }
-            Step::Close { .. } => self.post(Packet::Close { call }),
-            Step::Answer(outcome) => self.tell(call, &outcome),
-            Step::Refuse => self.told[call] = Told::Refused,
+            ReceiverStep::Close { .. } => self.post(Packet::Close { call }),
+            ReceiverStep::Answer(outcome) => self.tell(call, &outcome),
+            ReceiverStep::Refuse => self.told[call] = Told::Refused,
         }
     }
 
-    fn answer(&mut self, call: usize, answer: FromIssuer) {
+    fn answer(&mut self, call: usize, answer: IssuerReply) {
         if let Some(receiver) = &mut self.receivers[call] {
-            if let Some(step) = receiver.on_issuer(answer) {
+            if let Some(step) = receiver.on_issuer_reply(answer) {
                 self.step(call, step);
             }
             return;
         }
         match answer {
-            FromIssuer::Outcome(outcome) => self.tell(call, &outcome),
-            FromIssuer::Refused => self.told[call] = Told::Refused,
-            FromIssuer::Moved { .. } | FromIssuer::NotHere => self.told[call] = Told::Broken,
+            IssuerReply::Outcome(outcome) => self.tell(call, &outcome),
+            IssuerReply::Refused => self.told[call] = Told::Refused,
+            IssuerReply::Moved { .. } | IssuerReply::NotHere => self.told[call] = Told::Broken,
         }
     }
 
-    fn tell(&mut self, call: usize, outcome: &Outcome) {
+    fn tell(&mut self, call: usize, outcome: &KeyOutcome) {
         if self.told[call] != Told::Waits {
             return;
         }
         self.told[call] = match outcome {
-            Outcome::Ran { .. } => Told::Ran,
-            Outcome::Unknown { .. } => Told::Unknown,
-            Outcome::NotRun(NotRun::Late | NotRun::Full | NotRun::Mismatch) => Told::Refused,
-            Outcome::NotRun(_) => Told::NeverRuns,
+            KeyOutcome::Ran { .. } => Told::Ran,
+            KeyOutcome::Unknown { .. } => Told::Unknown,
+            KeyOutcome::NotRun(NotRun::Late | NotRun::Full | NotRun::Mismatch) => Told::Refused,
+            KeyOutcome::NotRun(_) => Told::NeverRuns,
         };
     }
 
@@ -165,23 +168,23 @@
         let Some(issuer) = &mut self.issuer else {
             return;
         };
-        let terms = Call {
+        let terms = CallAttempt {
             id: call.to_string().into(),
             hash: 1,
             deadline: now + DEADLINE,
         };
         match issuer.on_use(now, &key, terms) {
-            Use::First => {
+            UseDecision::First => {
                 self.taken = self.time;
                 self.joined.push(call);
             }
-            Use::Join => self.joined.push(call),
-            Use::Answer(answer) => self.post(Packet::Answer { call, answer }),
+            UseDecision::Join => self.joined.push(call),
+            UseDecision::Answer(answer) => self.post(Packet::Answer { call, answer }),
         }
     }
 
     /// Answers everybody who waits for the issuer.
-    fn answer_joined(&mut self, answer: &FromIssuer) {
+    fn answer_joined(&mut self, answer: &IssuerReply) {
         for call in std::mem::take(&mut self.joined) {
             let answer = answer.clone();
             self.post(Packet::Answer { call, answer });
@@ -189,7 +192,7 @@
     }
 
     fn not_run(&mut self, why: NotRun) {
-        self.answer_joined(&FromIssuer::Outcome(Outcome::NotRun(why)));
+        self.answer_joined(&IssuerReply::Outcome(KeyOutcome::NotRun(why)));
     }
 
     fn ask(&mut self) {
@@ -197,19 +200,19 @@
         let Some(issuer) = &mut self.issuer else {
             return;
         };
-        match issuer.ask(now, sequence, &"replica".into()) {
-            Ask::Witness { .. } => self.post(Packet::Permit),
-            Ask::Granted => {}
-            Ask::NotRun(why) => self.not_run(why),
+        match issuer.request_permission(now, sequence, &"replica".into()) {
+            Permission::AskWitness { .. } => self.post(Packet::Permit),
+            Permission::Granted => {}
+            Permission::NotRun(why) => self.not_run(why),
         }
     }
 
-    fn permission_arrives(&mut self, answer: Option<&FromWitness>) {
+    fn permission_arrives(&mut self, answer: Option<&WitnessReply>) {
         let sequence = self.key.sequence;
         let Some(issuer) = &mut self.issuer else {
             return;
         };
-        if let Err(why) = issuer.on_witness(sequence, answer) {
+        if let Err(why) = issuer.on_witness_reply(sequence, answer) {
             self.not_run(why);
         }
     }
@@ -233,14 +236,14 @@
         }
     }
 
-    fn finish(&mut self, answer: Option<Answer>) {
+    fn finish(&mut self, answer: Option<StoredResponse>) {
         let sequence = self.key.sequence;
         let outcome = self
             .issuer
             .as_mut()
             .and_then(|issuer| issuer.finish(sequence, answer));
         if let Some(outcome) = outcome {
-            self.answer_joined(&FromIssuer::Outcome(outcome));
+            self.answer_joined(&IssuerReply::Outcome(outcome));
         }
     }
 
@@ -264,18 +267,18 @@
         let Some(issuer) = &mut self.issuer else {
             return;
         };
-        let handed = issuer.hand_over(&"second".into());
+        let handed = issuer.hand_over_ended(&"second".into());
         self.handed = handed.records.into_iter().flatten().collect();
-        self.forward = handed.forwardings.into_iter().next().map(|f| f.message);
+        self.forward = handed.notices.into_iter().next().map(|f| f.message);
         let ended = self.handed.first().map(|h| h.outcome.clone());
         if let Some(outcome) = ended {
-            self.answer_joined(&FromIssuer::Outcome(outcome));
+            self.answer_joined(&IssuerReply::Outcome(outcome));
             self.post(Packet::HandOver);
             self.post(Packet::Forward);
         }
     }
 
-    fn ask_witness(&mut self, message: &ToWitness) -> FromWitness {
+    fn ask_witness(&mut self, message: &WitnessRequest) -> WitnessReply {
         let now = self.now();
         self.witness.on_message(now, message)
     }
@@ -292,7 +295,7 @@
             Packet::Call { call } => self.call_arrives(*call),
             Packet::Answer { call, answer } => self.answer(*call, answer.clone()),
             Packet::Permit => {
-                let message = ToWitness::Permit {
+                let message = WitnessRequest::Permit {
                     key: self.key.id(),
                     witness: self.incarnation(),
                     upstream: "replica".into(),
@@ -302,7 +305,7 @@
             }
             Packet::Permission { answer } => self.permission_arrives(Some(answer)),
             Packet::Close { call } => {
-                let message = ToWitness::Close {
+                let message = WitnessRequest::Close {
                     key: self.key.id(),
                     witness: self.incarnation(),
                 };
@@ -315,7 +318,7 @@
             Packet::Closing { call, answer } => {
                 let step = self.receivers[*call]
                     .as_mut()
-                    .and_then(|r| r.on_witness(answer.clone()));
+                    .and_then(|r| r.on_witness_reply(answer.clone()));
                 if let Some(step) = step {
                     self.step(*call, step);
                 }
@@ -370,15 +373,15 @@
             }
         }
         match self.phase() {
-            Some(Phase::Waiting) => actions.extend([Action::Shed, Action::Ask]),
-            Some(Phase::Asking) => actions.push(Action::WitnessWaitEnds),
-            Some(Phase::Permitted) => actions.push(Action::Dispatch),
-            Some(Phase::Running) => actions.extend([Action::Finish, Action::Break]),
-            Some(Phase::Refused | Phase::Done) | None => {}
+            Some(KeyPhase::Waiting) => actions.extend([Action::Shed, Action::Ask]),
+            Some(KeyPhase::Asking) => actions.push(Action::WitnessWaitEnds),
+            Some(KeyPhase::Permitted) => actions.push(Action::Dispatch),
+            Some(KeyPhase::Running) => actions.extend([Action::Finish, Action::Break]),
+            Some(KeyPhase::Refused | KeyPhase::Done) | None => {}
         }
     }
 
-    fn phase(&self) -> Option<Phase> {
+    fn phase(&self) -> Option<KeyPhase> {
         let issuer = self.issuer.as_ref()?;
         if issuer.incarnation() != self.key.incarnation {
             return None;
@@ -393,7 +396,7 @@
                 self.receivers[call] = None;
             }
         }
-        let asking = self.phase() == Some(Phase::Asking);
+        let asking = self.phase() == Some(KeyPhase::Asking);
         let waits = self.told.clone().map(|t| t == Told::Waits);
         self.packets.retain(|packet| match packet {
             Packet::Answer { call, .. } | Packet::Closing { call, .. } => waits[*call],
@@ -447,7 +450,7 @@
             Action::WitnessWaitEnds => self.permission_arrives(None),
             Action::Shed => self.shed(),
             Action::Dispatch => self.dispatch(),
-            Action::Finish => self.finish(Some(Answer {
+            Action::Finish => self.finish(Some(StoredResponse {
                 status: 201,
                 content_type: None,
                 body: Vec::new(),
@@ -459,7 +462,7 @@
             }
             Action::Restart => {
                 self.restarted = true;
-                self.issuer = Some(Keys::new("issuer".into(), 2, self.now()));
+                self.issuer = Some(KeyIssuer::new("issuer".into(), 2, self.now()));
             }
             Action::RestartWitness => {
                 self.bounds.faults -= 1;
