--- a/crates/entry/src/account.rs
+++ b/crates/entry/src/account.rs
@@ -14,13 +14,13 @@
 use crate::kind::Refusal;
 use crate::log::Weight;
 use crate::metrics::Timing;
-use crate::node::{Node, Place, Stage};
+use crate::node::{Node, SlotGuard, Stage};
 use crate::port::Call;
 use crate::request::Life;
 
 /// A request was given a place and goes to a replica.
-pub fn sent(node: &Node, life: &Life, place: &Place) {
-    let why = place.why;
+pub fn sent(node: &Node, life: &Life, place: &SlotGuard) {
+    let why = place.selection;
     let organisation = life.organisation.as_ref().map_or("-", |o| &*o.name);
     node.log.line(
         Weight::Ordinary,
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -72,7 +72,7 @@
                 credit::see_fleet(&node);
                 hearing::take_loads(&node);
                 hearing::take_waiting(&node);
-                node.pump();
+                node.assign_slots();
                 sender.tick(&node, &socket);
             }
             () = node.greeting.notified() => sender.greet(&node, &socket),
--- a/crates/entry/src/hearing.rs
+++ b/crates/entry/src/hearing.rs
@@ -102,7 +102,7 @@
 fn act(node: &Node) {
     take_loads(node);
     take_waiting(node);
-    node.pump();
+    node.assign_slots();
 }
 
 /// Tells of the instances that have fallen silent, and forgets those that are gone.
--- a/crates/entry/src/life.rs
+++ b/crates/entry/src/life.rs
@@ -111,11 +111,11 @@
 async fn watch_waiting(node: Rc<Node>) {
     loop {
         if node.dispatch.borrow().waiting() == 0 {
-            node.waiting.notified().await;
+            node.queue_wakeup.notified().await;
         }
         sleep(WAITING_TICK).await;
-        node.give_up();
-        node.pump();
+        node.expire_waiting();
+        node.assign_slots();
     }
 }
 
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -1,7 +1,7 @@
 //! What one entry instance knows and does, shared by its tasks.
 
-mod places;
 mod replicas;
+mod slots;
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::net::Ipv4Addr;
@@ -29,9 +29,9 @@
 use crate::settings::Settings;
 use crate::table::Table;
 
-use places::Verdict;
-pub use places::{NoPlace, Place};
 pub use replicas::Target;
+use slots::Verdict;
+pub use slots::{SlotError, SlotGuard};
 
 /// An instance that the store has not answered for this long does not count as one that reads it: a
 /// watch waits for four seconds at most.
@@ -112,7 +112,7 @@
     /// Requests that were taken from callers since the start.
     pub taken: Cell<u64>,
     /// Wakes the timer of waiting requests.
-    pub waiting: Notify,
+    pub queue_wakeup: Notify,
     store_answered: Cell<Option<Instant>>,
     table: RefCell<Option<Rc<Table>>>,
     targets: RefCell<Vec<Rc<Target>>>,
@@ -171,7 +171,7 @@
             active: Cell::new(0),
             connections: watch::Sender::new(0),
             taken: Cell::new(0),
-            waiting: Notify::new(),
+            queue_wakeup: Notify::new(),
             table: RefCell::new(None),
             targets: RefCell::new(Vec::new()),
             short_names: RefCell::new(Vec::new()),
--- a/crates/entry/src/node/replicas.rs
+++ b/crates/entry/src/node/replicas.rs
@@ -80,7 +80,7 @@
         for (name, sum) in self.peers.borrow().loads() {
             self.set_elsewhere(*name, *sum);
         }
-        self.pump();
+        self.assign_slots();
     }
 
     /// Tells the dispatcher of the replicas anew, after a change of them or of the table.
--- a/crates/entry/src/node/places.rs
+++ b/crates/entry/src/node/slots.rs
@@ -12,12 +12,12 @@
 
 /// Why a waiting request got no place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoPlace {
+pub enum SlotError {
     /// No replica had room in time.
-    GivenUp,
+    TimedOut,
 }
 
-pub(super) type Verdict = Result<(UpstreamId, Why), NoPlace>;
+pub(super) type Verdict = Result<(UpstreamId, Why), SlotError>;
 
 /// Takes a waiting request out again when its caller goes away.
 #[derive(Debug)]
@@ -37,26 +37,26 @@
         // A place that was given but not taken would stay occupied for good.
         if let Ok(Ok((upstream, _))) = self.rx.try_recv() {
             self.node.end(&upstream, self.job, Outcome::Unknown);
-            self.node.pump();
+            self.node.assign_slots();
         }
     }
 }
 
 /// A place at a replica, held until the request has ended there.
 #[derive(Debug)]
-pub struct Place {
+pub struct SlotGuard {
     node: Rc<Node>,
     /// The replica.
     pub upstream: UpstreamId,
     /// What decided for it.
-    pub why: Why,
+    pub selection: Why,
     job: JobId,
     ended: bool,
 }
 
-impl Place {
+impl SlotGuard {
     /// Notes that the replica has begun to answer.
-    pub fn on_first(&self) {
+    pub fn on_first_event(&self) {
         let mut dispatch = self.node.dispatch.borrow_mut();
         dispatch.on_first(Instant::now(), &self.upstream, self.job);
         self.node.changed.notify_one();
@@ -69,7 +69,7 @@
     }
 
     /// Whether the replica brings nothing to anybody here.
-    pub fn is_silent(&self) -> bool {
+    pub fn is_replica_stalled(&self) -> bool {
         self.node
             .dispatch
             .borrow()
@@ -77,25 +77,25 @@
     }
 
     /// Frees the place.
-    pub fn end(mut self, outcome: Outcome) {
+    pub fn release(mut self, outcome: Outcome) {
         self.ended = true;
         self.node.end(&self.upstream, self.job, outcome);
-        self.node.pump();
+        self.node.assign_slots();
     }
 }
 
-impl Drop for Place {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         if !self.ended {
             self.node.end(&self.upstream, self.job, Outcome::Unknown);
-            self.node.pump();
+            self.node.assign_slots();
         }
     }
 }
 
 impl Node {
     /// Waits until a replica has a place for the request.
-    pub async fn place(self: &Rc<Self>, job: Job) -> Result<Place, NoPlace> {
+    pub async fn acquire_slot(self: &Rc<Self>, job: Job) -> Result<SlotGuard, SlotError> {
         let id = job.id;
         let (tx, rx) = oneshot::channel();
         self.waiters.borrow_mut().push((id, tx));
@@ -105,22 +105,22 @@
             job: id,
             rx,
         };
-        self.pump();
-        self.waiting.notify_one();
+        self.assign_slots();
+        self.queue_wakeup.notify_one();
         // The others leave free places to it if it is urgent.
         self.changed.notify_one();
-        let verdict = (&mut waiting.rx).await.unwrap_or(Err(NoPlace::GivenUp));
-        verdict.map(|(upstream, why)| Place {
+        let verdict = (&mut waiting.rx).await.unwrap_or(Err(SlotError::TimedOut));
+        verdict.map(|(upstream, why)| SlotGuard {
             node: Rc::clone(self),
             upstream,
-            why,
+            selection: why,
             job: id,
             ended: false,
         })
     }
 
     /// Gives places to waiting requests, as far as there are any.
-    pub fn pump(&self) {
+    pub fn assign_slots(&self) {
         let now = Instant::now();
         loop {
             let warm = |id: &UpstreamId| self.target(id).is_some_and(|t| t.pool.is_warm(now));
@@ -145,10 +145,10 @@
     }
 
     /// Gives up the waiting requests whose time is over.
-    pub fn give_up(&self) {
+    pub fn expire_waiting(&self) {
         let gone = self.dispatch.borrow_mut().give_up(Instant::now());
         for job in gone {
-            self.tell(job, Err(NoPlace::GivenUp));
+            self.tell(job, Err(SlotError::TimedOut));
         }
     }
 
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -22,7 +22,7 @@
 use crate::events::Scanner;
 use crate::exchange::{self, Answer};
 use crate::metrics::Timing;
-use crate::node::{Node, Place, Target};
+use crate::node::{Node, SlotGuard, Target};
 use crate::over::{Over, time_over};
 use crate::pool::Connection;
 use crate::request::{Active, Life};
@@ -109,7 +109,7 @@
     node: Rc<Node>,
     life: Life,
     target: Rc<Target>,
-    place: Place,
+    place: SlotGuard,
     answer: Answer,
     active: Option<Active>,
 ) -> Response<Body> {
@@ -152,7 +152,7 @@
 /// A run of the request at one replica.
 struct Run {
     target: Rc<Target>,
-    place: Place,
+    place: SlotGuard,
     connection: Connection,
     body: Incoming,
     head: http::response::Parts,
@@ -209,7 +209,7 @@
                     run.target
                         .pool
                         .keep(Instant::now(), run.connection, &run.head.headers);
-                    run.place.end(Outcome::Served);
+                    run.place.release(Outcome::Served);
                     let status = run.head.status.as_u16();
                     let (first, pause) = (self.first_after, self.longest_pause);
                     account::answered(&self.node, &self.life, &replica, status, first, pause);
@@ -232,7 +232,7 @@
             self.log("broke_off", &replica);
             drop(run.connection);
             drop(run.body);
-            run.place.end(Outcome::Failed);
+            run.place.release(Outcome::Failed);
             let (node, route) = (Rc::clone(&self.node), Rc::clone(&self.life.route));
             let over = time_over(&node, &route, self.life.received);
             let next = tokio::select! {
@@ -291,7 +291,7 @@
         let now = Instant::now();
         if found.events > 0 {
             if self.first {
-                run.place.on_first();
+                run.place.on_first_event();
                 if self.first_after.is_zero() {
                     self.first_after = self.life.received.elapsed();
                 }
@@ -374,12 +374,12 @@
                         head: answer.head,
                     });
                 }
-                Ok(_) => place.end(Outcome::Failed),
+                Ok(_) => place.release(Outcome::Failed),
                 Err(e) => {
                     if !e.may_have_run() {
                         self.life.runs -= 1;
                     }
-                    place.end(e.outcome());
+                    place.release(e.outcome());
                 }
             }
         }
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -183,7 +183,7 @@
         loop {
             unanswered.replica = None;
             let placed = tokio::select! {
-                placed = node.place(self.job(node)) => placed.map_err(|_| Over::Route),
+                placed = node.acquire_slot(self.job(node)) => placed.map_err(|_| Over::Route),
                 over = time_over(node, &self.route, self.received) => Err(over),
                 () = self.bound_elsewhere(node) => {
                     self.recheck(node)?;
--- a/crates/entry/src/request/placing.rs
+++ b/crates/entry/src/request/placing.rs
@@ -12,7 +12,7 @@
 use super::refusing::{check_end, check_regions, unavailable};
 use crate::admission::resolve;
 use crate::kind::Refusal;
-use crate::node::{Node, Place, Target};
+use crate::node::{Node, SlotGuard, Target};
 use crate::table::regions;
 
 /// Callers leave a stream, also before its first event, after two seconds, four times the objective
@@ -34,7 +34,7 @@
 
 impl Life {
     /// The replica of a place, unless it has gone or the request may no longer be served there.
-    pub(super) fn target(&self, node: &Node, place: &Place) -> Option<Rc<Target>> {
+    pub(super) fn target(&self, node: &Node, place: &SlotGuard) -> Option<Rc<Target>> {
         let target = node.target(&place.upstream)?;
         let region = node.region_of(&target.published.zone);
         self.regions().allows(&region).then_some(target)
@@ -128,14 +128,14 @@
     }
 
     /// A place for the rest of a stream that broke off, by what holds now.
-    pub async fn place_again(&mut self, node: &Rc<Node>) -> Option<(Place, Rc<Target>)> {
+    pub async fn place_again(&mut self, node: &Rc<Node>) -> Option<(SlotGuard, Rc<Target>)> {
         self.follow_table(node);
         let now = Instant::now();
         let mut job = self.job(node);
         job.rank = (0, 0);
         job.due = now + self.route.longest_pause;
         job.give_up = now + PATIENCE.mul_f64(BEFORE_PATIENCE_ENDS);
-        let place = node.place(job).await.ok()?;
+        let place = node.acquire_slot(job).await.ok()?;
         self.follow_table(node);
         let target = self.target(node, &place)?;
         Some((place, target))
--- a/crates/entry/src/request/sending.rs
+++ b/crates/entry/src/request/sending.rs
@@ -12,7 +12,7 @@
 use crate::exchange::{self, Answer, Failure};
 use crate::kind::Refusal;
 use crate::metrics::Timing;
-use crate::node::{Node, Place, Target};
+use crate::node::{Node, SlotGuard, Target};
 use crate::over::time_over;
 use crate::port::Onward;
 use crate::relay::{self, Body};
@@ -42,11 +42,11 @@
         &mut self,
         node: &Rc<Node>,
         target: &Rc<Target>,
-        place: Place,
+        place: SlotGuard,
         active: &mut Option<Active>,
     ) -> Next {
         if self.left(node).is_zero() {
-            place.end(Outcome::Unknown);
+            place.release(Outcome::Unknown);
             return Next::Refuse(self.too_late());
         }
         let at_once = AT_ONCE + node.travel(&target.published.zone) * 2;
@@ -69,7 +69,7 @@
                 e => e,
             }),
             over = time_over(node, &self.route, self.received) => {
-                place.end(Outcome::Unknown);
+                place.release(Outcome::Unknown);
                 return Next::Refuse(self.is_over(node, over));
             }
             () = self.rescue(node, &place) => Err(Failure::Abandoned),
@@ -82,7 +82,7 @@
 
     /// Ends when the request had better be sent to another replica, with a repeat taken for it; never
     /// if it may not. A request that is given up with nothing in its place helps nobody.
-    async fn rescue(&self, node: &Node, place: &Place) {
+    async fn rescue(&self, node: &Node, place: &SlotGuard) {
         if !self.route.kind.repeatable() || self.runs >= self.route.attempts {
             return std::future::pending().await;
         }
@@ -91,15 +91,15 @@
             tokio::time::sleep(RESCUE_CHECK).await;
             let plain = !self.route.kind.is_stream();
             let slow = sent.elapsed() > self.route.objective.mul_f64(PLAIN_RESCUE);
-            if (place.is_silent() || (plain && slow)) && self.may_repeat(node) {
+            if (place.is_replica_stalled() || (plain && slow)) && self.may_repeat(node) {
                 return;
             }
         }
     }
 
-    fn failed(&mut self, node: &Node, place: Place, failure: Failure) -> Next {
+    fn failed(&mut self, node: &Node, place: SlotGuard, failure: Failure) -> Next {
         account::send_failed(node, self, &place.upstream, failure);
-        place.end(failure.outcome());
+        place.release(failure.outcome());
         if failure.may_have_run() {
             return if failure == Failure::Abandoned || self.may_repeat(node) {
                 Next::Again
@@ -120,7 +120,7 @@
         &mut self,
         node: &Rc<Node>,
         target: &Rc<Target>,
-        place: Place,
+        place: SlotGuard,
         answer: Answer,
         active: &mut Option<Active>,
     ) -> Next {
@@ -146,7 +146,7 @@
         &mut self,
         node: &Rc<Node>,
         target: &Rc<Target>,
-        place: Place,
+        place: SlotGuard,
         answer: Answer,
     ) -> Next {
         let Answer {
@@ -165,7 +165,7 @@
         };
         target.pool.keep(Instant::now(), connection, &head.headers);
         let failed = head.status.is_server_error();
-        place.end(if failed {
+        place.release(if failed {
             Outcome::Failed
         } else {
             Outcome::Served
