--- a/crates/entry/src/account.rs
+++ b/crates/entry/src/account.rs
@@ -14,7 +14,7 @@
 use crate::kind::Refusal;
 use crate::log::Weight;
 use crate::metrics::Timing;
-use crate::node::{Node, SlotGuard, Stage};
+use crate::node::{Node, ProcessState, SlotGuard};
 use crate::port::Call;
 use crate::request::Life;
 
@@ -171,8 +171,8 @@
             return;
         }
         // The tasks of a process that ends are dropped as well, and their callers have not left.
-        let event = match self.node.stage() {
-            Stage::Ended => "cut",
+        let event = match self.node.process_state() {
+            ProcessState::Ended => "cut",
             _ => "caller_left",
         };
         self.node.metrics.count(event);
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -15,7 +15,7 @@
 
 use crate::credit::{self, Charged, Uncharged};
 use crate::kind::{Kind, Refusal};
-use crate::node::{Node, Stage};
+use crate::node::{Node, ProcessState};
 use crate::port::Call;
 use crate::table::{Organisation, Route, Table};
 
@@ -56,12 +56,12 @@
 /// leaves, the pace that is learned of the replicas decides; once it closes, nothing may be cut, so
 /// a slow replica must be able to end it too.
 pub fn ends_in_time(node: &Node, service: &ServiceId, call: &Call) -> bool {
-    let Some(end) = node.answers_by.get() else {
+    let Some(end) = node.response_deadline.get() else {
         return true;
     };
     let left = end.saturating_duration_since(Instant::now());
     let slow = SLOW_REST + SLOW_TOKEN * call.output_tokens.unwrap_or(0);
-    if node.stage() >= Stage::Closing && slow >= left {
+    if node.process_state() >= ProcessState::Closing && slow >= left {
         return false;
     }
     let left = left.saturating_sub(REST);
@@ -162,7 +162,10 @@
             .with_message(format!("{wanted}, no answer"))
             .with_retry_after(COME_BACK_SOON);
     };
-    let pace = node.ledger.borrow().pace(short_name(&organisation.name));
+    let pace = node
+        .credit_ledger
+        .borrow()
+        .pace(short_name(&organisation.name));
     let depth = pace.map_or(0.0, |p| p.depth());
     let size = node.peers.borrow().zone_size();
     let reason = format!(
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 
 use crate::log::Weight;
-use crate::node::{Node, Stage};
+use crate::node::{Node, ProcessState};
 use crate::queue::Queue;
 use crate::request;
 use crate::snapshot::{SNAPSHOT_PATH, Snapshot};
@@ -39,20 +39,20 @@
 
 impl Open {
     fn new(node: &Rc<Node>) -> Self {
-        node.connections.send_modify(|open| *open += 1);
+        node.open_connections.send_modify(|open| *open += 1);
         Self(Rc::clone(node))
     }
 }
 
 impl Drop for Open {
     fn drop(&mut self) {
-        self.0.connections.send_modify(|open| *open -= 1);
+        self.0.open_connections.send_modify(|open| *open -= 1);
     }
 }
 
 /// Answers callers, and takes connections until the instance listens no more.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
-    let mut stage = node.stage.subscribe();
+    let mut stage = node.process_state.subscribe();
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
@@ -60,7 +60,7 @@
                 // Out of descriptors: those that are open end sooner or later.
                 Err(_) => sleep(ACCEPT_PAUSE).await,
             },
-            _ = stage.wait_for(|stage| *stage >= Stage::Shut) => break,
+            _ = stage.wait_for(|stage| *stage >= ProcessState::Shut) => break,
         }
     }
     take_queued(&node, listener);
@@ -97,9 +97,9 @@
     if stream.set_nodelay(true).is_err() {
         return;
     }
-    let mut stage = node.stage.subscribe();
+    let mut stage = node.process_state.subscribe();
     // A connection that comes this late is never idle: it has one request, which it brings at once.
-    let late = node.stage() >= Stage::Closing;
+    let late = node.process_state() >= ProcessState::Closing;
     let limits = node.table().map(|t| t.limits);
     let idle = limits.map_or(FIRST_IDLE, |l| l.idle_timeout.max(l.head_timeout));
     let head = limits.map_or(16 * 1024, |l| l.head_bytes).max(8 * 1024);
@@ -122,7 +122,7 @@
             biased;
             // An error means that the caller went away or sent what is no request.
             _ = connection.as_mut() => return,
-            _ = stage.wait_for(|stage| *stage >= Stage::Closing) => {}
+            _ = stage.wait_for(|stage| *stage >= ProcessState::Closing) => {}
         }
         connection.as_mut().graceful_shutdown();
     }
@@ -154,11 +154,11 @@
 
 fn tell_directory(node: &Node, after: &str) -> Response<Full<Bytes>> {
     let after: Revision = after.parse().unwrap_or(0);
-    let known = node.known.borrow();
+    let known = node.directory.borrow();
     let changed = known.entries().iter().filter(|e| e.revision > after);
     let snapshot = Snapshot {
         upto: known.upto(),
-        store_trouble: node.reader.borrow().in_trouble(),
+        store_trouble: node.directory_reader.borrow().in_trouble(),
         entries: changed.cloned().collect(),
     };
     match rmp_serde::to_vec(&snapshot) {
--- a/crates/entry/src/credit.rs
+++ b/crates/entry/src/credit.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, sleep};
 
 use crate::log::Weight;
-use crate::node::{Node, Stage};
+use crate::node::{Node, ProcessState};
 use crate::peers::PeerMessage;
 use crate::settings::Settings;
 use crate::table::Organisation;
@@ -43,7 +43,7 @@
 /// The time by which credit is counted. It goes on while the machine is suspended: credit that was at
 /// hand before would live longer than it may.
 fn now(node: &Node) -> Instant {
-    Instant::now() + node.clock.suspended()
+    Instant::now() + node.suspend_detector.suspended()
 }
 
 /// The zones of the deployment, by how far they are.
@@ -78,9 +78,12 @@
     let name = short_name(&organisation.name);
     let began = now(node);
     let (tx, rx) = oneshot::channel();
-    let keeper = Ipv4Addr::from_bits(node.ledger.borrow().keeper(began, name));
-    let number = node.ledger.borrow_mut().request(began, name, limit, charge);
-    node.verdicts.borrow_mut().push((number, tx));
+    let keeper = Ipv4Addr::from_bits(node.credit_ledger.borrow().keeper(began, name));
+    let number = node
+        .credit_ledger
+        .borrow_mut()
+        .request(began, name, limit, charge);
+    node.credit_waiters.borrow_mut().push((number, tx));
     flush(node);
     let _forget = Forget { node, number };
     let verdict = rx.await.unwrap_or(Verdict::Unanswered);
@@ -107,7 +110,9 @@
 pub fn give_back(node: &Node, organisation: &Organisation, charged: &Charged) {
     if let Some(lot) = charged.lot {
         let name = short_name(&organisation.name);
-        node.ledger.borrow_mut().give_back(now(node), name, lot);
+        node.credit_ledger
+            .borrow_mut()
+            .give_back(now(node), name, lot);
     }
 }
 
@@ -119,7 +124,7 @@
     };
     let table = node.table();
     let limit = organisation.and_then(|name| table?.organisation_by_short_name(name)?.limit);
-    let mut ledger = node.ledger.borrow_mut();
+    let mut ledger = node.credit_ledger.borrow_mut();
     ledger.on_message(now(node), from.to_bits(), message, limit);
     drop(ledger);
     flush(node);
@@ -129,7 +134,7 @@
 pub fn see_fleet(node: &Node) {
     let mut roster = node.peers.borrow_mut().roster(Instant::now());
     // Instances that end have left the others' counts.
-    if node.stage() >= Stage::Closing {
+    if node.process_state() >= ProcessState::Closing {
         roster.mints_since = None;
     }
     let known = roster.mints_since.is_some();
@@ -138,9 +143,9 @@
     node.dispatch
         .borrow_mut()
         .set_members(Instant::now(), members);
-    let slept = node.clock.suspended();
+    let slept = node.suspend_detector.suspended();
     roster.mints_since = roster.mints_since.map(|at| at + slept);
-    let mut ledger = node.ledger.borrow_mut();
+    let mut ledger = node.credit_ledger.borrow_mut();
     if ledger.mints() != roster.mints_since.is_some() {
         node.log.line(
             Weight::Notable,
@@ -157,10 +162,10 @@
 /// Looks after the requests that wait for credit until the process ends.
 pub async fn run(node: Rc<Node>) {
     loop {
-        node.credit_waits.notified().await;
-        while !node.ledger.borrow().is_idle() {
+        node.credit_wakeup.notified().await;
+        while !node.credit_ledger.borrow().is_idle() {
             sleep(LOOK).await;
-            node.ledger.borrow_mut().tick(now(&node));
+            node.credit_ledger.borrow_mut().tick(now(&node));
             flush(&node);
         }
     }
@@ -168,7 +173,7 @@
 
 /// Sends what is to be sent, and tells requests what was decided.
 fn flush(node: &Node) {
-    let mut ledger = node.ledger.borrow_mut();
+    let mut ledger = node.credit_ledger.borrow_mut();
     let messages = ledger.take_messages();
     let verdicts = ledger.take_verdicts();
     let idle = ledger.is_idle();
@@ -183,7 +188,7 @@
         }
     }
     if !idle {
-        node.credit_waits.notify_one();
+        node.credit_wakeup.notify_one();
     }
 }
 
@@ -200,7 +205,7 @@
 }
 
 fn waiter(node: &Node, number: Number) -> Option<oneshot::Sender<Verdict>> {
-    let mut waiters = node.verdicts.borrow_mut();
+    let mut waiters = node.credit_waiters.borrow_mut();
     let at = waiters.iter().position(|(n, _)| *n == number)?;
     Some(waiters.swap_remove(at).1)
 }
--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -89,7 +89,7 @@
     wait_for_peers(&node).await;
     loop {
         let Err(e) = follow(&node, &mut failures).await;
-        node.reader.borrow_mut().failed_at = Some(Instant::now());
+        node.directory_reader.borrow_mut().failed_at = Some(Instant::now());
         failures += 1;
         if failures == 1 || failures % 16 == 0 {
             let reason = e.to_string();
@@ -111,7 +111,7 @@
     let cfg = node.settings();
     let until = Instant::now() + HEARS_PEERS;
     let waits = cfg.first_start && !cfg.is_contact();
-    while waits && node.known.borrow().upto() == 0 && Instant::now() < until {
+    while waits && node.directory.borrow().upto() == 0 && Instant::now() < until {
         sleep(ASK_PAUSE).await;
     }
 }
@@ -120,24 +120,24 @@
 async fn follow(node: &Rc<Node>, failures: &mut usize) -> Result<Infallible, SourceError> {
     let mut listed = Instant::now();
     loop {
-        while !node.reads() {
+        while !node.reads_store() {
             sleep(READER_CHECK).await;
         }
-        let after = node.known.borrow().upto();
-        if after == 0 || node.relist.get() {
+        let after = node.directory.borrow().upto();
+        if after == 0 || node.needs_full_list.get() {
             listed = Instant::now();
-            let listing = node.source.list().await?;
-            node.relist.set(false);
+            let listing = node.directory_source.list().await?;
+            node.needs_full_list.set(false);
             regained(node, failures);
             take_list(node, listing);
             continue;
         }
         let wait = if *failures > 0 { PROBE } else { WATCH };
         let listing = tokio::select! {
-            listing = node.source.changes(after, wait) => listing,
-            () = node.reread.notified() => {
+            listing = node.directory_source.changes(after, wait) => listing,
+            () = node.resync_wakeup.notified() => {
                 // The process stood still: what it was told meanwhile may be lost.
-                node.relist.set(true);
+                node.needs_full_list.set(true);
                 continue;
             }
         };
@@ -153,7 +153,7 @@
                     Weight::Notable,
                     format_args!("event=directory_history_gone"),
                 );
-                node.relist.set(true);
+                node.needs_full_list.set(true);
                 // A store that forgets what it has just listed would be listed in a loop.
                 sleep_until(listed + LIST_AGAIN).await;
             }
@@ -164,7 +164,7 @@
 
 /// Notes an answer of the store, and tells of it after failures.
 fn regained(node: &Node, failures: &mut usize) {
-    node.on_store_answer();
+    node.record_store_response();
     if *failures > 0 {
         node.log.line(
             Weight::Notable,
@@ -177,7 +177,7 @@
 fn take_list(node: &Rc<Node>, listing: Listing) {
     let entries = listing.entries.len();
     let changed = node
-        .known
+        .directory
         .borrow_mut()
         .take_list(listing.upto, listing.entries);
     node.log.line(
@@ -194,19 +194,19 @@
 /// Returns whether there was any change.
 fn take_changes(node: &Rc<Node>, listing: Listing) -> bool {
     let changed = node
-        .known
+        .directory
         .borrow_mut()
         .take_changes(listing.upto, listing.entries);
     if !changed.is_empty() {
         apply(node);
-        node.changed.notify_one();
+        node.state_changed.notify_one();
     }
     !changed.is_empty()
 }
 
 /// Asks a peer after a while, if it is still ahead or nothing is known here.
 pub fn ask_peers_later(node: &Rc<Node>, after: Duration) {
-    if std::mem::replace(&mut node.reader.borrow_mut().asking, true) {
+    if std::mem::replace(&mut node.directory_reader.borrow_mut().asking, true) {
         return;
     }
     let node = Rc::clone(node);
@@ -214,12 +214,12 @@
         sleep(after).await;
         ask_peers(&node).await;
         sleep(ASK_PAUSE).await;
-        node.reader.borrow_mut().asking = false;
+        node.directory_reader.borrow_mut().asking = false;
     });
 }
 
 async fn ask_peers(node: &Rc<Node>) {
-    let upto = node.known.borrow().upto();
+    let upto = node.directory.borrow().upto();
     let cfg = node.settings();
     let place = (short_name(&cfg.availability_zone), short_name(&cfg.region));
     let salt = rand::rng().random();
@@ -242,7 +242,7 @@
                 ),
             );
             if snapshot.store_trouble {
-                node.reader.borrow_mut().failed_at = Some(Instant::now());
+                node.directory_reader.borrow_mut().failed_at = Some(Instant::now());
             }
             take_snapshot(node, snapshot.upto, snapshot.entries);
         }
@@ -257,12 +257,12 @@
 }
 
 fn take_snapshot(node: &Rc<Node>, upto: Revision, entries: Vec<Entry>) {
-    if upto <= node.known.borrow().upto() {
+    if upto <= node.directory.borrow().upto() {
         return;
     }
-    node.known.borrow_mut().take_changes(upto, entries);
+    node.directory.borrow_mut().take_changes(upto, entries);
     apply(node);
-    node.changed.notify_one();
+    node.state_changed.notify_one();
 }
 
 /// Puts what is known into force.
@@ -270,8 +270,8 @@
     let now = Instant::now();
     let mut lapsing = false;
     {
-        let known = node.known.borrow();
-        let mut reader = node.reader.borrow_mut();
+        let known = node.directory.borrow();
+        let mut reader = node.directory_reader.borrow_mut();
         let trouble = reader.in_trouble();
         for entry in known.entries() {
             reader.take(node, now, entry, trouble);
@@ -279,15 +279,15 @@
         lapsing |= reader.read.iter().any(|r| r.fading.is_some());
     }
     // Before the replicas, whose use depends on it.
-    let emptied = node.reader.borrow().emptied();
-    node.set_emptied(now, emptied);
-    let replicas = node.reader.borrow_mut().replicas(now);
+    let emptied = node.directory_reader.borrow().emptied();
+    node.set_drained_zones(now, emptied);
+    let replicas = node.directory_reader.borrow_mut().replicas(now);
     node.set_replicas(replicas);
     if lapsing {
         let node = Rc::clone(node);
         tokio::task::spawn_local(async move {
             sleep(RETURNS_WITHIN).await;
-            let replicas = node.reader.borrow_mut().replicas(Instant::now());
+            let replicas = node.directory_reader.borrow_mut().replicas(Instant::now());
             node.set_replicas(replicas);
         });
     }
@@ -359,7 +359,7 @@
     /// Takes what the entry means.
     fn take(&mut self, node: &Node, value: &[u8], before: Option<&Published>) {
         let key = &self.key;
-        match node.source.meaning(key, value) {
+        match node.directory_source.meaning(key, value) {
             Meaning::Table(table) => node.set_table(table),
             Meaning::Replica(replica) => {
                 // A cold replica tells again and again how long it stays so.
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -75,12 +75,12 @@
                 node.assign_slots();
                 sender.tick(&node, &socket);
             }
-            () = node.greeting.notified() => sender.greet(&node, &socket),
-            () = node.changed.notified() => {
+            () = node.greeting_wakeup.notified() => sender.greet(&node, &socket),
+            () = node.state_changed.notified() => {
                 sender.tell(&node, &socket, Telling::Change);
                 sleep(OWN_GAP).await;
             }
-            () = node.gathered.notified() => {}
+            () = node.outbox_wakeup.notified() => {}
             () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
                 sender.send_home(&node, &socket);
             }
@@ -151,7 +151,7 @@
         } else {
             self.tell(node, socket, Telling::Change);
         }
-        let knows_fleet = node.ledger.borrow().mints();
+        let knows_fleet = node.credit_ledger.borrow().mints();
         let gap = if knows_fleet { AT_REST } else { UNTIL_FOUND };
         if past(self.contacts_at, gap) {
             self.contacts_at = Some(now);
@@ -282,7 +282,7 @@
     /// whole after a few round trips instead of some seconds.
     fn greet(&mut self, node: &Node, socket: &UdpSocket) {
         let now = Instant::now();
-        let to = std::mem::take(&mut *node.greet.borrow_mut());
+        let to = std::mem::take(&mut *node.greeting_targets.borrow_mut());
         for address in &to {
             node.peers.borrow_mut().on_told(now, *address);
         }
--- a/crates/entry/src/gossip/own.rs
+++ b/crates/entry/src/gossip/own.rs
@@ -7,7 +7,7 @@
 use kingcupfield_decisions::id::{ShortName, short_name};
 use tokio::time::Instant;
 
-use crate::node::{Node, Stage};
+use crate::node::{Node, ProcessState};
 
 /// What others need to know at once when it changes.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -23,9 +23,9 @@
     News {
         loads: own_loads(node),
         waiting: own_waiting(node),
-        upto: node.known.borrow().upto(),
+        upto: node.directory.borrow().upto(),
         zone_size: node.peers.borrow().zone_size() as u16,
-        leaving: node.stage() >= Stage::Closing,
+        leaving: node.process_state() >= ProcessState::Closing,
     }
 }
 
--- a/crates/entry/src/hearing.rs
+++ b/crates/entry/src/hearing.rs
@@ -48,7 +48,7 @@
         Reach::Beyond => node.outbox.borrow_mut().add_away(from, digest.clone()),
         Reach::All => {
             node.outbox.borrow_mut().add_home(from, digest.clone());
-            node.gathered.notify_one();
+            node.outbox_wakeup.notify_one();
         }
     }
     on_digest(node, from, digest);
@@ -62,7 +62,7 @@
     for (from, digest) in digests {
         if by_foreigner && digest.zone != zone {
             node.outbox.borrow_mut().add_foreign(from, digest.clone());
-            node.gathered.notify_one();
+            node.outbox_wakeup.notify_one();
         }
         on_digest(node, from, digest);
     }
@@ -87,13 +87,17 @@
         take_clock(node, from, time_ms);
     }
     if !heard.greet.is_empty() {
-        node.greet.borrow_mut().extend(heard.greet);
-        node.greeting.notify_one();
+        node.greeting_targets.borrow_mut().extend(heard.greet);
+        node.greeting_wakeup.notify_one();
     }
     take_steps(node, &steps);
     take_unreachable(node, &unreachable);
-    if upto > node.known.borrow().upto() {
-        let pause = if node.reads() { BEHIND } else { Duration::ZERO };
+    if upto > node.directory.borrow().upto() {
+        let pause = if node.reads_store() {
+            BEHIND
+        } else {
+            Duration::ZERO
+        };
         directory::ask_peers_later(node, pause);
     }
 }
@@ -157,7 +161,7 @@
     let changed = node.peers.borrow_mut().take_changed_loads();
     for name in changed {
         let sum = node.peers.borrow().load_at(name);
-        node.set_elsewhere(name, sum);
+        node.set_remote_load(name, sum);
     }
 }
 
@@ -165,5 +169,5 @@
 pub fn take_waiting(node: &Node) {
     let zone = short_name(&node.settings().availability_zone);
     let peers = node.peers.borrow();
-    node.set_contenders(peers.waiting(Instant::now(), zone));
+    node.set_competitors(peers.waiting(Instant::now(), zone));
 }
--- a/crates/entry/src/life.rs
+++ b/crates/entry/src/life.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, interval, sleep};
 
 use crate::log::{self, Weight};
-use crate::node::{Node, Stage};
+use crate::node::{Node, ProcessState};
 use crate::port::{Dialect, Source};
 use crate::settings::Settings;
 use crate::stop::Stop;
@@ -36,8 +36,8 @@
         .build()?;
     let local = LocalSet::new();
     let node = local.block_on(&runtime, live(cfg, path, dialect, source))?;
-    let taken = node.taken.get();
-    node.stage.send_replace(Stage::Ended);
+    let taken = node.accepted_requests.get();
+    node.process_state.send_replace(ProcessState::Ended);
     // Requests and streams that are dropped now say so in the log.
     drop(local);
     node.log
@@ -129,12 +129,12 @@
         for target in node.targets() {
             target.pool.reap(now);
         }
-        if let Some(slept) = node.clock.woke() {
+        if let Some(slept) = node.suspend_detector.woke() {
             node.log.line(
                 Weight::Notable,
                 format_args!("event=woke suspended_ms={}", slept.as_millis()),
             );
-            node.reread.notify_one();
+            node.resync_wakeup.notify_one();
         }
     }
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -145,8 +145,8 @@
         self.table_version.set(node.table_version() as f64);
         self.waiting.set(dispatch.waiting() as f64);
         for (of, count) in [
-            ("connections", *node.connections.borrow()),
-            ("requests", node.active.get()),
+            ("connections", *node.open_connections.borrow()),
+            ("requests", node.active_requests.get()),
         ] {
             self.callers.with_label_values(&[of]).set(count as f64);
         }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -39,7 +39,7 @@
 
 /// Where a process stands in its life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stage {
+pub enum ProcessState {
     /// It takes connections and requests.
     Serving,
     /// It says that it is not ready, and still answers what comes.
@@ -56,61 +56,61 @@
 pub struct Node {
     cfg: RefCell<Rc<Settings>>,
     /// Words of callers and upstreams.
-    pub dialect: Rc<dyn Dialect>,
+    pub protocol: Rc<dyn Dialect>,
     /// The published directory.
-    pub source: Rc<dyn Source>,
+    pub directory_source: Rc<dyn Source>,
     /// Its log.
     pub log: Log,
     /// Notices suspension.
-    pub clock: Clock,
+    pub suspend_detector: Clock,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Credit of organisations' limits.
-    pub ledger: RefCell<Ledger>,
+    pub credit_ledger: RefCell<Ledger>,
     /// Requests that wait for credit.
-    pub verdicts: RefCell<Vec<(Number, oneshot::Sender<CreditVerdict>)>>,
+    pub credit_waiters: RefCell<Vec<(Number, oneshot::Sender<CreditVerdict>)>>,
     /// Wakes the timer of requests that wait for credit.
-    pub credit_waits: Notify,
+    pub credit_wakeup: Notify,
     /// Sends to the other instances.
     pub peer_socket: OnceCell<Rc<UdpSocket>>,
     /// Budget for repeats.
-    pub repeats: RefCell<Repeats>,
+    pub retry_budget: RefCell<Repeats>,
     /// Published entries.
-    pub known: RefCell<Known>,
+    pub directory: RefCell<Known>,
     /// The other instances.
     pub peers: RefCell<Peers>,
     /// Zones whose replicas get nothing new.
-    pub emptied: RefCell<EmptiedZones>,
+    pub drained_zones: RefCell<EmptiedZones>,
     /// Waiting requests and the load of replicas.
     pub dispatch: RefCell<Dispatch>,
     /// Wakes the reader of the directory.
-    pub reread: Notify,
+    pub resync_wakeup: Notify,
     /// Instances that are to be told everything at once.
-    pub greet: RefCell<Vec<Ipv4Addr>>,
+    pub greeting_targets: RefCell<Vec<Ipv4Addr>>,
     /// Wakes the sender of messages to new instances.
-    pub greeting: Notify,
+    pub greeting_wakeup: Notify,
     /// Wakes the sender of news of this instance.
-    pub changed: Notify,
+    pub state_changed: Notify,
     /// News that this instance passes on.
     pub outbox: RefCell<Outbox>,
     /// Wakes the sender of what is passed on.
-    pub gathered: Notify,
+    pub outbox_wakeup: Notify,
     /// Whether the directory is to be read whole.
-    pub relist: Cell<bool>,
+    pub needs_full_list: Cell<bool>,
     /// What was read of the directory.
-    pub reader: RefCell<Reader>,
+    pub directory_reader: RefCell<Reader>,
     /// Where the process stands in its life.
-    pub stage: watch::Sender<Stage>,
+    pub process_state: watch::Sender<ProcessState>,
     /// The table's version, for those that wait for a change.
-    pub version: watch::Sender<u64>,
+    pub version_tx: watch::Sender<u64>,
     /// When the last answers are given, once the process was told to stop.
-    pub answers_by: Cell<Option<Instant>>,
+    pub response_deadline: Cell<Option<Instant>>,
     /// Requests being answered.
-    pub active: Cell<usize>,
+    pub active_requests: Cell<usize>,
     /// Connections of callers that are open, from their acceptance until all is written.
-    pub connections: watch::Sender<usize>,
+    pub open_connections: watch::Sender<usize>,
     /// Requests that were taken from callers since the start.
-    pub taken: Cell<u64>,
+    pub accepted_requests: Cell<u64>,
     /// Wakes the timer of waiting requests.
     pub queue_wakeup: Notify,
     store_answered: Cell<Option<Instant>>,
@@ -139,38 +139,38 @@
         let mut ledger = Ledger::new(cfg.address().to_bits(), rand::random());
         ledger.set_bounds(cfg.limit_window(), cfg.tolerance());
         Rc::new(Self {
-            dialect,
-            source,
+            protocol: dialect,
+            directory_source: source,
             log: Log::new(),
-            clock: Clock::new(),
+            suspend_detector: Clock::new(),
             metrics: Metrics::new(),
-            ledger: RefCell::new(ledger),
-            verdicts: RefCell::new(Vec::new()),
-            credit_waits: Notify::new(),
+            credit_ledger: RefCell::new(ledger),
+            credit_waiters: RefCell::new(Vec::new()),
+            credit_wakeup: Notify::new(),
             peer_socket: OnceCell::new(),
-            repeats: RefCell::new(Repeats::new(cfg.repeat_bounds())),
-            known: RefCell::new(Known::new()),
+            retry_budget: RefCell::new(Repeats::new(cfg.repeat_bounds())),
+            directory: RefCell::new(Known::new()),
             peers: RefCell::new(
                 Peers::new(now, cfg.address(), cfg.has_other_contacts())
                     .with_zones(credit::zones(&cfg)),
             ),
             dispatch: RefCell::new(Dispatch::new().with_key(cfg.address().to_bits())),
-            emptied: RefCell::new(EmptiedZones::new()),
-            reread: Notify::new(),
-            greet: RefCell::new(Vec::new()),
-            greeting: Notify::new(),
-            changed: Notify::new(),
+            drained_zones: RefCell::new(EmptiedZones::new()),
+            resync_wakeup: Notify::new(),
+            greeting_targets: RefCell::new(Vec::new()),
+            greeting_wakeup: Notify::new(),
+            state_changed: Notify::new(),
             outbox: RefCell::new(Outbox::default()),
-            gathered: Notify::new(),
-            relist: Cell::new(false),
+            outbox_wakeup: Notify::new(),
+            needs_full_list: Cell::new(false),
             store_answered: Cell::new(None),
-            reader: RefCell::new(Reader::default()),
-            stage: watch::Sender::new(Stage::Serving),
-            version: watch::Sender::new(0),
-            answers_by: Cell::new(None),
-            active: Cell::new(0),
-            connections: watch::Sender::new(0),
-            taken: Cell::new(0),
+            directory_reader: RefCell::new(Reader::default()),
+            process_state: watch::Sender::new(ProcessState::Serving),
+            version_tx: watch::Sender::new(0),
+            response_deadline: Cell::new(None),
+            active_requests: Cell::new(0),
+            open_connections: watch::Sender::new(0),
+            accepted_requests: Cell::new(0),
             queue_wakeup: Notify::new(),
             table: RefCell::new(None),
             targets: RefCell::new(Vec::new()),
@@ -188,11 +188,13 @@
     }
 
     /// Takes from newer settings what takes effect while the process runs.
-    pub fn adjust(&self, newer: &Settings) {
+    pub fn apply_settings(&self, newer: &Settings) {
         let mut cfg = Settings::clone(&self.settings());
         cfg.adjust(newer);
-        self.repeats.borrow_mut().set_bounds(cfg.repeat_bounds());
-        let mut ledger = self.ledger.borrow_mut();
+        self.retry_budget
+            .borrow_mut()
+            .set_bounds(cfg.repeat_bounds());
+        let mut ledger = self.credit_ledger.borrow_mut();
         ledger.set_bounds(cfg.limit_window(), cfg.tolerance());
         drop(ledger);
         *self.cfg.borrow_mut() = Rc::new(cfg);
@@ -209,15 +211,15 @@
     }
 
     /// Where the process stands in its life.
-    pub fn stage(&self) -> Stage {
-        *self.stage.borrow()
+    pub fn process_state(&self) -> ProcessState {
+        *self.process_state.borrow()
     }
 
     /// Ends when the process has just time left to answer; never while it was not told to stop.
-    pub async fn last_answers(&self) {
-        let mut stage = self.stage.subscribe();
+    pub async fn response_deadline_reached(&self) {
+        let mut stage = self.process_state.subscribe();
         loop {
-            if let Some(at) = self.answers_by.get() {
+            if let Some(at) = self.response_deadline.get() {
                 return sleep_until(at).await;
             }
             if stage.changed().await.is_err() {
@@ -228,11 +230,11 @@
 
     /// Whether callers may be sent here.
     pub fn is_ready(&self) -> bool {
-        self.stage() == Stage::Serving && self.table.borrow().is_some()
+        self.process_state() == ProcessState::Serving && self.table.borrow().is_some()
     }
 
     /// Notes that the store answered.
-    pub fn on_store_answer(&self) {
+    pub fn record_store_response(&self) {
         self.store_answered.set(Some(Instant::now()));
     }
 
@@ -242,7 +244,7 @@
     }
 
     /// Whether this instance reads the store itself.
-    pub fn reads(&self) -> bool {
+    pub fn reads_store(&self) -> bool {
         let zone = short_name(&self.settings().availability_zone);
         self.peers.borrow().reads(Instant::now(), zone, STORE_LOST)
     }
@@ -259,11 +261,11 @@
             format_args!("event=table version={version} before={held}"),
         );
         *self.table.borrow_mut() = Some(table);
-        self.version.send_replace(version);
+        self.version_tx.send_replace(version);
     }
 
     /// A number for a new request.
-    pub fn new_job(&self) -> JobId {
+    pub fn next_job_id(&self) -> JobId {
         let id = self.next_job.get();
         self.next_job.set(id + 1);
         id
--- a/crates/entry/src/node/replicas.rs
+++ b/crates/entry/src/node/replicas.rs
@@ -39,8 +39,8 @@
 
 impl Node {
     /// Takes the zones whose replicas are to get nothing new.
-    pub fn set_emptied(&self, now: Instant, zones: Vec<ZoneId>) {
-        let change = self.emptied.borrow_mut().set(now, zones);
+    pub fn set_drained_zones(&self, now: Instant, zones: Vec<ZoneId>) {
+        let change = self.drained_zones.borrow_mut().set(now, zones);
         for (zones, event) in [
             (change.emptied, "zone_emptied"),
             (change.refilled, "zone_refilled"),
@@ -78,7 +78,7 @@
         *self.short_names.borrow_mut() = short_names;
         self.refresh_replicas();
         for (name, sum) in self.peers.borrow().loads() {
-            self.set_elsewhere(*name, *sum);
+            self.set_remote_load(*name, *sum);
         }
         self.assign_slots();
     }
@@ -103,7 +103,7 @@
     }
 
     /// Takes what the other instances have at a replica.
-    pub fn set_elsewhere(&self, name: ShortName, sum: Sum) {
+    pub fn set_remote_load(&self, name: ShortName, sum: Sum) {
         if let Some(id) = self.replica_by_short_name(name) {
             let prompt = sum.prompt as f64;
             let mut dispatch = self.dispatch.borrow_mut();
@@ -112,7 +112,7 @@
     }
 
     /// Takes what waits at the other instances of the zone.
-    pub fn set_contenders<I>(&self, waiting: I)
+    pub fn set_competitors<I>(&self, waiting: I)
     where
         I: Iterator<Item = (Ipv4Addr, ShortName, Class)>,
     {
@@ -153,12 +153,12 @@
             service: published.service.clone(),
             region: self.region_of(&published.zone),
             slots: published.slots,
-            round_trip: self.round_trip(&published.zone),
-            travel: self.travel(&published.zone),
+            round_trip: self.weighted_rtt(&published.zone),
+            travel: self.rtt(&published.zone),
             news: gossip::news(self, &published.zone),
             engine: tokens_per_event.is_some(),
             tokens_per_event: tokens_per_event.unwrap_or(1),
-            usable: !published.leaving && !self.emptied.borrow().has(&published.zone),
+            usable: !published.leaving && !self.drained_zones.borrow().has(&published.zone),
             home: published.zone == cfg.availability_zone,
             cold_until: self.cold_until(published, cold),
             bearable: cold.map(|cold| cfg.bearable(cold.per_s)),
@@ -167,7 +167,7 @@
 
     /// Until when a replica is cold: as it says, or as one must be taken to be whose zone was emptied.
     fn cold_until(&self, published: &Published, cold: Option<ColdStart>) -> Option<Instant> {
-        let refilled = self.emptied.borrow().refilled_at(&published.zone);
+        let refilled = self.drained_zones.borrow().refilled_at(&published.zone);
         let since = refilled.zip(cold).map(|(at, cold)| at + cold.lasts);
         published.cold_until.max(since)
     }
@@ -179,8 +179,8 @@
     }
 
     /// Time of a message to a zone and back, with what the way costs the users counted as time.
-    pub fn round_trip(&self, zone: &str) -> Duration {
-        match self.travel(zone) {
+    pub fn weighted_rtt(&self, zone: &str) -> Duration {
+        match self.rtt(zone) {
             Duration::ZERO => Duration::ZERO,
             TRAVEL_REGION => TRAVEL_REGION + REGION_COST,
             travel => travel + ZONE_COST,
@@ -188,7 +188,7 @@
     }
 
     /// Time of a message to a zone and back.
-    pub fn travel(&self, zone: &str) -> Duration {
+    pub fn rtt(&self, zone: &str) -> Duration {
         let cfg = self.settings();
         if zone == &*cfg.availability_zone {
             return Duration::ZERO;
--- a/crates/entry/src/node/slots.rs
+++ b/crates/entry/src/node/slots.rs
@@ -59,7 +59,7 @@
     pub fn on_first_event(&self) {
         let mut dispatch = self.node.dispatch.borrow_mut();
         dispatch.on_first(Instant::now(), &self.upstream, self.job);
-        self.node.changed.notify_one();
+        self.node.state_changed.notify_one();
     }
 
     /// Notes events of the stream, and the time since the ones before.
@@ -108,7 +108,7 @@
         self.assign_slots();
         self.queue_wakeup.notify_one();
         // The others leave free places to it if it is urgent.
-        self.changed.notify_one();
+        self.state_changed.notify_one();
         let verdict = (&mut waiting.rx).await.unwrap_or(Err(SlotError::TimedOut));
         verdict.map(|(upstream, why)| SlotGuard {
             node: Rc::clone(self),
@@ -126,7 +126,7 @@
             let warm = |id: &UpstreamId| self.target(id).is_some_and(|t| t.pool.is_warm(now));
             let placed = self.dispatch.borrow_mut().place_warm(now, warm);
             if !placed.is_empty() {
-                self.changed.notify_one();
+                self.state_changed.notify_one();
             }
             let mut lost = Vec::new();
             for p in placed {
@@ -165,6 +165,6 @@
         self.dispatch
             .borrow_mut()
             .on_end(Instant::now(), upstream, job, outcome);
-        self.changed.notify_one();
+        self.state_changed.notify_one();
     }
 }
--- a/crates/entry/src/over.rs
+++ b/crates/entry/src/over.rs
@@ -20,8 +20,8 @@
 /// just time left to answer: a caller whose connection is closed instead knows neither whether its
 /// request ran nor when to come back.
 pub async fn time_over(node: &Rc<Node>, route: &Route, received: Instant) -> Over {
-    let mut version = node.version.subscribe();
-    let mut last_answers = std::pin::pin!(node.last_answers());
+    let mut version = node.version_tx.subscribe();
+    let mut last_answers = std::pin::pin!(node.response_deadline_reached());
     loop {
         let timeout = node
             .table()
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -121,7 +121,7 @@
     };
     let mut response = Response::new(Body::Relayed(relayed));
     *response.status_mut() = answer.head.status;
-    *response.headers_mut() = node.dialect.answer(&answer.head);
+    *response.headers_mut() = node.protocol.answer(&answer.head);
     let run = Run {
         target,
         place,
@@ -350,7 +350,7 @@
             let fields = self.life.onward(&self.node, &target, after.as_deref());
             let sent = exchange::send(
                 &target,
-                &*self.node.dialect,
+                &*self.node.protocol,
                 &self.life.call.id,
                 &self.life.head,
                 fields,
--- a/crates/entry/src/reload.rs
+++ b/crates/entry/src/reload.rs
@@ -55,7 +55,7 @@
     let (now, at_start): (Vec<&str>, Vec<&str>) = changed
         .iter()
         .partition(|field| Settings::ADJUSTABLE.contains(field));
-    node.adjust(&cfg);
+    node.apply_settings(&cfg);
     node.log.line(
         Weight::Notable,
         format_args!(
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -20,7 +20,7 @@
 use crate::credit::{self, Charged};
 use crate::kind::{Kind, Refusal};
 use crate::metrics::Timing;
-use crate::node::{Node, Stage};
+use crate::node::{Node, ProcessState};
 use crate::over::{Over, time_over};
 use crate::port::Call;
 use crate::relay::Body;
@@ -65,15 +65,15 @@
 
 /// Answers one request of a caller.
 pub async fn serve(node: Rc<Node>, req: Request<Incoming>) -> Response<Body> {
-    node.active.set(node.active.get() + 1);
-    node.taken.set(node.taken.get() + 1);
+    node.active_requests.set(node.active_requests.get() + 1);
+    node.accepted_requests.set(node.accepted_requests.get() + 1);
     let active = Active(Rc::clone(&node));
     let received = Instant::now();
     let (head, body) = req.into_parts();
-    let call = node.dialect.call(&head);
+    let call = node.protocol.call(&head);
     let body = tokio::select! {
         body = read_body(&node, body) => body,
-        () = node.last_answers() => Err(unavailable("this instance ends before the body came in")),
+        () = node.response_deadline_reached() => Err(unavailable("this instance ends before the body came in")),
     };
     let result = match body {
         Ok(body) => admitted(&node, received, head, call.clone(), body, active).await,
@@ -83,7 +83,7 @@
         Ok(response) => response,
         Err(refusal) => refuse(&node, &call, received, &refusal),
     };
-    if node.stage() != Stage::Serving {
+    if node.process_state() != ProcessState::Serving {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
@@ -96,7 +96,7 @@
 
 impl Drop for Active {
     fn drop(&mut self) {
-        self.0.active.set(self.0.active.get() - 1);
+        self.0.active_requests.set(self.0.active_requests.get() - 1);
     }
 }
 
@@ -118,7 +118,7 @@
     check_end(node, &service, &call)?;
     check_regions(&route, organisation.as_deref())?;
     let charge = charge(node, organisation.as_deref(), &route, &service, &call).await?;
-    node.repeats
+    node.retry_budget
         .borrow_mut()
         .on_request(Instant::now(), &service);
     let life = Life {
@@ -126,7 +126,7 @@
         head,
         body,
         received,
-        suspended: node.clock.suspended(),
+        suspended: node.suspend_detector.suspended(),
         route,
         organisation,
         service,
@@ -140,7 +140,7 @@
 
 /// The table; a request that comes while the instance starts waits a moment for it.
 async fn wait_for_table(node: &Node, call: &Call) -> Result<Rc<Table>, Refusal> {
-    let mut version = node.version.subscribe();
+    let mut version = node.version_tx.subscribe();
     let patience = call.deadline.unwrap_or(FOR_TABLE).mul_f64(FOR_TABLE_PART);
     let mut over = std::pin::pin!(tokio::time::sleep(FOR_TABLE.min(patience)));
     loop {
@@ -150,7 +150,7 @@
         tokio::select! {
             _ = version.changed() => {}
             () = &mut over => return Err(unavailable("no table is known yet")),
-            () = node.last_answers() => return Err(unavailable("this instance ends and knows no table")),
+            () = node.response_deadline_reached() => return Err(unavailable("this instance ends and knows no table")),
         }
     }
 }
@@ -158,7 +158,7 @@
 /// Makes the answer of a refusal and tells the log of it.
 fn refuse(node: &Node, call: &Call, received: Instant, refusal: &Refusal) -> Response<Body> {
     account::refused(node, call, received, refusal);
-    let (status, fields) = node.dialect.refusal(Some(&call.id), refusal);
+    let (status, fields) = node.protocol.refusal(Some(&call.id), refusal);
     let mut response = Response::new(Body::whole(Bytes::new()));
     *response.status_mut() = status;
     *response.headers_mut() = fields;
@@ -219,7 +219,10 @@
 
     /// Time that the caller still waits, counting the time that the machine stood still.
     pub fn left(&self, node: &Node) -> Duration {
-        let slept = node.clock.suspended().saturating_sub(self.suspended);
+        let slept = node
+            .suspend_detector
+            .suspended()
+            .saturating_sub(self.suspended);
         let passed = self.received.elapsed() + slept;
         let deadline = self.call.deadline.unwrap_or(self.route.timeout);
         deadline.min(self.route.timeout).saturating_sub(passed)
--- a/crates/entry/src/request/placing.rs
+++ b/crates/entry/src/request/placing.rs
@@ -47,7 +47,7 @@
 
     /// Ends when a newer table binds the request to other regions than those it waits for.
     pub(super) async fn bound_elsewhere(&self, node: &Node) {
-        let mut version = node.version.subscribe();
+        let mut version = node.version_tx.subscribe();
         while version.changed().await.is_ok() {
             let table = node.table();
             let found = table.and_then(|t| resolve(&t, &self.head, &self.call).ok());
@@ -62,7 +62,7 @@
     /// When its whole answer must have come: its caller leaves then, or the process ends.
     fn ends_by(&self, node: &Node) -> Instant {
         let deadline = Instant::now() + self.left(node);
-        node.answers_by
+        node.response_deadline
             .get()
             .map_or(deadline, |end| end.min(deadline))
     }
@@ -80,7 +80,7 @@
         let waits = patience.min(self.call.deadline.unwrap_or(patience));
         let own_rank = self.organisation.as_ref().and_then(|o| o.rank);
         Job {
-            id: node.new_job(),
+            id: node.next_job_id(),
             rank: (own_rank.unwrap_or(self.route.rank), self.route.rank),
             received: self.received,
             due: self.received + objective,
--- a/crates/entry/src/request/refusing.rs
+++ b/crates/entry/src/request/refusing.rs
@@ -83,7 +83,7 @@
             standing.left_alone,
             standing.full,
             standing.waiting,
-            node.emptied.borrow().all().join(","),
+            node.drained_zones.borrow().all().join(","),
         );
         Refusal::new(Kind::Shed)
             .with_message(reason)
--- a/crates/entry/src/request/sending.rs
+++ b/crates/entry/src/request/sending.rs
@@ -49,14 +49,14 @@
             place.release(Outcome::Unknown);
             return Next::Refuse(self.too_late());
         }
-        let at_once = AT_ONCE + node.travel(&target.published.zone) * 2;
+        let at_once = AT_ONCE + node.rtt(&target.published.zone) * 2;
         let began = Instant::now();
         let fields = self.onward(node, target, None);
         self.tried.push(place.upstream.clone());
         self.runs += 1;
         let sent = exchange::send(
             target,
-            &*node.dialect,
+            &*node.protocol,
             &self.call.id,
             &self.head,
             fields,
@@ -185,7 +185,7 @@
         );
         let mut response = Response::new(Body::whole(body));
         *response.status_mut() = head.status;
-        *response.headers_mut() = node.dialect.answer(&head);
+        *response.headers_mut() = node.protocol.answer(&head);
         Next::Answer(Box::new(response))
     }
 
@@ -217,7 +217,7 @@
 
     pub(super) fn take_repeat(&self, node: &Node) -> bool {
         let instances = node.peers.borrow().known();
-        node.repeats
+        node.retry_budget
             .borrow_mut()
             .take(Instant::now(), &self.service, instances)
     }
@@ -230,6 +230,6 @@
             organisation: self.organisation.as_ref().map(|o| &*o.name),
             last_event,
         };
-        node.dialect.onward(&self.head, &onward)
+        node.protocol.onward(&self.head, &onward)
     }
 }
--- a/crates/entry/src/stop.rs
+++ b/crates/entry/src/stop.rs
@@ -15,7 +15,7 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 use crate::log::Weight;
-use crate::node::{Node, Stage};
+use crate::node::{Node, ProcessState};
 
 /// How long connections stay open after the order to stop: the balancer notices after two of its
 /// questions, a second apart.
@@ -71,9 +71,9 @@
             stage: PhantomData,
         };
         tell(node, format_args!("event=stopping"));
-        node.answers_by
+        node.response_deadline
             .set(Some(stop.before_kill(ANSWERED_BEFORE_KILL)));
-        node.stage.send_replace(Stage::Leaving);
+        node.process_state.send_replace(ProcessState::Leaving);
         stop
     }
 
@@ -82,7 +82,7 @@
         let noticed = self.began + BALANCER_NOTICES;
         sleep_until(noticed.min(self.before_kill(SHUT_BEFORE_KILL))).await;
         tell(&self.node, format_args!("event=closing"));
-        self.enter(Stage::Closing)
+        self.enter(ProcessState::Closing)
     }
 }
 
@@ -94,7 +94,7 @@
         let latest = self.before_kill(SHUT_BEFORE_KILL);
         sleep_until((Instant::now() + LAST_COMERS).min(latest)).await;
         self.wait_for_callers(latest).await;
-        let stop = self.enter(Stage::Shut);
+        let stop = self.enter(ProcessState::Shut);
         if let Err(e) = accepting.await {
             tell(
                 &stop.node,
@@ -112,7 +112,7 @@
         self.wait_for_callers(self.before_kill(ENDS_BEFORE_KILL))
             .await;
         // A connection counts that has all but the rest of its answer: that is cut too.
-        let cut = *self.node.connections.borrow();
+        let cut = *self.node.open_connections.borrow();
         tell(&self.node, format_args!("event=stopped cut={cut}"));
     }
 }
@@ -120,7 +120,7 @@
 impl<S> Stop<S> {
     /// Waits until no caller has a connection, but not beyond `latest`.
     async fn wait_for_callers(&self, latest: Instant) {
-        let mut connections = self.node.connections.subscribe();
+        let mut connections = self.node.open_connections.subscribe();
         // Beyond that time what is left is cut, which the log tells.
         let _ = timeout_at(latest, connections.wait_for(|open| *open == 0)).await;
     }
@@ -129,8 +129,8 @@
         self.began + self.grace.saturating_sub(margin)
     }
 
-    fn enter<N>(self, stage: Stage) -> Stop<N> {
-        self.node.stage.send_replace(stage);
+    fn enter<N>(self, stage: ProcessState) -> Stop<N> {
+        self.node.process_state.send_replace(stage);
         Stop {
             node: self.node,
             began: self.began,
@@ -146,9 +146,9 @@
         Weight::Notable,
         format_args!(
             "{event} active={} connections={} taken={}",
-            node.active.get(),
-            *node.connections.borrow(),
-            node.taken.get(),
+            node.active_requests.get(),
+            *node.open_connections.borrow(),
+            node.accepted_requests.get(),
         ),
     );
 }
