--- a/crates/entry/src/account.rs
+++ b/crates/entry/src/account.rs
@@ -40,7 +40,7 @@
             node.peers.borrow().oldest_word(Instant::now()).as_millis(),
             why.cold,
             life.charge.waited.as_millis(),
-            life.charge.keeper.map_or("-".to_owned(), |k| k.to_string()),
+            life.charge.coordinator.map_or("-".to_owned(), |k| k.to_string()),
         ),
     );
 }
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -13,7 +13,7 @@
 use rand::RngExt as _;
 use tokio::time::Instant;
 
-use crate::credit::{self, Charged, Uncharged};
+use crate::credit::{self, CreditDenial, CreditGrant};
 use crate::kind::{Kind, Refusal};
 use crate::node::{Node, ProcessState};
 use crate::port::Call;
@@ -120,19 +120,19 @@
     route: &Route,
     service: &ServiceId,
     call: &Call,
-) -> Result<Charged, Refusal> {
+) -> Result<CreditGrant, Refusal> {
     let Some(organisation) = organisation else {
-        return Ok(Charged::default());
+        return Ok(CreditGrant::default());
     };
     let Some(limit) = organisation.limit else {
-        return Ok(Charged::default());
+        return Ok(CreditGrant::default());
     };
     let charge = Charge {
         cost: cost(organisation, call),
         class: class(node, route, service, call),
         patience: route.objective.mul_f64(FOR_CREDIT).min(MOST_FOR_CREDIT),
     };
-    let taken = credit::take(node, organisation, limit, charge).await;
+    let taken = credit::charge(node, organisation, limit, charge).await;
     taken.map_err(|uncharged| refuse(node, organisation, route, charge, uncharged))
 }
 
@@ -142,15 +142,15 @@
     organisation: &Organisation,
     route: &Route,
     charge: Charge,
-    uncharged: Uncharged,
+    uncharged: CreditDenial,
 ) -> Refusal {
-    let Uncharged {
+    let CreditDenial {
         verdict,
         waited,
-        keeper,
+        coordinator,
     } = uncharged;
     let wanted = format!(
-        "limit of {}: {:.0} wanted in tier {}, class {}; keeper {keeper}, waited {} ms",
+        "limit of {}: {:.0} wanted in tier {}, class {}; keeper {coordinator}, waited {} ms",
         organisation.name,
         charge.cost,
         route.rank,
--- a/crates/entry/src/credit.rs
+++ b/crates/entry/src/credit.rs
@@ -20,24 +20,24 @@
 
 /// What a request was charged, and how it got that.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Charged {
+pub struct CreditGrant {
     /// What it took of the limit; nothing where there is no limit.
-    pub lot: Option<Lot>,
+    pub batch: Option<Lot>,
     /// How long it waited for the credit.
     pub waited: Duration,
     /// The instance that gave it.
-    pub keeper: Option<Ipv4Addr>,
+    pub coordinator: Option<Ipv4Addr>,
 }
 
 /// Why a request got no credit.
 #[derive(Debug, Clone, Copy)]
-pub struct Uncharged {
+pub struct CreditDenial {
     /// What the keeper decided.
     pub verdict: Verdict,
     /// How long the request waited.
     pub waited: Duration,
     /// The instance that was asked.
-    pub keeper: Ipv4Addr,
+    pub coordinator: Ipv4Addr,
 }
 
 /// The time by which credit is counted. It goes on while the machine is suspended: credit that was at
@@ -47,7 +47,7 @@
 }
 
 /// The zones of the deployment, by how far they are.
-pub fn zones(cfg: &Settings) -> Vec<(ShortName, Distance)> {
+pub fn zone_distances(cfg: &Settings) -> Vec<(ShortName, Distance)> {
     let distance = |zone: &str, region: &str| {
         if zone == &*cfg.availability_zone {
             Distance::Home
@@ -69,16 +69,16 @@
 }
 
 /// Takes a request's cost from its organisation's limit.
-pub async fn take(
+pub async fn charge(
     node: &Node,
     organisation: &Organisation,
     limit: Limit,
     charge: Charge,
-) -> Result<Charged, Uncharged> {
+) -> Result<CreditGrant, CreditDenial> {
     let name = short_name(&organisation.name);
     let began = now(node);
     let (tx, rx) = oneshot::channel();
-    let keeper = Ipv4Addr::from_bits(node.credit_ledger.borrow().keeper(began, name));
+    let coordinator = Ipv4Addr::from_bits(node.credit_ledger.borrow().keeper(began, name));
     let number = node
         .credit_ledger
         .borrow_mut()
@@ -89,26 +89,26 @@
     let verdict = rx.await.unwrap_or(Verdict::Unanswered);
     let waited = now(node).saturating_duration_since(began);
     let Verdict::Granted { left_ms } = verdict else {
-        return Err(Uncharged {
+        return Err(CreditDenial {
             verdict,
             waited,
-            keeper,
+            coordinator,
         });
     };
     let lot = Lot {
         expires: began + Duration::from_millis(u64::from(left_ms)),
         amount: charge.cost,
     };
-    Ok(Charged {
-        lot: Some(lot),
+    Ok(CreditGrant {
+        batch: Some(lot),
         waited,
-        keeper: Some(keeper),
+        coordinator: Some(coordinator),
     })
 }
 
 /// Takes back what a request was charged that did not run.
-pub fn give_back(node: &Node, organisation: &Organisation, charged: &Charged) {
-    if let Some(lot) = charged.lot {
+pub fn refund(node: &Node, organisation: &Organisation, charged: &CreditGrant) {
+    if let Some(lot) = charged.batch {
         let name = short_name(&organisation.name);
         node.credit_ledger
             .borrow_mut()
@@ -117,7 +117,7 @@
 }
 
 /// Takes a message of another instance.
-pub fn receive(node: &Node, from: Ipv4Addr, message: Message) {
+pub fn on_message(node: &Node, from: Ipv4Addr, message: Message) {
     let organisation = match &message {
         Message::Ask { organisation, .. } => Some(*organisation),
         _ => None,
@@ -131,7 +131,7 @@
 }
 
 /// Looks at who is there.
-pub fn see_fleet(node: &Node) {
+pub fn update_roster(node: &Node) {
     let mut roster = node.peers.borrow_mut().roster(Instant::now());
     // Instances that end have left the others' counts.
     if node.process_state() >= ProcessState::Closing {
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -69,7 +69,7 @@
         tokio::select! {
             _ = ticks.tick() => {
                 hearing::notice_silence(&node);
-                credit::see_fleet(&node);
+                credit::update_roster(&node);
                 hearing::take_loads(&node);
                 hearing::take_waiting(&node);
                 node.assign_slots();
--- a/crates/entry/src/hearing.rs
+++ b/crates/entry/src/hearing.rs
@@ -32,7 +32,7 @@
         match rmp_serde::from_slice::<PeerMessage>(&buf[..len]) {
             Ok(PeerMessage::Digest(digest, reach)) => on_direct(&node, sender, *digest, reach),
             Ok(PeerMessage::Relayed(digests)) => on_relayed(&node, sender, digests),
-            Ok(PeerMessage::Credit(message)) => credit::receive(&node, *from.ip(), message),
+            Ok(PeerMessage::Credit(message)) => credit::on_message(&node, *from.ip(), message),
             Err(e) => node.log.line(
                 Weight::Notable,
                 format_args!("event=peer_message_bad from={from} reason={e:?}"),
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -152,7 +152,7 @@
             directory: RefCell::new(Known::new()),
             peers: RefCell::new(
                 Peers::new(now, cfg.address(), cfg.has_other_contacts())
-                    .with_zones(credit::zones(&cfg)),
+                    .with_zones(credit::zone_distances(&cfg)),
             ),
             dispatch: RefCell::new(Dispatch::new().with_key(cfg.address().to_bits())),
             drained_zones: RefCell::new(EmptiedZones::new()),
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -17,7 +17,7 @@
 
 use crate::account::{self, Unanswered};
 use crate::admission::{charge, pick_service, read_body, resolve};
-use crate::credit::{self, Charged};
+use crate::credit::{self, CreditGrant};
 use crate::kind::{Kind, Refusal};
 use crate::metrics::Timing;
 use crate::node::{Node, ProcessState};
@@ -60,7 +60,7 @@
     /// How long it waited for its last place.
     pub waited: Duration,
     /// What it was charged.
-    pub charge: Charged,
+    pub charge: CreditGrant,
 }
 
 /// Answers one request of a caller.
@@ -213,7 +213,7 @@
 
     fn uncharge(&self, node: &Node) {
         if let Some(organisation) = &self.organisation {
-            credit::give_back(node, organisation, &self.charge);
+            credit::refund(node, organisation, &self.charge);
         }
     }
 
