--- a/crates/entry/src/account.rs
+++ b/crates/entry/src/account.rs
@@ -10,7 +10,7 @@
 use kingcupfield_decisions::id::UpstreamId;
 use tokio::time::Instant;
 
-use crate::exchange::Failure;
+use crate::exchange::SendFailure;
 use crate::kind::Refusal;
 use crate::log::Weight;
 use crate::metrics::Timing;
@@ -46,7 +46,7 @@
 }
 
 /// A send brought no answer of the replica.
-pub fn send_failed(node: &Node, life: &Life, replica: &UpstreamId, failure: Failure) {
+pub fn send_failed(node: &Node, life: &Life, replica: &UpstreamId, failure: SendFailure) {
     node.metrics.count(failure.as_str());
     node.log.line(
         Weight::Notable,
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -24,13 +24,13 @@
 
 /// Why there is no answer of the replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Failure {
+pub enum SendFailure {
     /// Nothing was sent.
     NotSent,
     /// The replica says that it has no room and did not run the request.
     Full,
     /// Another replica answered, which did not run the request.
-    Another,
+    WrongReplica,
     /// The replica says that it did not run the request.
     NotRun,
     /// The connection ended as soon as the request had come, as at a replica that has died; it may
@@ -44,13 +44,13 @@
     Foreign,
 }
 
-impl Failure {
+impl SendFailure {
     /// Name for logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotSent => "not_sent",
             Self::Full => "full",
-            Self::Another => "another",
+            Self::WrongReplica => "another",
             Self::NotRun => "not_run",
             Self::Dropped => "dropped",
             Self::Broken => "broken",
@@ -70,7 +70,7 @@
     /// What it tells about the replica.
     pub fn outcome(self) -> Outcome {
         match self {
-            Self::NotSent | Self::Another | Self::Dropped => Outcome::Unreachable,
+            Self::NotSent | Self::WrongReplica | Self::Dropped => Outcome::Unreachable,
             Self::Full => Outcome::Full,
             Self::NotRun => Outcome::Unknown,
             Self::Broken | Self::Abandoned | Self::Foreign => Outcome::Failed,
@@ -80,7 +80,7 @@
 
 /// A replica's answer whose body is still to come.
 #[derive(Debug)]
-pub struct Answer {
+pub struct ReplicaResponse {
     /// Its head.
     pub head: http::response::Parts,
     /// Its body.
@@ -98,20 +98,20 @@
     fields: HeaderMap,
     body: Bytes,
     repeatable: bool,
-) -> Result<Answer, Failure> {
+) -> Result<ReplicaResponse, SendFailure> {
     let fresh = if repeatable {
         Duration::MAX
     } else {
         FRESH_ENOUGH
     };
     loop {
-        let kept = target.pool.take(Instant::now(), fresh);
+        let kept = target.pool.take_idle(Instant::now(), fresh);
         let was_kept = kept.is_some();
         let mut connection = match kept {
             Some(connection) => connection,
-            None => pool::open(target.published.address)
+            None => pool::connect(target.published.address)
                 .await
-                .map_err(|_| Failure::NotSent)?,
+                .map_err(|_| SendFailure::NotSent)?,
         };
         let req = request(head, fields.clone(), body.clone());
         match connection.sender.try_send_request(req).await {
@@ -119,19 +119,19 @@
             // The connection was closed before anything was written: a new one is tried.
             Err(mut e) => match e.take_message() {
                 Some(_) if was_kept => {}
-                Some(_) => return Err(Failure::NotSent),
-                None => return Err(Failure::Broken),
+                Some(_) => return Err(SendFailure::NotSent),
+                None => return Err(SendFailure::Broken),
             },
         }
     }
 }
 
 /// Reads the rest of an answer.
-pub async fn whole(body: Incoming) -> Result<Bytes, Failure> {
+pub async fn read_body(body: Incoming) -> Result<Bytes, SendFailure> {
     let collected = Limited::new(body, MAX_WHOLE).collect().await;
     collected
         .map(http_body_util::Collected::to_bytes)
-        .map_err(|_| Failure::Broken)
+        .map_err(|_| SendFailure::Broken)
 }
 
 fn judge(
@@ -139,18 +139,18 @@
     id: &str,
     response: Response<Incoming>,
     connection: Connection,
-) -> Result<Answer, Failure> {
+) -> Result<ReplicaResponse, SendFailure> {
     let (head, body) = response.into_parts();
     match dialect.reply(id, &head) {
-        Reply::Ran => Ok(Answer {
+        Reply::Ran => Ok(ReplicaResponse {
             head,
             body,
             connection,
         }),
-        Reply::Full => Err(Failure::Full),
-        Reply::Another => Err(Failure::Another),
-        Reply::NotRun => Err(Failure::NotRun),
-        Reply::Foreign => Err(Failure::Foreign),
+        Reply::Full => Err(SendFailure::Full),
+        Reply::Another => Err(SendFailure::WrongReplica),
+        Reply::NotRun => Err(SendFailure::NotRun),
+        Reply::Foreign => Err(SendFailure::Foreign),
     }
 }
 
--- a/crates/entry/src/life.rs
+++ b/crates/entry/src/life.rs
@@ -127,7 +127,7 @@
         // How late news comes depends on how many instances are heard.
         node.refresh_replicas();
         for target in node.targets() {
-            target.pool.reap(now);
+            target.pool.close_expired(now);
         }
         if let Some(slept) = node.suspend_detector.woke() {
             node.log.line(
--- a/crates/entry/src/node/replicas.rs
+++ b/crates/entry/src/node/replicas.rs
@@ -12,7 +12,7 @@
 use super::Node;
 use crate::gossip;
 use crate::log::Weight;
-use crate::pool::Pool;
+use crate::pool::ConnectionPool;
 use crate::replica::Published;
 use crate::table::ColdStart;
 
@@ -34,7 +34,7 @@
     /// What is published of it.
     pub published: Published,
     /// Kept connections to it.
-    pub pool: Rc<Pool>,
+    pub pool: Rc<ConnectionPool>,
 }
 
 impl Node {
--- a/crates/entry/src/node/slots.rs
+++ b/crates/entry/src/node/slots.rs
@@ -123,7 +123,7 @@
     pub fn assign_slots(&self) {
         let now = Instant::now();
         loop {
-            let warm = |id: &UpstreamId| self.target(id).is_some_and(|t| t.pool.is_warm(now));
+            let warm = |id: &UpstreamId| self.target(id).is_some_and(|t| t.pool.has_idle(now));
             let placed = self.dispatch.borrow_mut().place_warm(now, warm);
             if !placed.is_empty() {
                 self.state_changed.notify_one();
--- a/crates/entry/src/pool.rs
+++ b/crates/entry/src/pool.rs
@@ -35,15 +35,15 @@
     /// Where requests go in.
     pub sender: SendRequest<Full<Bytes>>,
     /// Whether it has served a request before.
-    pub kept: bool,
+    pub reused: bool,
     task: AbortHandle,
-    clean: bool,
+    reusable: bool,
 }
 
 impl Connection {
     /// Marks the connection as ready for another request; else it is closed when dropped.
-    pub fn set_clean(&mut self) {
-        self.clean = true;
+    pub fn mark_reusable(&mut self) {
+        self.reusable = true;
     }
 }
 
@@ -51,7 +51,7 @@
     fn drop(&mut self) {
         // The replica stops its work when the connection closes, so it closes at once, also with
         // the request half written.
-        if !self.clean {
+        if !self.reusable {
             self.task.abort();
         }
     }
@@ -66,49 +66,49 @@
 
 /// The kept connections of one replica.
 #[derive(Debug, Default)]
-pub struct Pool {
+pub struct ConnectionPool {
     idle: RefCell<Vec<Idle>>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Keeps nothing yet.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// A kept connection that was idle for `fresh` at most.
-    pub fn take(&self, now: Instant, fresh: Duration) -> Option<Connection> {
+    pub fn take_idle(&self, now: Instant, fresh: Duration) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
         while let Some(mut kept) = idle.pop() {
             let usable = now < kept.until && kept.connection.sender.is_ready();
             if !usable {
-                kept.connection.clean = false;
+                kept.connection.reusable = false;
                 continue;
             }
             if now.saturating_duration_since(kept.since) > fresh {
                 idle.push(kept);
                 return None;
             }
-            kept.connection.clean = false;
-            kept.connection.kept = true;
+            kept.connection.reusable = false;
+            kept.connection.reused = true;
             return Some(kept.connection);
         }
         None
     }
 
     /// Whether a kept connection can be taken now.
-    pub fn is_warm(&self, now: Instant) -> bool {
+    pub fn has_idle(&self, now: Instant) -> bool {
         let idle = self.idle.borrow();
         idle.iter()
             .any(|kept| now < kept.until && kept.connection.sender.is_ready())
     }
 
     /// Keeps a connection after a whole answer, if the answer allows it.
-    pub fn keep(&self, now: Instant, mut connection: Connection, answer: &HeaderMap) {
+    pub fn put_back(&self, now: Instant, mut connection: Connection, answer: &HeaderMap) {
         if closes(answer) || connection.sender.is_closed() {
             return;
         }
-        connection.set_clean();
+        connection.mark_reusable();
         let until = now + idle_time(answer);
         self.idle.borrow_mut().push(Idle {
             connection,
@@ -118,7 +118,7 @@
     }
 
     /// Closes connections that were idle for too long.
-    pub fn reap(&self, now: Instant) {
+    pub fn close_expired(&self, now: Instant) {
         self.idle
             .borrow_mut()
             .retain(|kept| now < kept.until && !kept.connection.sender.is_closed());
@@ -131,7 +131,7 @@
 }
 
 /// Opens a connection.
-pub async fn open(address: SocketAddr) -> std::io::Result<Connection> {
+pub async fn connect(address: SocketAddr) -> std::io::Result<Connection> {
     let stream = timeout(CONNECT, TcpStream::connect(address))
         .await
         .map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
@@ -146,9 +146,9 @@
     });
     Ok(Connection {
         sender,
-        kept: false,
+        reused: false,
         task: task.abort_handle(),
-        clean: false,
+        reusable: false,
     })
 }
 
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -20,7 +20,7 @@
 
 use crate::account;
 use crate::events::Scanner;
-use crate::exchange::{self, Answer};
+use crate::exchange::{self, ReplicaResponse};
 use crate::metrics::Timing;
 use crate::node::{Node, SlotGuard, Target};
 use crate::over::{Over, time_over};
@@ -37,15 +37,15 @@
 /// The stream broke off; the caller's connection is closed.
 #[derive(Debug, thiserror::Error)]
 #[error("the stream broke off")]
-pub struct BrokenOff;
+pub struct StreamBroken;
 
 /// Body of an answer: whole, or passed on as it comes.
 #[derive(Debug)]
-pub enum Body {
+pub enum ResponseBody {
     /// All of it.
-    Whole(Option<Bytes>),
+    Complete(Option<Bytes>),
     /// What a relay passes on.
-    Relayed(Relayed),
+    Streamed(RelayedStream),
 }
 
 /// The caller's end of a relay.
@@ -53,53 +53,53 @@
 /// The end of the channel alone doesn't end the answer: a relay that was dropped, or ended while the
 /// channel was full because its caller reads slowly, would leave a stream that looks complete.
 #[derive(Debug)]
-pub struct Relayed {
+pub struct RelayedStream {
     rx: mpsc::Receiver<Bytes>,
     /// Set once the relay has passed everything on.
     whole: Rc<Cell<bool>>,
 }
 
-impl Relayed {
-    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+impl RelayedStream {
+    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, StreamBroken>>> {
         self.rx.poll_recv(cx).map(|chunk| match chunk {
             Some(chunk) => Some(Ok(Frame::data(chunk))),
             None if self.whole.get() => None,
-            None => Some(Err(BrokenOff)),
+            None => Some(Err(StreamBroken)),
         })
     }
 }
 
-impl Body {
+impl ResponseBody {
     /// A body that is there as a whole.
-    pub fn whole(bytes: Bytes) -> Self {
-        Self::Whole(Some(bytes).filter(|b| !b.is_empty()))
+    pub fn complete(bytes: Bytes) -> Self {
+        Self::Complete(Some(bytes).filter(|b| !b.is_empty()))
     }
 }
 
-impl hyper::body::Body for Body {
+impl hyper::body::Body for ResponseBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = StreamBroken;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamBroken>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            Self::Relayed(relayed) => relayed.poll(cx),
+            Self::Complete(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
+            Self::Streamed(relayed) => relayed.poll(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Complete(None))
     }
 
     fn size_hint(&self) -> hyper::body::SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Complete(bytes) => {
                 hyper::body::SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
-            Self::Relayed(_) => hyper::body::SizeHint::default(),
+            Self::Streamed(_) => hyper::body::SizeHint::default(),
         }
     }
 }
@@ -110,16 +110,16 @@
     life: Life,
     target: Rc<Target>,
     place: SlotGuard,
-    answer: Answer,
+    answer: ReplicaResponse,
     active: Option<Active>,
-) -> Response<Body> {
+) -> Response<ResponseBody> {
     let (tx, rx) = mpsc::channel(CHUNKS);
     let whole = Rc::new(Cell::new(false));
-    let relayed = Relayed {
+    let relayed = RelayedStream {
         rx,
         whole: Rc::clone(&whole),
     };
-    let mut response = Response::new(Body::Relayed(relayed));
+    let mut response = Response::new(ResponseBody::Streamed(relayed));
     *response.status_mut() = answer.head.status;
     *response.headers_mut() = node.protocol.answer(&answer.head);
     let run = Run {
@@ -160,7 +160,7 @@
 
 /// How passing a run on ended.
 enum End {
-    Whole,
+    Complete,
     Broken,
     CallerGone,
     Over(Over),
@@ -204,11 +204,11 @@
             let end = self.pass_run(&mut run).await;
             let replica = run.place.upstream.clone();
             match end {
-                End::Whole => {
+                End::Complete => {
                     self.whole.set(true);
                     run.target
                         .pool
-                        .keep(Instant::now(), run.connection, &run.head.headers);
+                        .put_back(Instant::now(), run.connection, &run.head.headers);
                     run.place.release(Outcome::Served);
                     let status = run.head.status.as_u16();
                     let (first, pause) = (self.first_after, self.longest_pause);
@@ -266,7 +266,7 @@
             };
             let chunk = match frame {
                 None if self.scanner.in_event() => return End::Broken,
-                None => return End::Whole,
+                None => return End::Complete,
                 Some(Err(_)) => return End::Broken,
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             };
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -23,7 +23,7 @@
 use crate::node::{Node, ProcessState};
 use crate::over::{Over, time_over};
 use crate::port::Call;
-use crate::relay::Body;
+use crate::relay::ResponseBody;
 use crate::table::{Organisation, Route, Table};
 
 use refusing::{check_end, check_regions, unavailable};
@@ -64,7 +64,7 @@
 }
 
 /// Answers one request of a caller.
-pub async fn serve(node: Rc<Node>, req: Request<Incoming>) -> Response<Body> {
+pub async fn serve(node: Rc<Node>, req: Request<Incoming>) -> Response<ResponseBody> {
     node.active_requests.set(node.active_requests.get() + 1);
     node.accepted_requests.set(node.accepted_requests.get() + 1);
     let active = Active(Rc::clone(&node));
@@ -107,7 +107,7 @@
     call: Call,
     body: Bytes,
     active: Active,
-) -> Result<Response<Body>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let table = wait_for_table(node, &call).await?;
     let (route, organisation) = resolve(&table, &head, &call)?;
     if call.id.is_empty() {
@@ -156,17 +156,26 @@
 }
 
 /// Makes the answer of a refusal and tells the log of it.
-fn refuse(node: &Node, call: &Call, received: Instant, refusal: &Refusal) -> Response<Body> {
+fn refuse(
+    node: &Node,
+    call: &Call,
+    received: Instant,
+    refusal: &Refusal,
+) -> Response<ResponseBody> {
     account::refused(node, call, received, refusal);
     let (status, fields) = node.protocol.refusal(Some(&call.id), refusal);
-    let mut response = Response::new(Body::whole(Bytes::new()));
+    let mut response = Response::new(ResponseBody::complete(Bytes::new()));
     *response.status_mut() = status;
     *response.headers_mut() = fields;
     response
 }
 
 impl Life {
-    async fn run(mut self, node: Rc<Node>, active: Active) -> Result<Response<Body>, Refusal> {
+    async fn run(
+        mut self,
+        node: Rc<Node>,
+        active: Active,
+    ) -> Result<Response<ResponseBody>, Refusal> {
         let mut unanswered = Unanswered::new(&node, &self.call.id, self.received);
         let result = self.run_watched(&node, active, &mut unanswered).await;
         unanswered.end();
@@ -178,7 +187,7 @@
         node: &Rc<Node>,
         active: Active,
         unanswered: &mut Unanswered,
-    ) -> Result<Response<Body>, Refusal> {
+    ) -> Result<Response<ResponseBody>, Refusal> {
         let mut active = Some(active);
         loop {
             unanswered.replica = None;
--- a/crates/entry/src/request/refusing.rs
+++ b/crates/entry/src/request/refusing.rs
@@ -9,7 +9,7 @@
 
 use super::Life;
 use crate::admission::{COME_BACK_SOON, ends_in_time};
-use crate::exchange::Failure;
+use crate::exchange::SendFailure;
 use crate::kind::{Kind, Ran, Refusal};
 use crate::node::Node;
 use crate::over::Over;
@@ -124,7 +124,7 @@
     }
 
     /// The replica may have run the request, and no other one may try.
-    pub(super) fn broke(&self, failure: Failure) -> Refusal {
+    pub(super) fn broke(&self, failure: SendFailure) -> Refusal {
         let why = if !self.route.kind.repeatable() {
             "the route allows one run"
         } else if self.runs >= self.route.attempts {
--- a/crates/entry/src/request/sending.rs
+++ b/crates/entry/src/request/sending.rs
@@ -9,13 +9,13 @@
 
 use super::{Active, Life};
 use crate::account;
-use crate::exchange::{self, Answer, Failure};
+use crate::exchange::{self, ReplicaResponse, SendFailure};
 use crate::kind::Refusal;
 use crate::metrics::Timing;
 use crate::node::{Node, SlotGuard, Target};
 use crate::over::time_over;
 use crate::port::Onward;
-use crate::relay::{self, Body};
+use crate::relay::{self, ResponseBody};
 
 /// How often a request that may be repeated looks whether its replica still brings anything to
 /// anybody; a seventh of the shortest objective of the users' streams.
@@ -32,7 +32,7 @@
 
 /// What to do after one send.
 pub(super) enum Next {
-    Answer(Box<Response<Body>>),
+    Answer(Box<Response<ResponseBody>>),
     Again,
     Refuse(Refusal),
 }
@@ -65,14 +65,14 @@
         );
         let sent = tokio::select! {
             sent = sent => sent.map_err(|e| match e {
-                Failure::Broken if began.elapsed() < at_once => Failure::Dropped,
+                SendFailure::Broken if began.elapsed() < at_once => SendFailure::Dropped,
                 e => e,
             }),
             over = time_over(node, &self.route, self.received) => {
                 place.release(Outcome::Unknown);
                 return Next::Refuse(self.is_over(node, over));
             }
-            () = self.rescue(node, &place) => Err(Failure::Abandoned),
+            () = self.rescue(node, &place) => Err(SendFailure::Abandoned),
         };
         match sent {
             Ok(answer) => self.answered(node, target, place, answer, active).await,
@@ -97,11 +97,11 @@
         }
     }
 
-    fn failed(&mut self, node: &Node, place: SlotGuard, failure: Failure) -> Next {
+    fn failed(&mut self, node: &Node, place: SlotGuard, failure: SendFailure) -> Next {
         account::send_failed(node, self, &place.upstream, failure);
         place.release(failure.outcome());
         if failure.may_have_run() {
-            return if failure == Failure::Abandoned || self.may_repeat(node) {
+            return if failure == SendFailure::Abandoned || self.may_repeat(node) {
                 Next::Again
             } else {
                 Next::Refuse(self.broke(failure))
@@ -109,7 +109,7 @@
         }
         self.runs -= 1;
         // A connection that could not be made reached no replica, so it draws on no budget.
-        if failure == Failure::NotSent || self.take_repeat(node) {
+        if failure == SendFailure::NotSent || self.take_repeat(node) {
             Next::Again
         } else {
             Next::Refuse(self.give_up(node))
@@ -121,7 +121,7 @@
         node: &Rc<Node>,
         target: &Rc<Target>,
         place: SlotGuard,
-        answer: Answer,
+        answer: ReplicaResponse,
         active: &mut Option<Active>,
     ) -> Next {
         if self.route.kind.is_stream() && answer.head.status.is_success() {
@@ -147,23 +147,25 @@
         node: &Rc<Node>,
         target: &Rc<Target>,
         place: SlotGuard,
-        answer: Answer,
+        answer: ReplicaResponse,
     ) -> Next {
-        let Answer {
+        let ReplicaResponse {
             head,
             body,
             connection,
         } = answer;
         let body = tokio::select! {
-            body = exchange::whole(body) => body,
+            body = exchange::read_body(body) => body,
             over = time_over(node, &self.route, self.received) => {
                 return Next::Refuse(self.is_over(node, over));
             }
         };
         let Ok(body) = body else {
-            return self.failed(node, place, Failure::Broken);
+            return self.failed(node, place, SendFailure::Broken);
         };
-        target.pool.keep(Instant::now(), connection, &head.headers);
+        target
+            .pool
+            .put_back(Instant::now(), connection, &head.headers);
         let failed = head.status.is_server_error();
         place.release(if failed {
             Outcome::Failed
@@ -183,7 +185,7 @@
             first,
             Duration::ZERO,
         );
-        let mut response = Response::new(Body::whole(body));
+        let mut response = Response::new(ResponseBody::complete(body));
         *response.status_mut() = head.status;
         *response.headers_mut() = node.protocol.answer(&head);
         Next::Answer(Box::new(response))
