--- a/crates/entry/src/account.rs
+++ b/crates/entry/src/account.rs
@@ -37,7 +37,7 @@
             why.with_room,
             why.own,
             why.elsewhere,
-            node.peers.borrow().oldest_word(Instant::now()).as_millis(),
+            node.peers.borrow().max_report_age(Instant::now()).as_millis(),
             why.cold,
             life.charge.waited.as_millis(),
             life.charge.coordinator.map_or("-".to_owned(), |k| k.to_string()),
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -87,7 +87,7 @@
         Refusal::new(Kind::NotFound).with_message(reason)
     })?;
     let organisation = call.key.as_deref().and_then(|k| table.organisation(k));
-    if table.keyed() && !route.public && organisation.is_none() {
+    if table.requires_key() && !route.public && organisation.is_none() {
         let reason = match call.key {
             Some(_) => "the table has no such key",
             None => "no key",
@@ -130,7 +130,10 @@
     let charge = Charge {
         cost: cost(organisation, call),
         class: class(node, route, service, call),
-        patience: route.objective.mul_f64(FOR_CREDIT).min(MOST_FOR_CREDIT),
+        patience: route
+            .latency_objective
+            .mul_f64(FOR_CREDIT)
+            .min(MOST_FOR_CREDIT),
     };
     let taken = credit::charge(node, organisation, limit, charge).await;
     taken.map_err(|uncharged| refuse(node, organisation, route, charge, uncharged))
@@ -176,11 +179,11 @@
 
 /// What a request takes of its organisation's limit.
 fn cost(organisation: &Organisation, call: &Call) -> f64 {
-    if !organisation.in_tokens {
+    if !organisation.limit_in_tokens {
         return 1.0;
     }
     let tokens = match (call.prompt_tokens, call.output_tokens) {
-        (None, None) => organisation.plain_tokens,
+        (None, None) => organisation.default_tokens,
         (p, o) => p.unwrap_or(0).saturating_add(o.unwrap_or(0)),
     };
     f64::from(tokens)
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/callers.rs
@@ -158,7 +158,7 @@
     let changed = known.entries().iter().filter(|e| e.revision > after);
     let snapshot = Snapshot {
         upto: known.upto(),
-        store_trouble: node.directory_reader.borrow().in_trouble(),
+        store_trouble: node.directory_reader.borrow().store_failed_recently(),
         entries: changed.cloned().collect(),
     };
     match rmp_serde::to_vec(&snapshot) {
--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -14,11 +14,11 @@
 
 /// Time that passed while the machine stood still.
 #[derive(Debug)]
-pub struct Clock {
+pub struct SuspendDetector {
     seen: Cell<Duration>,
 }
 
-impl Clock {
+impl SuspendDetector {
     /// Starts to watch.
     pub fn new() -> Self {
         Self {
@@ -27,12 +27,12 @@
     }
 
     /// How long the machine was suspended in all; compare two readings.
-    pub fn suspended(&self) -> Duration {
+    pub fn total_suspended(&self) -> Duration {
         suspended()
     }
 
     /// How long the machine was suspended since the last call, if it was.
-    pub fn woke(&self) -> Option<Duration> {
+    pub fn take_suspension(&self) -> Option<Duration> {
         let now = suspended();
         let slept = now.saturating_sub(self.seen.get());
         if slept < NOTICEABLE {
@@ -43,7 +43,7 @@
     }
 }
 
-impl Default for Clock {
+impl Default for SuspendDetector {
     fn default() -> Self {
         Self::new()
     }
--- a/crates/entry/src/credit.rs
+++ b/crates/entry/src/credit.rs
@@ -43,7 +43,7 @@
 /// The time by which credit is counted. It goes on while the machine is suspended: credit that was at
 /// hand before would live longer than it may.
 fn now(node: &Node) -> Instant {
-    Instant::now() + node.suspend_detector.suspended()
+    Instant::now() + node.suspend_detector.total_suspended()
 }
 
 /// The zones of the deployment, by how far they are.
@@ -143,7 +143,7 @@
     node.dispatch
         .borrow_mut()
         .set_members(Instant::now(), members);
-    let slept = node.suspend_detector.suspended();
+    let slept = node.suspend_detector.total_suspended();
     roster.mints_since = roster.mints_since.map(|at| at + slept);
     let mut ledger = node.credit_ledger.borrow_mut();
     if ledger.mints() != roster.mints_since.is_some() {
--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -17,7 +17,7 @@
 use crate::log::Weight;
 use crate::node::Node;
 use crate::port::{Listing, Meaning, SourceError};
-use crate::replica::Published;
+use crate::replica::PublishedReplica;
 use crate::snapshot;
 
 /// Longest time that one watch waits. Each call is paid for; a store that fell silent on an open
@@ -68,7 +68,7 @@
 struct Read {
     key: String,
     revision: Revision,
-    replica: Option<Published>,
+    replica: Option<PublishedReplica>,
     /// The zone that the entry wants emptied.
     emptied: Option<ZoneId>,
     /// Until when a lapsed replica is used on.
@@ -77,7 +77,7 @@
 
 /// What was read of the entries so far.
 #[derive(Debug, Default)]
-pub struct Reader {
+pub struct DirectoryReader {
     read: Vec<Read>,
     failed_at: Option<Instant>,
     asking: bool,
@@ -99,7 +99,7 @@
             );
         }
         if node.table().is_none() {
-            ask_peers_later(&node, Duration::ZERO);
+            schedule_peer_sync(&node, Duration::ZERO);
         }
         let pause = PAUSES[failures.min(PAUSES.len()) - 1];
         sleep(pause.mul_f64(rand::rng().random_range(0.7..1.3))).await;
@@ -205,7 +205,7 @@
 }
 
 /// Asks a peer after a while, if it is still ahead or nothing is known here.
-pub fn ask_peers_later(node: &Rc<Node>, after: Duration) {
+pub fn schedule_peer_sync(node: &Rc<Node>, after: Duration) {
     if std::mem::replace(&mut node.directory_reader.borrow_mut().asking, true) {
         return;
     }
@@ -272,7 +272,7 @@
     {
         let known = node.directory.borrow();
         let mut reader = node.directory_reader.borrow_mut();
-        let trouble = reader.in_trouble();
+        let trouble = reader.store_failed_recently();
         for entry in known.entries() {
             reader.take(node, now, entry, trouble);
         }
@@ -293,9 +293,9 @@
     }
 }
 
-impl Reader {
+impl DirectoryReader {
     /// Whether a call to the store has failed lately.
-    pub fn in_trouble(&self) -> bool {
+    pub fn store_failed_recently(&self) -> bool {
         self.failed_at.is_some_and(|at| at.elapsed() < TROUBLE)
     }
 
@@ -326,7 +326,7 @@
         self.read.iter().filter_map(|r| r.emptied.clone()).collect()
     }
 
-    fn replicas(&mut self, now: Instant) -> Vec<Published> {
+    fn replicas(&mut self, now: Instant) -> Vec<PublishedReplica> {
         for read in &mut self.read {
             if read.fading.is_some_and(|until| now >= until) {
                 read.fading = None;
@@ -337,7 +337,13 @@
     }
 }
 
-fn lapse(node: &Node, now: Instant, before: Option<Published>, trouble: bool, read: &mut Read) {
+fn lapse(
+    node: &Node,
+    now: Instant,
+    before: Option<PublishedReplica>,
+    trouble: bool,
+    read: &mut Read,
+) {
     let Some(replica) = before else {
         return;
     };
@@ -357,13 +363,13 @@
 
 impl Read {
     /// Takes what the entry means.
-    fn take(&mut self, node: &Node, value: &[u8], before: Option<&Published>) {
+    fn take(&mut self, node: &Node, value: &[u8], before: Option<&PublishedReplica>) {
         let key = &self.key;
         match node.directory_source.meaning(key, value) {
             Meaning::Table(table) => node.set_table(table),
             Meaning::Replica(replica) => {
                 // A cold replica tells again and again how long it stays so.
-                if before.is_none_or(|b| !b.differs_in_warmth_alone(&replica)) {
+                if before.is_none_or(|b| !b.differs_only_in_cold_until(&replica)) {
                     tell_replica(node, &replica);
                 }
                 self.replica = Some(replica);
@@ -382,8 +388,8 @@
     }
 }
 
-fn tell_replica(node: &Node, replica: &Published) {
-    let cold_ms = replica.cold_for().as_millis();
+fn tell_replica(node: &Node, replica: &PublishedReplica) {
+    let cold_ms = replica.remaining_cold_time().as_millis();
     node.log.line(
         Weight::Notable,
         format_args!(
@@ -392,7 +398,7 @@
             replica.service,
             replica.address,
             replica.zone,
-            replica.born,
+            replica.start_unix_ms,
             replica.leaving,
         ),
     );
--- a/crates/entry/src/hearing.rs
+++ b/crates/entry/src/hearing.rs
@@ -98,7 +98,7 @@
         } else {
             Duration::ZERO
         };
-        directory::ask_peers_later(node, pause);
+        directory::schedule_peer_sync(node, pause);
     }
 }
 
--- a/crates/entry/src/life.rs
+++ b/crates/entry/src/life.rs
@@ -129,7 +129,7 @@
         for target in node.targets() {
             target.pool.close_expired(now);
         }
-        if let Some(slept) = node.suspend_detector.woke() {
+        if let Some(slept) = node.suspend_detector.take_suspension() {
             node.log.line(
                 Weight::Notable,
                 format_args!("event=woke suspended_ms={}", slept.as_millis()),
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -153,8 +153,8 @@
         if let Some(age) = node.store_age() {
             self.set_age("store", age);
         }
-        self.set_age("peers", peers.oldest_word(now));
-        let heard = peers.fresh(now) as f64 - 1.0;
+        self.set_age("peers", peers.max_report_age(now));
+        let heard = peers.live_count(now) as f64 - 1.0;
         let known = peers.all().len() as f64;
         self.peers.with_label_values(&["heard"]).set(heard);
         self.peers.with_label_values(&["silent"]).set(known - heard);
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -18,9 +18,9 @@
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
-use crate::clock::Clock;
+use crate::clock::SuspendDetector;
 use crate::credit;
-use crate::directory::Reader;
+use crate::directory::DirectoryReader;
 use crate::log::{Log, Weight};
 use crate::metrics::Metrics;
 use crate::outbox::Outbox;
@@ -62,7 +62,7 @@
     /// Its log.
     pub log: Log,
     /// Notices suspension.
-    pub suspend_detector: Clock,
+    pub suspend_detector: SuspendDetector,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Credit of organisations' limits.
@@ -98,7 +98,7 @@
     /// Whether the directory is to be read whole.
     pub needs_full_list: Cell<bool>,
     /// What was read of the directory.
-    pub directory_reader: RefCell<Reader>,
+    pub directory_reader: RefCell<DirectoryReader>,
     /// Where the process stands in its life.
     pub process_state: watch::Sender<ProcessState>,
     /// The table's version, for those that wait for a change.
@@ -142,7 +142,7 @@
             protocol: dialect,
             directory_source: source,
             log: Log::new(),
-            suspend_detector: Clock::new(),
+            suspend_detector: SuspendDetector::new(),
             metrics: Metrics::new(),
             credit_ledger: RefCell::new(ledger),
             credit_waiters: RefCell::new(Vec::new()),
@@ -164,7 +164,7 @@
             outbox_wakeup: Notify::new(),
             needs_full_list: Cell::new(false),
             store_answered: Cell::new(None),
-            directory_reader: RefCell::new(Reader::default()),
+            directory_reader: RefCell::new(DirectoryReader::default()),
             process_state: watch::Sender::new(ProcessState::Serving),
             version_tx: watch::Sender::new(0),
             response_deadline: Cell::new(None),
@@ -246,7 +246,9 @@
     /// Whether this instance reads the store itself.
     pub fn reads_store(&self) -> bool {
         let zone = short_name(&self.settings().availability_zone);
-        self.peers.borrow().reads(Instant::now(), zone, STORE_LOST)
+        self.peers
+            .borrow()
+            .reads_store(Instant::now(), zone, STORE_LOST)
     }
 
     /// Puts a newer table in force; an older one is ignored.
--- a/crates/entry/src/node/replicas.rs
+++ b/crates/entry/src/node/replicas.rs
@@ -13,7 +13,7 @@
 use crate::gossip;
 use crate::log::Weight;
 use crate::pool::ConnectionPool;
-use crate::replica::Published;
+use crate::replica::PublishedReplica;
 use crate::table::ColdStart;
 
 /// Time of a message there and back between availability zones of a region.
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct Target {
     /// What is published of it.
-    pub published: Published,
+    pub published: PublishedReplica,
     /// Kept connections to it.
     pub pool: Rc<ConnectionPool>,
 }
@@ -53,7 +53,7 @@
     }
 
     /// Takes the published replicas that may get work or finish it.
-    pub fn set_replicas(&self, published: Vec<Published>) {
+    pub fn set_replicas(&self, published: Vec<PublishedReplica>) {
         let mut targets = Vec::with_capacity(published.len());
         for replica in published {
             let old = self.target(&replica.id).filter(|t| same_life(t, &replica));
@@ -141,7 +141,7 @@
         self.targets.borrow().clone()
     }
 
-    fn replica(&self, published: &Published) -> Replica {
+    fn replica(&self, published: &PublishedReplica) -> Replica {
         let table = self.table();
         let service = table.as_ref().and_then(|t| t.service(&published.service));
         let tokens_per_event = service.and_then(|s| s.tokens_per_event);
@@ -149,7 +149,7 @@
         let cfg = self.settings();
         Replica {
             id: published.id.clone(),
-            born: published.born,
+            born: published.start_unix_ms,
             service: published.service.clone(),
             region: self.region_of(&published.zone),
             slots: published.slots,
@@ -161,14 +161,14 @@
             usable: !published.leaving && !self.drained_zones.borrow().has(&published.zone),
             home: published.zone == cfg.availability_zone,
             cold_until: self.cold_until(published, cold),
-            bearable: cold.map(|cold| cfg.bearable(cold.per_s)),
+            bearable: cold.map(|cold| cfg.bearable(cold.requests_per_s)),
         }
     }
 
     /// Until when a replica is cold: as it says, or as one must be taken to be whose zone was emptied.
-    fn cold_until(&self, published: &Published, cold: Option<ColdStart>) -> Option<Instant> {
+    fn cold_until(&self, published: &PublishedReplica, cold: Option<ColdStart>) -> Option<Instant> {
         let refilled = self.drained_zones.borrow().refilled_at(&published.zone);
-        let since = refilled.zip(cold).map(|(at, cold)| at + cold.lasts);
+        let since = refilled.zip(cold).map(|(at, cold)| at + cold.duration);
         published.cold_until.max(since)
     }
 
@@ -201,6 +201,7 @@
     }
 }
 
-fn same_life(target: &Target, replica: &Published) -> bool {
-    target.published.born == replica.born && target.published.address == replica.address
+fn same_life(target: &Target, replica: &PublishedReplica) -> bool {
+    target.published.start_unix_ms == replica.start_unix_ms
+        && target.published.address == replica.address
 }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -160,7 +160,7 @@
     }
 
     /// Number of instances that are known, with this one.
-    pub fn known(&self) -> usize {
+    pub fn instance_count(&self) -> usize {
         let known = self.others.len() + 1;
         if known == 1 && self.has_contacts {
             return ASSUMED;
@@ -169,13 +169,13 @@
     }
 
     /// Number of instances that are heard now, with this one.
-    pub fn fresh(&self, now: Instant) -> usize {
+    pub fn live_count(&self, now: Instant) -> usize {
         self.others.iter().filter(|p| p.is_fresh(now)).count() + 1
     }
 
     /// How long ago the most silent of those that are heard spoke last: so old the counts of the
     /// others may be.
-    pub fn oldest_word(&self, now: Instant) -> Duration {
+    pub fn max_report_age(&self, now: Instant) -> Duration {
         let heard = self.others.iter().filter(|p| p.is_fresh(now));
         let oldest = heard.filter_map(|p| p.heard).min();
         oldest.map_or(Duration::ZERO, |at| now.saturating_duration_since(at))
@@ -394,7 +394,7 @@
     /// Whether this instance is one of the few that read the store, so that the others need not.
     ///
     /// The first of each zone reads, and the first two of all. Whoever hears nobody that reads, reads.
-    pub fn reads(&self, now: Instant, zone: ShortName, lost: Duration) -> bool {
+    pub fn reads_store(&self, now: Instant, zone: ShortName, lost: Duration) -> bool {
         let mut before_in_zone = 0;
         let mut before_in_all = 0;
         let mut served = 0;
--- a/crates/entry/src/peers/acquaintance.rs
+++ b/crates/entry/src/peers/acquaintance.rs
@@ -99,7 +99,7 @@
     /// nobody may be cut off from a fleet that has its share already; after the time in which the
     /// others would have forgotten it, it is alone.
     fn are_acquainted(&mut self, now: Instant) -> bool {
-        if self.fresh(now) == 1 {
+        if self.live_count(now) == 1 {
             self.met = None;
             return !self.has_contacts || self.age(now) >= FORGOTTEN;
         }
--- a/crates/entry/src/port.rs
+++ b/crates/entry/src/port.rs
@@ -11,7 +11,7 @@
 use kingcupfield_decisions::known::{Entry, Revision};
 
 use crate::kind::Refusal;
-use crate::replica::Published;
+use crate::replica::PublishedReplica;
 use crate::table::Table;
 
 /// What the head of a caller's request says.
@@ -115,7 +115,7 @@
     /// A version of the table.
     Table(Rc<Table>),
     /// A replica.
-    Replica(Published),
+    Replica(PublishedReplica),
     /// A zone whose replicas are to get nothing new while the entry is there.
     EmptiedZone(ZoneId),
     /// An entry that names a replica but can't be read.
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -302,7 +302,7 @@
             self.first = false;
             self.last = now;
         }
-        if !self.life.route.kind.repeatable() {
+        if !self.life.route.kind.is_retryable() {
             return Some(chunk).filter(|c| !c.is_empty());
         }
         if found.complete == 0 {
@@ -323,13 +323,13 @@
 
     /// Ends when a stream that may be resumed has brought nothing for too long.
     async fn stuck(&self) {
-        if !self.life.route.kind.repeatable() || self.life.runs >= self.life.route.attempts {
+        if !self.life.route.kind.is_retryable() || self.life.runs >= self.life.route.max_attempts {
             return std::future::pending().await;
         }
         let pause = self
             .life
             .route
-            .longest_pause
+            .max_event_gap
             .max(Duration::from_millis(200));
         tokio::time::sleep_until(self.last + pause.mul_f64(STUCK_PAUSES)).await;
     }
--- a/crates/entry/src/replica.rs
+++ b/crates/entry/src/replica.rs
@@ -8,11 +8,11 @@
 
 /// What a replica says of itself in the directory.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Published {
+pub struct PublishedReplica {
     /// Its name.
     pub id: UpstreamId,
     /// Its start in Unix milliseconds; a name may start again.
-    pub born: u64,
+    pub start_unix_ms: u64,
     /// Its service.
     pub service: ServiceId,
     /// Where it listens.
@@ -27,9 +27,9 @@
     pub cold_until: Option<Instant>,
 }
 
-impl Published {
+impl PublishedReplica {
     /// Whether nothing but how long it is cold is new in `other`.
-    pub fn differs_in_warmth_alone(&self, other: &Self) -> bool {
+    pub fn differs_only_in_cold_until(&self, other: &Self) -> bool {
         let same = Self {
             cold_until: other.cold_until,
             ..self.clone()
@@ -38,7 +38,7 @@
     }
 
     /// How much longer it is cold.
-    pub fn cold_for(&self) -> Duration {
+    pub fn remaining_cold_time(&self) -> Duration {
         let until = self.cold_until;
         until.map_or(Duration::ZERO, |at| {
             at.saturating_duration_since(Instant::now())
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -126,7 +126,7 @@
         head,
         body,
         received,
-        suspended: node.suspend_detector.suspended(),
+        suspended: node.suspend_detector.total_suspended(),
         route,
         organisation,
         service,
@@ -230,7 +230,7 @@
     pub fn left(&self, node: &Node) -> Duration {
         let slept = node
             .suspend_detector
-            .suspended()
+            .total_suspended()
             .saturating_sub(self.suspended);
         let passed = self.received.elapsed() + slept;
         let deadline = self.call.deadline.unwrap_or(self.route.timeout);
--- a/crates/entry/src/request/placing.rs
+++ b/crates/entry/src/request/placing.rs
@@ -13,7 +13,7 @@
 use crate::admission::resolve;
 use crate::kind::Refusal;
 use crate::node::{Node, SlotGuard, Target};
-use crate::table::regions;
+use crate::table::allowed_regions;
 
 /// Callers leave a stream, also before its first event, after two seconds, four times the objective
 /// or eight times the longest pause, whichever is longest.
@@ -42,7 +42,7 @@
 
     /// Where it may be served.
     pub(super) fn regions(&self) -> Regions {
-        regions(&self.route, self.organisation.as_deref())
+        allowed_regions(&self.route, self.organisation.as_deref())
     }
 
     /// Ends when a newer table binds the request to other regions than those it waits for.
@@ -51,7 +51,8 @@
         while version.changed().await.is_ok() {
             let table = node.table();
             let found = table.and_then(|t| resolve(&t, &self.head, &self.call).ok());
-            let now = found.map(|(route, organisation)| regions(&route, organisation.as_deref()));
+            let now =
+                found.map(|(route, organisation)| allowed_regions(&route, organisation.as_deref()));
             if now.is_some_and(|now| now != self.regions()) {
                 return;
             }
@@ -69,11 +70,11 @@
 
     pub(super) fn job(&self, node: &Node) -> Job {
         let stream = self.route.kind.is_stream();
-        let objective = self.route.objective;
+        let objective = self.route.latency_objective;
         let patience = if stream {
             PATIENCE
                 .max(objective.mul_f64(PATIENCE_OBJECTIVES))
-                .max(self.route.longest_pause.mul_f64(PATIENCE_PAUSES))
+                .max(self.route.max_event_gap.mul_f64(PATIENCE_PAUSES))
         } else {
             self.route.timeout
         };
@@ -91,7 +92,7 @@
             prompt: f64::from(self.call.prompt_tokens.unwrap_or(0)),
             output: self.call.output(),
             longest_pause: if stream {
-                self.route.longest_pause
+                self.route.max_event_gap
             } else {
                 Duration::ZERO
             },
@@ -133,7 +134,7 @@
         let now = Instant::now();
         let mut job = self.job(node);
         job.rank = (0, 0);
-        job.due = now + self.route.longest_pause;
+        job.due = now + self.route.max_event_gap;
         job.give_up = now + PATIENCE.mul_f64(BEFORE_PATIENCE_ENDS);
         let place = node.acquire_slot(job).await.ok()?;
         self.follow_table(node);
--- a/crates/entry/src/request/refusing.rs
+++ b/crates/entry/src/request/refusing.rs
@@ -14,7 +14,7 @@
 use crate::node::Node;
 use crate::over::Over;
 use crate::port::Call;
-use crate::table::{Organisation, Route, regions};
+use crate::table::{Organisation, Route, allowed_regions};
 
 /// Advice on when to come back: bursts last two to five seconds. Callers take a third of the time
 /// that they have left at most.
@@ -25,7 +25,7 @@
     route: &Route,
     organisation: Option<&Organisation>,
 ) -> Result<(), Refusal> {
-    if !regions(route, organisation).is_none() {
+    if !allowed_regions(route, organisation).is_none() {
         return Ok(());
     }
     let reason = format!(
@@ -125,9 +125,9 @@
 
     /// The replica may have run the request, and no other one may try.
     pub(super) fn broke(&self, failure: SendFailure) -> Refusal {
-        let why = if !self.route.kind.repeatable() {
+        let why = if !self.route.kind.is_retryable() {
             "the route allows one run"
-        } else if self.runs >= self.route.attempts {
+        } else if self.runs >= self.route.max_attempts {
             "all runs of the route are used"
         } else {
             "no time or no budget for another run"
--- a/crates/entry/src/request/sending.rs
+++ b/crates/entry/src/request/sending.rs
@@ -61,7 +61,7 @@
             &self.head,
             fields,
             self.body.clone(),
-            self.route.kind.repeatable(),
+            self.route.kind.is_retryable(),
         );
         let sent = tokio::select! {
             sent = sent => sent.map_err(|e| match e {
@@ -83,14 +83,14 @@
     /// Ends when the request had better be sent to another replica, with a repeat taken for it; never
     /// if it may not. A request that is given up with nothing in its place helps nobody.
     async fn rescue(&self, node: &Node, place: &SlotGuard) {
-        if !self.route.kind.repeatable() || self.runs >= self.route.attempts {
+        if !self.route.kind.is_retryable() || self.runs >= self.route.max_attempts {
             return std::future::pending().await;
         }
         let sent = Instant::now();
         loop {
             tokio::time::sleep(RESCUE_CHECK).await;
             let plain = !self.route.kind.is_stream();
-            let slow = sent.elapsed() > self.route.objective.mul_f64(PLAIN_RESCUE);
+            let slow = sent.elapsed() > self.route.latency_objective.mul_f64(PLAIN_RESCUE);
             if (place.is_replica_stalled() || (plain && slow)) && self.may_repeat(node) {
                 return;
             }
@@ -211,14 +211,14 @@
 
     /// Whether one more replica may be tried after one that may have run the request.
     pub fn may_repeat(&self, node: &Node) -> bool {
-        self.route.kind.repeatable()
-            && self.runs < self.route.attempts
+        self.route.kind.is_retryable()
+            && self.runs < self.route.max_attempts
             && self.left(node) > Duration::from_millis(100)
             && self.take_repeat(node)
     }
 
     pub(super) fn take_repeat(&self, node: &Node) -> bool {
-        let instances = node.peers.borrow().known();
+        let instances = node.peers.borrow().instance_count();
         node.retry_budget
             .borrow_mut()
             .take(Instant::now(), &self.service, instances)
--- a/crates/entry/src/table.rs
+++ b/crates/entry/src/table.rs
@@ -23,7 +23,7 @@
 
 impl RouteKind {
     /// Whether a request that may have run may be sent to another replica.
-    pub fn repeatable(self) -> bool {
+    pub fn is_retryable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
@@ -47,15 +47,15 @@
     /// Longest time that a request is kept.
     pub timeout: Duration,
     /// Time within which an answer is on time.
-    pub objective: Duration,
+    pub latency_objective: Duration,
     /// Longest pause between events of an answer that is on time.
-    pub longest_pause: Duration,
+    pub max_event_gap: Duration,
     /// Urgency, 0 first.
     pub rank: u32,
     /// Services that serve it, with their weights.
     pub targets: Vec<(ServiceId, u32)>,
     /// Most replicas that may run one request.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether it needs no key.
     pub public: bool,
     /// Regions in which its requests may be served.
@@ -77,9 +77,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdStart {
     /// How long they are cold.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Requests a second that they bear meanwhile.
-    pub per_s: f64,
+    pub requests_per_s: f64,
 }
 
 /// Who holds keys, and how much they may use.
@@ -92,15 +92,15 @@
     /// Limit over all instances, if there is one.
     pub limit: Option<Limit>,
     /// Whether the limit counts tokens, else requests.
-    pub in_tokens: bool,
+    pub limit_in_tokens: bool,
     /// Tokens that a request counts that names none.
-    pub plain_tokens: u32,
+    pub default_tokens: u32,
     /// Regions in which its requests may be served.
     pub regions: Regions,
 }
 
 /// Regions in which a request of the organisation may be served on the route.
-pub fn regions(route: &Route, organisation: Option<&Organisation>) -> Regions {
+pub fn allowed_regions(route: &Route, organisation: Option<&Organisation>) -> Regions {
     organisation.map_or_else(
         || route.regions.clone(),
         |organisation| route.regions.and(&organisation.regions),
@@ -131,7 +131,7 @@
     services: Vec<Service>,
     keys: Vec<(String, Rc<Organisation>)>,
     short_names: Vec<(ShortName, Rc<Organisation>)>,
-    keyed: bool,
+    requires_key: bool,
 }
 
 impl Table {
@@ -146,7 +146,7 @@
         let mut routes: Vec<Rc<Route>> = routes.into_iter().map(Rc::new).collect();
         routes.sort_by(|a, b| (&a.host, &a.prefix).cmp(&(&b.host, &b.prefix)));
         services.sort_by(|a, b| a.name.cmp(&b.name));
-        let keyed = organisations.is_some();
+        let requires_key = organisations.is_some();
         let mut keys = Vec::new();
         let mut short_names = Vec::new();
         for (organisation, held) in organisations.into_iter().flatten() {
@@ -163,7 +163,7 @@
             services,
             keys,
             short_names,
-            keyed,
+            requires_key,
         }
     }
 
@@ -196,8 +196,8 @@
     }
 
     /// Whether requests need a key.
-    pub fn keyed(&self) -> bool {
-        self.keyed
+    pub fn requires_key(&self) -> bool {
+        self.requires_key
     }
 
     /// A service by its name.
--- a/crates/entry/tests/peers.rs
+++ b/crates/entry/tests/peers.rs
@@ -49,7 +49,7 @@
     let home = &mut peers.roster(later).zones[0];
     assert_eq!((home.size, home.members.len()), (3, 1));
     peers.forget(now + Duration::from_secs(61));
-    assert_eq!(peers.known(), 2);
+    assert_eq!(peers.instance_count(), 2);
 }
 
 /// An instance starts behind a cut and hears nobody. It mints nothing, as the others may have its share,
@@ -145,7 +145,10 @@
         digest.store_age_ms = *age;
         peers.on_digest(now, address(*last), digest);
     }
-    assert_eq!(peers.reads(now, 1, Duration::from_secs(5)), case.reads);
+    assert_eq!(
+        peers.reads_store(now, 1, Duration::from_secs(5)),
+        case.reads
+    );
 }
 
 /// A fleet starts at once. Whoever is heard for the first time is told everything, once, so that
@@ -230,7 +233,7 @@
         if let Ok(PeerMessage::Digest(digest, _)) = rmp_serde::from_slice(&bytes) {
             peers.on_digest(now, address(1), *digest);
         }
-        prop_assert!(peers.known() >= 1);
+        prop_assert!(peers.instance_count() >= 1);
     }
 }
 
