--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -226,7 +226,7 @@
     let ahead = node
         .peers
         .borrow()
-        .ahead(Instant::now(), upto, place, salt)
+        .find_ahead(Instant::now(), upto, place, salt)
         .map(|p| p.address);
     let Some(address) = ahead else {
         return;
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -3,7 +3,7 @@
 //! News go to each of a small zone, and to the relay of the zone that serves this instance. A relay sends what it has
 //! gathered to its zone after a moment, and less often to a relay of each other zone, which sends it on to its own.
 
-mod own;
+mod local_state;
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -15,13 +15,13 @@
 use tokio::time::{Instant, interval, sleep, sleep_until};
 
 use crate::credit;
-use crate::hearing;
 use crate::log::{self, Weight};
 use crate::node::Node;
 use crate::outbox::{self, Gathered};
-use crate::peers::{Digest, Peer, PeerMessage, Reach};
+use crate::peers::{Digest, ForwardScope, Peer, PeerMessage};
+use crate::receiver;
 
-use own::{News, fresh_members, own_news, own_steps, own_unreachable};
+use local_state::{News, fresh_members, own_news, own_steps, own_unreachable};
 
 /// Time between two looks at everything.
 const TICK: Duration = Duration::from_millis(100);
@@ -60,7 +60,7 @@
     // Set once, as there is one exchange with the peers in a process.
     let _ = node.peer_socket.set(Rc::clone(&socket));
     tokio::task::spawn_local(credit::run(Rc::clone(&node)));
-    tokio::task::spawn_local(hearing::receive(Rc::clone(&node), Rc::clone(&socket)));
+    tokio::task::spawn_local(receiver::receive(Rc::clone(&node), Rc::clone(&socket)));
     let mut sender = Sender::new(&node, incarnation);
     let mut ticks = interval(TICK);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -68,10 +68,10 @@
         let due = sender.due(&node);
         tokio::select! {
             _ = ticks.tick() => {
-                hearing::notice_silence(&node);
+                receiver::notice_silence(&node);
                 credit::update_roster(&node);
-                hearing::take_loads(&node);
-                hearing::take_waiting(&node);
+                receiver::take_loads(&node);
+                receiver::take_waiting(&node);
                 node.assign_slots();
                 sender.tick(&node, &socket);
             }
@@ -190,35 +190,35 @@
     }
 
     fn send_digest(&self, node: &Node, socket: &UdpSocket, digest: Digest, receivers: Receivers) {
-        let reach = match receivers.neighbours {
-            Some(_) => Reach::Beyond,
-            None => Reach::All,
+        let scope = match receivers.neighbours {
+            Some(_) => ForwardScope::OtherZones,
+            None => ForwardScope::AllZones,
         };
         let digest = Box::new(digest);
         if let Some(neighbours) = receivers.neighbours {
             let to: Vec<Ipv4Addr> = neighbours.into_iter().map(Ipv4Addr::from_bits).collect();
-            let message = PeerMessage::Digest(digest.clone(), Reach::Receiver);
+            let message = PeerMessage::Digest(digest.clone(), ForwardScope::Nobody);
             send_to(node, socket, &message, &to);
         }
         if let Some(relay) = receivers.relay {
-            let message = PeerMessage::Digest(digest, reach);
+            let message = PeerMessage::Digest(digest, scope);
             send_to(node, socket, &message, &[Ipv4Addr::from_bits(relay)]);
             return;
         }
         let mut outbox = node.outbox.borrow_mut();
-        match reach {
-            Reach::All => outbox.add_home(self.own, *digest),
-            Reach::Beyond | Reach::Receiver => outbox.add_away(self.own, *digest),
+        match scope {
+            ForwardScope::AllZones => outbox.add_home(self.own, *digest),
+            ForwardScope::OtherZones | ForwardScope::Nobody => outbox.add_away(self.own, *digest),
         }
     }
 
     /// Looks who the relays of the zone are. One that does not send although it is one is passed over.
     fn see_relays(&mut self, node: &Node, now: Instant) {
         let peers = node.peers.borrow();
-        let there = |p: &&Peer| p.is_fresh(now) && p.digest.zone == self.zone;
+        let there = |p: &&Peer| p.is_live(now) && p.digest.zone == self.zone;
         let heard = peers.all().iter().filter(there);
         let heard: Vec<Member> = heard.map(|p| p.address.to_bits()).collect();
-        let sent_at = |m: Member| peers.sent_at(Ipv4Addr::from_bits(m));
+        let sent_at = |m: Member| peers.last_datagram_at(Ipv4Addr::from_bits(m));
         let lost = self.relays.see(now, self.own.to_bits(), &heard, sent_at);
         for relay in lost.into_iter().map(Ipv4Addr::from_bits) {
             node.log.line(
@@ -284,13 +284,13 @@
         let now = Instant::now();
         let to = std::mem::take(&mut *node.greeting_targets.borrow_mut());
         for address in &to {
-            node.peers.borrow_mut().on_told(now, *address);
+            node.peers.borrow_mut().record_greeting(now, *address);
         }
         let digest = self.digest(node, own_news(node), Telling::Greeting);
         send_to(
             node,
             socket,
-            &PeerMessage::Digest(Box::new(digest), Reach::Receiver),
+            &PeerMessage::Digest(Box::new(digest), ForwardScope::Nobody),
             &to,
         );
     }
@@ -306,7 +306,7 @@
         let peers = node.peers.borrow();
         let heard = |a: Ipv4Addr| {
             let mut all = peers.all().iter();
-            all.any(|p| p.address == a && p.is_fresh(now))
+            all.any(|p| p.address == a && p.is_live(now))
         };
         let to: Vec<Ipv4Addr> = contacts.filter(|a| *a != self.own && !heard(*a)).collect();
         drop(peers);
@@ -317,7 +317,7 @@
         send_to(
             node,
             socket,
-            &PeerMessage::Digest(Box::new(digest), Reach::Receiver),
+            &PeerMessage::Digest(Box::new(digest), ForwardScope::Nobody),
             &to,
         );
     }
@@ -339,7 +339,7 @@
         send_to(
             node,
             socket,
-            &PeerMessage::Digest(Box::new(digest), Reach::Receiver),
+            &PeerMessage::Digest(Box::new(digest), ForwardScope::Nobody),
             &to,
         );
     }
@@ -402,7 +402,7 @@
 }
 
 /// Time in which a change of a replica's load in a zone comes round to this instance.
-pub fn news(node: &Node, zone: &str) -> Duration {
+pub fn propagation_delay(node: &Node, zone: &str) -> Duration {
     let cfg = node.settings();
     if zone == &*cfg.availability_zone {
         return Duration::ZERO;
--- a/crates/entry/src/gossip/own.rs
+++ b/crates/entry/src/gossip/local_state.rs
@@ -67,7 +67,7 @@
 pub(super) fn fresh_members(node: &Node) -> Vec<(ShortName, Vec<Ipv4Addr>)> {
     let now = Instant::now();
     let peers = node.peers.borrow();
-    let fresh = peers.all().iter().filter(|p| p.is_fresh(now));
+    let fresh = peers.all().iter().filter(|p| p.is_live(now));
     let mut by_zone: Vec<(ShortName, Vec<Ipv4Addr>)> = Vec::new();
     for peer in fresh {
         let zone = peer.digest.zone;
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,8 +1,7 @@
-//! An entry instance that forwards calls as they come.
+//! An entry instance: accepts requests of callers, schedules them and forwards them to replicas.
 //!
-//! What callers, replicas and the directory say in their own words is translated behind the ports
-//! of [`port`]; everything that is decided, known and recovered stands here and in
-//! `kingcupfield-decisions`.
+//! The protocols of callers, of replicas and of the directory are translated by the adapter behind
+//! [`port`]; the scheduling state lives here and its algorithms in `kingcupfield-decisions`.
 
 pub mod account;
 pub mod admission;
@@ -13,7 +12,6 @@
 pub mod events;
 pub mod exchange;
 pub mod gossip;
-pub mod hearing;
 pub mod kind;
 pub mod life;
 pub mod log;
@@ -25,6 +23,7 @@
 pub mod pool;
 pub mod port;
 pub mod queue;
+pub mod receiver;
 pub mod relay;
 pub mod reload;
 pub mod replica;
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -1,4 +1,4 @@
-//! What one entry instance knows and does, shared by its tasks.
+//! State of one entry instance, shared by its tasks.
 
 mod replicas;
 mod slots;
@@ -30,97 +30,97 @@
 use crate::table::Table;
 
 pub use replicas::Target;
-use slots::Verdict;
+use slots::SlotResult;
 pub use slots::{SlotError, SlotGuard};
 
-/// An instance that the store has not answered for this long does not count as one that reads it: a
-/// watch waits for four seconds at most.
-const STORE_LOST: Duration = Duration::from_millis(5500);
+/// Age of the last store response from which an instance no longer counts as a reader of the store.
+/// A watch waits for four seconds at most, so a healthy reader stays below this.
+const STORE_RESPONSE_MAX_AGE: Duration = Duration::from_millis(5500);
 
-/// Where a process stands in its life.
+/// Lifecycle state of a process, in the order in which it passes through them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ProcessState {
-    /// It takes connections and requests.
+    /// Accepts connections and requests.
     Serving,
-    /// It says that it is not ready, and still answers what comes.
+    /// Reports not ready, and still accepts and answers requests.
     Leaving,
-    /// It closes connections as they become idle.
+    /// Closes connections as they become idle.
     Closing,
-    /// It takes no connection any more, and answers what it has.
+    /// Accepts no new connections, and finishes the requests in progress.
     Shut,
-    /// It does nothing any more; what it still has is cut.
+    /// Terminated; requests still in progress are cut off.
     Ended,
 }
 
-/// Everything that the tasks of an instance share.
+/// State shared by all tasks of an instance; they run on one thread.
 pub struct Node {
     cfg: RefCell<Rc<Settings>>,
-    /// Words of callers and upstreams.
+    /// Translates between the wire protocol and the types of this crate.
     pub protocol: Rc<dyn Dialect>,
-    /// The published directory.
+    /// Client of the store that publishes the directory.
     pub directory_source: Rc<dyn Source>,
-    /// Its log.
+    /// Log of this instance.
     pub log: Log,
-    /// Notices suspension.
+    /// Detects suspension of the machine.
     pub suspend_detector: SuspendDetector,
-    /// Counters and histograms.
+    /// Counters, gauges and histograms.
     pub metrics: Metrics,
-    /// Credit of organisations' limits.
+    /// Credit of the organisations' limits.
     pub credit_ledger: RefCell<Ledger>,
-    /// Requests that wait for credit.
+    /// Requests that wait for a credit decision, by credit request number.
     pub credit_waiters: RefCell<Vec<(Number, oneshot::Sender<CreditVerdict>)>>,
-    /// Wakes the timer of requests that wait for credit.
+    /// Wakes the task that times out requests waiting for credit.
     pub credit_wakeup: Notify,
-    /// Sends to the other instances.
+    /// UDP socket for messages to the other instances; set when gossip starts.
     pub peer_socket: OnceCell<Rc<UdpSocket>>,
-    /// Budget for repeats.
+    /// Budget for retries.
     pub retry_budget: RefCell<Repeats>,
-    /// Published entries.
+    /// Latest known entry of each directory key.
     pub directory: RefCell<Known>,
-    /// The other instances.
+    /// The other instances, their load and their spending.
     pub peers: RefCell<Peers>,
-    /// Zones whose replicas get nothing new.
+    /// Drained zones, whose replicas get no new requests.
     pub drained_zones: RefCell<EmptiedZones>,
-    /// Waiting requests and the load of replicas.
+    /// Waiting requests and the load of the replicas.
     pub dispatch: RefCell<Dispatch>,
-    /// Wakes the reader of the directory.
+    /// Wakes the directory reader after a suspension of the machine, to list the directory again.
     pub resync_wakeup: Notify,
-    /// Instances that are to be told everything at once.
+    /// Instances to which a complete state message is sent at once.
     pub greeting_targets: RefCell<Vec<Ipv4Addr>>,
-    /// Wakes the sender of messages to new instances.
+    /// Wakes the gossip task when `greeting_targets` grows.
     pub greeting_wakeup: Notify,
-    /// Wakes the sender of news of this instance.
+    /// Wakes the gossip task when the state of this instance has changed.
     pub state_changed: Notify,
-    /// News that this instance passes on.
+    /// Digests of other instances that this instance forwards as a relay.
     pub outbox: RefCell<Outbox>,
-    /// Wakes the sender of what is passed on.
+    /// Wakes the gossip task when the outbox grows.
     pub outbox_wakeup: Notify,
-    /// Whether the directory is to be read whole.
+    /// Whether the next read of the store must be a full listing.
     pub needs_full_list: Cell<bool>,
-    /// What was read of the directory.
+    /// Parsed directory entries, and when the store last failed.
     pub directory_reader: RefCell<DirectoryReader>,
-    /// Where the process stands in its life.
+    /// Lifecycle state of the process.
     pub process_state: watch::Sender<ProcessState>,
-    /// The table's version, for those that wait for a change.
+    /// Version of the table in force, for tasks that wait for a change.
     pub version_tx: watch::Sender<u64>,
-    /// When the last answers are given, once the process was told to stop.
+    /// Time at which the last responses end, once shutdown has begun.
     pub response_deadline: Cell<Option<Instant>>,
-    /// Requests being answered.
+    /// Number of requests being answered.
     pub active_requests: Cell<usize>,
-    /// Connections of callers that are open, from their acceptance until all is written.
+    /// Number of open caller connections, from their acceptance until all is written.
     pub open_connections: watch::Sender<usize>,
-    /// Requests that were taken from callers since the start.
+    /// Number of requests accepted from callers since the start.
     pub accepted_requests: Cell<u64>,
-    /// Wakes the timer of waiting requests.
+    /// Wakes the task that expires waiting requests when a request starts to wait.
     pub queue_wakeup: Notify,
     store_answered: Cell<Option<Instant>>,
     table: RefCell<Option<Rc<Table>>>,
     targets: RefCell<Vec<Rc<Target>>>,
-    /// Replicas by their short names.
+    /// Replica ids, sorted by short name.
     short_names: RefCell<Vec<(ShortName, UpstreamId)>>,
-    /// Services by their short names.
+    /// Service ids, sorted by short name.
     services: RefCell<Vec<(ShortName, ServiceId)>>,
-    waiters: RefCell<Vec<(JobId, oneshot::Sender<Verdict>)>>,
+    waiters: RefCell<Vec<(JobId, oneshot::Sender<SlotResult>)>>,
     next_job: Cell<JobId>,
 }
 
@@ -133,7 +133,7 @@
 }
 
 impl Node {
-    /// Makes an instance that knows nothing yet.
+    /// Creates the state of an instance that has read neither the directory nor any message.
     pub fn new(cfg: Settings, dialect: Rc<dyn Dialect>, source: Rc<dyn Source>) -> Rc<Self> {
         let now = Instant::now();
         let mut ledger = Ledger::new(cfg.address().to_bits(), rand::random());
@@ -187,7 +187,7 @@
         Rc::clone(&self.cfg.borrow())
     }
 
-    /// Takes from newer settings what takes effect while the process runs.
+    /// Applies those of the newer settings that can change while the process runs.
     pub fn apply_settings(&self, newer: &Settings) {
         let mut cfg = Settings::clone(&self.settings());
         cfg.adjust(newer);
@@ -210,63 +210,64 @@
         self.table.borrow().as_ref().map_or(0, |t| t.version)
     }
 
-    /// Where the process stands in its life.
+    /// Lifecycle state of the process.
     pub fn process_state(&self) -> ProcessState {
         *self.process_state.borrow()
     }
 
-    /// Ends when the process has just time left to answer; never while it was not told to stop.
+    /// Completes when the time for the last responses has come; never before shutdown has begun.
     pub async fn response_deadline_reached(&self) {
-        let mut stage = self.process_state.subscribe();
+        let mut state_rx = self.process_state.subscribe();
         loop {
-            if let Some(at) = self.response_deadline.get() {
-                return sleep_until(at).await;
+            if let Some(deadline) = self.response_deadline.get() {
+                return sleep_until(deadline).await;
             }
-            if stage.changed().await.is_err() {
+            if state_rx.changed().await.is_err() {
                 return;
             }
         }
     }
 
-    /// Whether callers may be sent here.
+    /// Whether load balancers may send callers here: not shutting down, and a table is in force.
     pub fn is_ready(&self) -> bool {
         self.process_state() == ProcessState::Serving && self.table.borrow().is_some()
     }
 
-    /// Notes that the store answered.
+    /// Records that the store has just responded.
     pub fn record_store_response(&self) {
         self.store_answered.set(Some(Instant::now()));
     }
 
-    /// How long ago the store answered last, if it ever did.
+    /// Time since the last response of the store, `None` before the first.
     pub fn store_age(&self) -> Option<Duration> {
         self.store_answered.get().map(|at| at.elapsed())
     }
 
-    /// Whether this instance reads the store itself.
+    /// Whether this instance is one of those that read the store; the others get the directory from
+    /// peers.
     pub fn reads_store(&self) -> bool {
         let zone = short_name(&self.settings().availability_zone);
         self.peers
             .borrow()
-            .reads_store(Instant::now(), zone, STORE_LOST)
+            .reads_store(Instant::now(), zone, STORE_RESPONSE_MAX_AGE)
     }
 
     /// Puts a newer table in force; an older one is ignored.
     pub fn set_table(&self, table: Rc<Table>) {
-        let held = self.table_version();
-        if held >= table.version && held != 0 {
+        let current = self.table_version();
+        if current >= table.version && current != 0 {
             return;
         }
         let version = table.version;
         self.log.line(
             Weight::Notable,
-            format_args!("event=table version={version} before={held}"),
+            format_args!("event=table version={version} before={current}"),
         );
         *self.table.borrow_mut() = Some(table);
         self.version_tx.send_replace(version);
     }
 
-    /// A number for a new request.
+    /// Returns a number for a new request, unique in this process.
     pub fn next_job_id(&self) -> JobId {
         let id = self.next_job.get();
         self.next_job.set(id + 1);
--- a/crates/entry/src/node/replicas.rs
+++ b/crates/entry/src/node/replicas.rs
@@ -1,4 +1,5 @@
-//! The published replicas as the dispatcher gets them: where they stand, how far, and whether they may get work.
+//! Passes the published replicas to the dispatcher: their zone, their distance, and whether they
+//! may get requests.
 
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -16,29 +17,30 @@
 use crate::replica::PublishedReplica;
 use crate::table::ColdStart;
 
-/// Time of a message there and back between availability zones of a region.
-const TRAVEL_ZONE: Duration = Duration::from_millis(2);
+/// Round-trip time between availability zones of a region.
+const ZONE_RTT: Duration = Duration::from_millis(2);
 
-/// Time of a message there and back between regions.
-const TRAVEL_REGION: Duration = Duration::from_millis(60);
+/// Round-trip time between regions.
+const REGION_RTT: Duration = Duration::from_millis(60);
 
-/// What the bytes of a request that cross zones or regions cost the users, counted as time: they pay
-/// for them by volume.
-const ZONE_COST: Duration = Duration::from_millis(30);
+/// Cost of the bytes of a request that cross zones or regions, expressed as time: users pay for
+/// them by volume.
+const ZONE_TRANSFER_COST: Duration = Duration::from_millis(30);
 
-const REGION_COST: Duration = Duration::from_millis(60);
+/// The same for requests that cross regions.
+const REGION_TRANSFER_COST: Duration = Duration::from_millis(60);
 
-/// A replica that requests can be sent to.
+/// A published replica and the connections to it.
 #[derive(Debug)]
 pub struct Target {
-    /// What is published of it.
+    /// The replica's entry in the directory.
     pub published: PublishedReplica,
-    /// Kept connections to it.
+    /// Idle connections to the replica.
     pub pool: Rc<ConnectionPool>,
 }
 
 impl Node {
-    /// Takes the zones whose replicas are to get nothing new.
+    /// Sets the drained zones, whose replicas get no new requests, and logs each change.
     pub fn set_drained_zones(&self, now: Instant, zones: Vec<ZoneId>) {
         let change = self.drained_zones.borrow_mut().set(now, zones);
         for (zones, event) in [
@@ -52,11 +54,13 @@
         }
     }
 
-    /// Takes the published replicas that may get work or finish it.
+    /// Replaces the published replicas: those that may get requests, or still finish some.
     pub fn set_replicas(&self, published: Vec<PublishedReplica>) {
         let mut targets = Vec::with_capacity(published.len());
         for replica in published {
-            let old = self.target(&replica.id).filter(|t| same_life(t, &replica));
+            let old = self
+                .target(&replica.id)
+                .filter(|t| is_same_incarnation(t, &replica));
             targets.push(match old {
                 Some(old) if old.published == replica => old,
                 old => Rc::new(Target {
@@ -83,26 +87,26 @@
         self.assign_slots();
     }
 
-    /// Tells the dispatcher of the replicas anew, after a change of them or of the table.
+    /// Passes all replicas to the dispatcher again, after a change of them or of the table.
     pub fn refresh_replicas(&self) {
         let replicas: Vec<Replica> = self
             .targets
             .borrow()
             .iter()
-            .map(|t| self.replica(&t.published))
+            .map(|t| self.dispatch_replica(&t.published))
             .collect();
         let now = Instant::now();
         self.dispatch.borrow_mut().set_replicas(now, &replicas);
     }
 
-    /// The replica that peers mean by a short name.
+    /// The replica with this short name, which identifies it in messages between instances.
     pub fn replica_by_short_name(&self, name: ShortName) -> Option<UpstreamId> {
         let names = self.short_names.borrow();
-        let at = names.binary_search_by(|(short, _)| short.cmp(&name)).ok()?;
-        Some(names[at].1.clone())
+        let index = names.binary_search_by(|(short, _)| short.cmp(&name)).ok()?;
+        Some(names[index].1.clone())
     }
 
-    /// Takes what the other instances have at a replica.
+    /// Sets the load that the other instances have at a replica.
     pub fn set_remote_load(&self, name: ShortName, sum: Sum) {
         if let Some(id) = self.replica_by_short_name(name) {
             let prompt = sum.prompt as f64;
@@ -111,37 +115,38 @@
         }
     }
 
-    /// Takes what waits at the other instances of the zone.
+    /// Sets the requests that wait at the other instances of the zone: instance, service and most
+    /// urgent class.
     pub fn set_competitors<I>(&self, waiting: I)
     where
         I: Iterator<Item = (Ipv4Addr, ShortName, Class)>,
     {
         let services = self.services.borrow();
-        let contenders = waiting.filter_map(|(address, service, class)| {
-            let found = services.binary_search_by(|(short, _)| short.cmp(&service));
+        let competitors = waiting.filter_map(|(address, service, class)| {
+            let index = services.binary_search_by(|(short, _)| short.cmp(&service));
             Some(Contender {
-                service: services[found.ok()?].1.clone(),
+                service: services[index.ok()?].1.clone(),
                 key: address.to_bits(),
                 class,
             })
         });
-        let contenders = contenders.collect();
-        self.dispatch.borrow_mut().set_contenders(contenders);
+        let competitors = competitors.collect();
+        self.dispatch.borrow_mut().set_contenders(competitors);
     }
 
-    /// A replica by its name.
+    /// The replica with this id.
     pub fn target(&self, id: &UpstreamId) -> Option<Rc<Target>> {
         let targets = self.targets.borrow();
-        let at = targets.binary_search_by(|t| t.published.id.cmp(id)).ok()?;
-        Some(Rc::clone(&targets[at]))
+        let index = targets.binary_search_by(|t| t.published.id.cmp(id)).ok()?;
+        Some(Rc::clone(&targets[index]))
     }
 
-    /// All replicas.
+    /// All published replicas, sorted by id.
     pub fn targets(&self) -> Vec<Rc<Target>> {
         self.targets.borrow().clone()
     }
 
-    fn replica(&self, published: &PublishedReplica) -> Replica {
+    fn dispatch_replica(&self, published: &PublishedReplica) -> Replica {
         let table = self.table();
         let service = table.as_ref().and_then(|t| t.service(&published.service));
         let tokens_per_event = service.and_then(|s| s.tokens_per_event);
@@ -155,7 +160,7 @@
             slots: published.slots,
             round_trip: self.weighted_rtt(&published.zone),
             travel: self.rtt(&published.zone),
-            news: gossip::news(self, &published.zone),
+            news: gossip::propagation_delay(self, &published.zone),
             engine: tokens_per_event.is_some(),
             tokens_per_event: tokens_per_event.unwrap_or(1),
             usable: !published.leaving && !self.drained_zones.borrow().has(&published.zone),
@@ -165,29 +170,31 @@
         }
     }
 
-    /// Until when a replica is cold: as it says, or as one must be taken to be whose zone was emptied.
+    /// End of a replica's cold period: as published, or, if later, one cold period after its zone
+    /// came back from being drained.
     fn cold_until(&self, published: &PublishedReplica, cold: Option<ColdStart>) -> Option<Instant> {
         let refilled = self.drained_zones.borrow().refilled_at(&published.zone);
-        let since = refilled.zip(cold).map(|(at, cold)| at + cold.duration);
-        published.cold_until.max(since)
+        let cold_after_refill = refilled.zip(cold).map(|(at, cold)| at + cold.duration);
+        published.cold_until.max(cold_after_refill)
     }
 
-    /// The region of a zone; of one that the settings don't name, a region that is in no list.
+    /// The region of a zone; an empty region, which no list of regions contains, if the settings
+    /// don't name the zone.
     pub fn region_of(&self, zone: &str) -> RegionId {
         let cfg = self.settings();
         cfg.regions_by_zone.get(zone).map_or("", |r| r).into()
     }
 
-    /// Time of a message to a zone and back, with what the way costs the users counted as time.
+    /// Round-trip time to a zone plus the transfer cost expressed as time.
     pub fn weighted_rtt(&self, zone: &str) -> Duration {
         match self.rtt(zone) {
             Duration::ZERO => Duration::ZERO,
-            TRAVEL_REGION => TRAVEL_REGION + REGION_COST,
-            travel => travel + ZONE_COST,
+            REGION_RTT => REGION_RTT + REGION_TRANSFER_COST,
+            rtt => rtt + ZONE_TRANSFER_COST,
         }
     }
 
-    /// Time of a message to a zone and back.
+    /// Round-trip time to a zone.
     pub fn rtt(&self, zone: &str) -> Duration {
         let cfg = self.settings();
         if zone == &*cfg.availability_zone {
@@ -195,13 +202,13 @@
         }
         let region = cfg.regions_by_zone.get(zone);
         if region.is_some_and(|r| **r == *cfg.region) {
-            return TRAVEL_ZONE;
+            return ZONE_RTT;
         }
-        TRAVEL_REGION
+        REGION_RTT
     }
 }
 
-fn same_life(target: &Target, replica: &PublishedReplica) -> bool {
+fn is_same_incarnation(target: &Target, replica: &PublishedReplica) -> bool {
     target.published.start_unix_ms == replica.start_unix_ms
         && target.published.address == replica.address
 }
--- a/crates/entry/src/node/slots.rs
+++ b/crates/entry/src/node/slots.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a place, and the places that they hold.
+//! Requests that wait for a concurrency slot, and guards of the slots that they hold.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,65 +10,66 @@
 
 use super::Node;
 
-/// Why a waiting request got no place.
+/// Why a waiting request got no concurrency slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotError {
-    /// No replica had room in time.
+    /// No replica had a free slot in time.
     TimedOut,
 }
 
-pub(super) type Verdict = Result<(UpstreamId, Why), SlotError>;
+pub(super) type SlotResult = Result<(UpstreamId, Why), SlotError>;
 
-/// Takes a waiting request out again when its caller goes away.
+/// Removes a waiting request from the queue when its caller disconnects.
 #[derive(Debug)]
-struct Waiting {
+struct WaitGuard {
     node: Rc<Node>,
     job: JobId,
-    rx: oneshot::Receiver<Verdict>,
+    rx: oneshot::Receiver<SlotResult>,
 }
 
-impl Drop for Waiting {
+impl Drop for WaitGuard {
     fn drop(&mut self) {
         self.node
             .waiters
             .borrow_mut()
             .retain(|(id, _)| *id != self.job);
         self.node.dispatch.borrow_mut().withdraw(self.job);
-        // A place that was given but not taken would stay occupied for good.
+        // A slot that was assigned but never received would stay occupied forever.
         if let Ok(Ok((upstream, _))) = self.rx.try_recv() {
-            self.node.end(&upstream, self.job, Outcome::Unknown);
+            self.node.end_request(&upstream, self.job, Outcome::Unknown);
             self.node.assign_slots();
         }
     }
 }
 
-/// A place at a replica, held until the request has ended there.
+/// A concurrency slot at a replica, held until the request has ended there. Dropping it frees the
+/// slot with an unknown outcome.
 #[derive(Debug)]
 pub struct SlotGuard {
     node: Rc<Node>,
-    /// The replica.
+    /// The replica that the slot belongs to.
     pub upstream: UpstreamId,
-    /// What decided for it.
+    /// Why the dispatcher chose this replica.
     pub selection: Why,
     job: JobId,
     ended: bool,
 }
 
 impl SlotGuard {
-    /// Notes that the replica has begun to answer.
+    /// Records that the replica has begun to answer.
     pub fn on_first_event(&self) {
         let mut dispatch = self.node.dispatch.borrow_mut();
         dispatch.on_first(Instant::now(), &self.upstream, self.job);
         self.node.state_changed.notify_one();
     }
 
-    /// Notes events of the stream, and the time since the ones before.
+    /// Records events of the stream, and the time since the previous ones.
     pub fn on_events(&self, events: u32, gap: Duration) {
         let mut dispatch = self.node.dispatch.borrow_mut();
         dispatch.on_events(Instant::now(), &self.upstream, events, gap);
     }
 
-    /// Whether the replica brings nothing to anybody here.
+    /// Whether the replica has sent nothing for too long to all requests of this instance.
     pub fn is_replica_stalled(&self) -> bool {
         self.node
             .dispatch
@@ -76,10 +77,10 @@
             .is_silent(Instant::now(), &self.upstream)
     }
 
-    /// Frees the place.
+    /// Frees the slot and records how the request ended.
     pub fn release(mut self, outcome: Outcome) {
         self.ended = true;
-        self.node.end(&self.upstream, self.job, outcome);
+        self.node.end_request(&self.upstream, self.job, outcome);
         self.node.assign_slots();
     }
 }
@@ -87,81 +88,89 @@
 impl Drop for SlotGuard {
     fn drop(&mut self) {
         if !self.ended {
-            self.node.end(&self.upstream, self.job, Outcome::Unknown);
+            self.node
+                .end_request(&self.upstream, self.job, Outcome::Unknown);
             self.node.assign_slots();
         }
     }
 }
 
 impl Node {
-    /// Waits until a replica has a place for the request.
+    /// Waits until a replica has a free slot for the request.
     pub async fn acquire_slot(self: &Rc<Self>, job: Job) -> Result<SlotGuard, SlotError> {
         let id = job.id;
         let (tx, rx) = oneshot::channel();
         self.waiters.borrow_mut().push((id, tx));
         self.dispatch.borrow_mut().enqueue(job);
-        let mut waiting = Waiting {
+        let mut guard = WaitGuard {
             node: Rc::clone(self),
             job: id,
             rx,
         };
         self.assign_slots();
         self.queue_wakeup.notify_one();
-        // The others leave free places to it if it is urgent.
+        // If the request is urgent, other instances leave free slots to it once they know of it.
         self.state_changed.notify_one();
-        let verdict = (&mut waiting.rx).await.unwrap_or(Err(SlotError::TimedOut));
-        verdict.map(|(upstream, why)| SlotGuard {
+        let result = (&mut guard.rx).await.unwrap_or(Err(SlotError::TimedOut));
+        result.map(|(upstream, selection)| SlotGuard {
             node: Rc::clone(self),
             upstream,
-            selection: why,
+            selection,
             job: id,
             ended: false,
         })
     }
 
-    /// Gives places to waiting requests, as far as there are any.
+    /// Assigns free slots to waiting requests until either runs out.
     pub fn assign_slots(&self) {
         let now = Instant::now();
         loop {
-            let warm = |id: &UpstreamId| self.target(id).is_some_and(|t| t.pool.has_idle(now));
-            let placed = self.dispatch.borrow_mut().place_warm(now, warm);
-            if !placed.is_empty() {
+            let has_idle_connection =
+                |id: &UpstreamId| self.target(id).is_some_and(|t| t.pool.has_idle(now));
+            let assigned = self
+                .dispatch
+                .borrow_mut()
+                .place_warm(now, has_idle_connection);
+            if !assigned.is_empty() {
                 self.state_changed.notify_one();
             }
-            let mut lost = Vec::new();
-            for p in placed {
-                if !self.tell(p.job, Ok((p.upstream.clone(), p.why))) {
-                    lost.push(p);
+            let mut orphaned = Vec::new();
+            for assignment in assigned {
+                if !self.notify_waiter(
+                    assignment.job,
+                    Ok((assignment.upstream.clone(), assignment.why)),
+                ) {
+                    orphaned.push(assignment);
                 }
             }
-            if lost.is_empty() {
+            if orphaned.is_empty() {
                 return;
             }
-            // Their callers went away meanwhile, so the places are free again.
-            for p in lost {
-                self.end(&p.upstream, p.job, Outcome::Unknown);
+            // These callers disconnected meanwhile, so their slots are free again.
+            for assignment in orphaned {
+                self.end_request(&assignment.upstream, assignment.job, Outcome::Unknown);
             }
         }
     }
 
-    /// Gives up the waiting requests whose time is over.
+    /// Times out the waiting requests whose maximum wait has passed.
     pub fn expire_waiting(&self) {
-        let gone = self.dispatch.borrow_mut().give_up(Instant::now());
-        for job in gone {
-            self.tell(job, Err(SlotError::TimedOut));
+        let expired = self.dispatch.borrow_mut().give_up(Instant::now());
+        for job in expired {
+            self.notify_waiter(job, Err(SlotError::TimedOut));
         }
     }
 
-    fn tell(&self, job: JobId, verdict: Verdict) -> bool {
+    fn notify_waiter(&self, job: JobId, result: SlotResult) -> bool {
         let mut waiters = self.waiters.borrow_mut();
-        let Some(at) = waiters.iter().position(|(id, _)| *id == job) else {
+        let Some(index) = waiters.iter().position(|(id, _)| *id == job) else {
             return false;
         };
-        let (_, tx) = waiters.swap_remove(at);
-        tx.send(verdict).is_ok()
+        let (_, tx) = waiters.swap_remove(index);
+        tx.send(result).is_ok()
     }
 
-    fn end(&self, upstream: &UpstreamId, job: JobId, outcome: Outcome) {
+    fn end_request(&self, upstream: &UpstreamId, job: JobId, outcome: Outcome) {
         self.dispatch
             .borrow_mut()
             .on_end(Instant::now(), upstream, job, outcome);
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,11 +1,11 @@
-//! The other instances, and what they say of their load and spending.
+//! The other instances, their load and their spending.
 //!
-//! Each instance tells all others what it has at each replica, whom it knows and up to which revision
-//! it knows the directory. Nothing is agreed on: a message replaces the one before, and what a silent
-//! instance said last is forgotten after a while.
+//! Each instance sends all others its load at each replica, the instances that it knows and the
+//! directory revision that it has reached. There is no consensus: a message replaces the one
+//! before, and the last state of a silent instance is forgotten after a while.
 
-mod acquaintance;
 mod digest;
+mod discovery;
 mod peer;
 
 use std::net::Ipv4Addr;
@@ -18,48 +18,51 @@
 use kingcupfield_decisions::known::Revision;
 use tokio::time::Instant;
 
-pub use digest::{Digest, PeerMessage, Reach};
+pub use digest::{Digest, ForwardScope, PeerMessage};
 pub use peer::{Nearness, Peer};
 
-/// An instance that was not heard for this long may be cut off: its load is no longer counted, and
-/// its share of the organisations' limits is left to it. Three of the slowest messages.
-pub const SILENT: Duration = Duration::from_millis(2500);
+/// Time without a message after which an instance may be cut off: its load is no longer counted,
+/// and its share of the organisations' limits stays reserved for it. Three intervals of the slowest
+/// messages.
+pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// An instance that was not heard for this long is gone: longer than any cut that the users see,
-/// so that the two sides of a cut never spend the same share.
-const FORGOTTEN: Duration = Duration::from_mins(1);
+/// Time without a message after which an instance is considered gone: longer than any network
+/// partition that users see, so that the two sides of a partition never spend the same share.
+const FORGET_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// An instance that was told everything this lately is not told again when it is heard first.
-const GREETED: Duration = Duration::from_millis(500);
+/// An instance that was sent the complete state less than this ago gets it no second time when its
+/// first message arrives.
+const GREETING_COOLDOWN: Duration = Duration::from_millis(500);
 
-/// Instances that are assumed while none was ever heard: as many as the largest fleets have today. An
-/// instance that starts behind a cut then spends its share alone.
-const ASSUMED: usize = 64;
+/// Number of instances assumed while no other was ever heard: the size of the largest fleets today.
+/// An instance that starts behind a partition then spends only its own share.
+const ASSUMED_INSTANCES: usize = 64;
 
-/// A reading of the difference between two clocks that is better by this is told again: the lines
-/// that are put in order by it lie some milliseconds apart.
-const CLOCK_NEWS_MS: i64 = 20;
+/// An estimate of the difference between two clocks is logged again if it is better by this, in
+/// milliseconds: the log lines that are ordered by it lie some milliseconds apart.
+const CLOCK_GAIN_TO_LOG_MS: i64 = 20;
 
-/// A reading that is worse by this is told as well: messages are held up for less.
-const CLOCK_SET_BACK_MS: i64 = 1000;
+/// An estimate that is worse by this, in milliseconds, is logged as well: messages are delayed by
+/// less, so the clock was set back.
+const CLOCK_LOSS_TO_LOG_MS: i64 = 1000;
 
-/// Instances that read the store at least, in a fleet of one zone.
-const READERS: usize = 2;
+/// Number of instances of the whole fleet that read the store, also if all are in one zone.
+const MIN_STORE_READERS: usize = 2;
 
-/// What a message changed.
+/// Effects of a digest, for the caller to act on.
 #[derive(Debug, Default)]
-pub struct Heard {
-    /// Whether the instance is new or started anew.
+pub struct DigestEffects {
+    /// Whether the sender is new, restarted, or back after a silence.
     pub is_new: bool,
-    /// Instances that should be told everything at once.
+    /// Instances to which the complete state should be sent at once.
     pub greet: Vec<Ipv4Addr>,
-    /// Instances that have fallen silent since the last look.
+    /// Instances that have fallen silent since the last check.
     pub silent: Vec<Ipv4Addr>,
 }
 
-/// An instance that said that it ends.
+/// An instance that announced its shutdown.
 #[derive(Debug)]
-struct Leaver {
+struct LeavingPeer {
     address: Ipv4Addr,
     incarnation: u64,
     since: Instant,
@@ -69,203 +72,207 @@
 #[derive(Debug)]
 pub struct Peers {
     own: Ipv4Addr,
-    /// The zones of the deployment, the own one first, then by distance.
+    /// The zones of the deployment with their distance, the own zone first.
     zones: Vec<(ShortName, Distance)>,
     has_contacts: bool,
     others: Vec<Peer>,
-    leavers: Vec<Leaver>,
-    elsewhere: Elsewhere,
+    leaving: Vec<LeavingPeer>,
+    remote_load: Elsewhere,
     started: Instant,
-    /// When another instance became known last, and one of the own zone.
-    learned: Instant,
-    learned_home: Instant,
-    /// Whether an instance that knows the fleet has named its members, and whether one of the own
-    /// zone has.
-    introduced: bool,
-    introduced_home: bool,
-    /// Since when it hears others.
-    met: Option<Instant>,
-    /// Since when this instance mints credit.
-    mints_since: Option<Instant>,
-    /// No instance falls silent before this, so that not each message has to look at all of them.
-    none_silent_before: Instant,
+    /// When an instance was last added, in any zone and in the own zone.
+    last_added: Instant,
+    last_added_home: Instant,
+    /// Whether an instance that knows the whole fleet has sent its member list, and whether one of
+    /// the own zone has.
+    got_full_list: bool,
+    got_full_home_list: bool,
+    /// Since when this instance has received messages of others without interruption.
+    hearing_since: Option<Instant>,
+    /// Since when this instance accrues credit; `None` while it may not.
+    accruing_since: Option<Instant>,
+    /// No instance can fall silent before this, so that not every message has to check all of them.
+    next_silence_check: Instant,
 }
 
 impl Peers {
-    /// Knows nobody yet.
+    /// Creates the view of an instance that has heard no other. `has_contacts` says whether the
+    /// settings name other instances to contact.
     pub fn new(now: Instant, own: Ipv4Addr, has_contacts: bool) -> Self {
         Self {
             own,
             zones: vec![(ShortName::default(), Distance::Home)],
             has_contacts,
             others: Vec::new(),
-            leavers: Vec::new(),
-            elsewhere: Elsewhere::new(),
+            leaving: Vec::new(),
+            remote_load: Elsewhere::new(),
             started: now,
-            learned: now,
-            learned_home: now,
-            introduced: false,
-            introduced_home: false,
-            met: None,
-            mints_since: None,
-            none_silent_before: now,
+            last_added: now,
+            last_added_home: now,
+            got_full_list: false,
+            got_full_home_list: false,
+            hearing_since: None,
+            accruing_since: None,
+            next_silence_check: now,
         }
     }
 
-    /// Tells the zones of the deployment, with how far they are.
+    /// Sets the zones of the deployment with their distance.
     #[must_use]
     pub fn with_zones<I>(mut self, zones: I) -> Self
     where
         I: IntoIterator<Item = (ShortName, Distance)>,
     {
         self.zones = zones.into_iter().collect();
-        self.zones.sort_unstable_by_key(|(name, far)| (*far, *name));
+        self.zones
+            .sort_unstable_by_key(|(name, distance)| (*distance, *name));
         self
     }
 
-    /// The other instances that are known.
+    /// The other instances that are known, sorted by address.
     pub fn all(&self) -> &[Peer] {
         &self.others
     }
 
-    /// Where an instance stands among the others, or where it would.
-    fn position(&self, address: Ipv4Addr) -> Result<usize, usize> {
+    /// Index of an instance in `others`, or the index at which to insert it.
+    fn index_of(&self, address: Ipv4Addr) -> Result<usize, usize> {
         self.others.binary_search_by_key(&address, |p| p.address)
     }
 
-    /// Notes that an instance sent something itself.
-    pub fn on_sent(&mut self, now: Instant, address: Ipv4Addr) {
-        if let Ok(at) = self.position(address) {
-            self.others[at].sent = Some(now);
+    /// Records a datagram that came from the instance itself, not through a relay.
+    pub fn record_datagram(&mut self, now: Instant, address: Ipv4Addr) {
+        if let Ok(index) = self.index_of(address) {
+            self.others[index].last_datagram = Some(now);
         }
     }
 
-    /// Whether an instance is known to be of a zone.
-    pub fn is_of(&self, address: Ipv4Addr, zone: ShortName) -> bool {
-        let at = self.position(address);
-        at.is_ok_and(|at| self.others[at].digest.zone == zone)
+    /// Whether an instance is known to belong to a zone.
+    pub fn is_in_zone(&self, address: Ipv4Addr, zone: ShortName) -> bool {
+        let index = self.index_of(address);
+        index.is_ok_and(|index| self.others[index].digest.zone == zone)
     }
 
-    /// When an instance sent something itself last.
-    pub fn sent_at(&self, address: Ipv4Addr) -> Option<Instant> {
-        self.others[self.position(address).ok()?].sent
+    /// When the last datagram from the instance itself arrived.
+    pub fn last_datagram_at(&self, address: Ipv4Addr) -> Option<Instant> {
+        self.others[self.index_of(address).ok()?].last_datagram
     }
 
-    /// The instances of a zone that are heard, or have just become known.
+    /// The instances of a zone that are live, or became known a short time ago.
     pub fn reachable(&self, now: Instant, zone: ShortName) -> Vec<Ipv4Addr> {
-        let is_new = |p: &Peer| now.saturating_duration_since(p.since) < SILENT;
-        let there = self.others.iter().filter(|p| p.digest.zone == zone);
-        let reachable = there.filter(|p| p.is_fresh(now) || p.heard.is_none() && is_new(p));
+        let is_new = |p: &Peer| now.saturating_duration_since(p.added) < SILENCE_TIMEOUT;
+        let in_zone = self.others.iter().filter(|p| p.digest.zone == zone);
+        let reachable = in_zone.filter(|p| p.is_live(now) || p.last_heard.is_none() && is_new(p));
         reachable.map(|p| p.address).collect()
     }
 
-    /// Number of instances that are known, with this one.
+    /// Number of known instances, including this one.
     pub fn instance_count(&self) -> usize {
-        let known = self.others.len() + 1;
-        if known == 1 && self.has_contacts {
-            return ASSUMED;
+        let count = self.others.len() + 1;
+        if count == 1 && self.has_contacts {
+            return ASSUMED_INSTANCES;
         }
-        known
+        count
     }
 
-    /// Number of instances that are heard now, with this one.
+    /// Number of live instances, including this one.
     pub fn live_count(&self, now: Instant) -> usize {
-        self.others.iter().filter(|p| p.is_fresh(now)).count() + 1
+        self.others.iter().filter(|p| p.is_live(now)).count() + 1
     }
 
-    /// How long ago the most silent of those that are heard spoke last: so old the counts of the
-    /// others may be.
+    /// Age of the oldest last report among the live instances, which bounds the age of the remote
+    /// load.
     pub fn max_report_age(&self, now: Instant) -> Duration {
-        let heard = self.others.iter().filter(|p| p.is_fresh(now));
-        let oldest = heard.filter_map(|p| p.heard).min();
-        oldest.map_or(Duration::ZERO, |at| now.saturating_duration_since(at))
+        let live = self.others.iter().filter(|p| p.is_live(now));
+        let oldest = live.filter_map(|p| p.last_heard).min();
+        oldest.map_or(Duration::ZERO, |heard_at| {
+            now.saturating_duration_since(heard_at)
+        })
     }
 
-    /// Makes an instance known by its address.
+    /// Adds an instance by its address.
     ///
     /// Returns whether it was not known before.
-    pub fn learn(&mut self, now: Instant, address: Ipv4Addr, zone: ShortName) -> bool {
+    pub fn add(&mut self, now: Instant, address: Ipv4Addr, zone: ShortName) -> bool {
         if address == self.own {
             return false;
         }
-        if let Err(at) = self.position(address) {
+        if let Err(index) = self.index_of(address) {
             let peer = Peer {
                 address,
-                heard: None,
-                since: now,
-                sent: None,
-                told: None,
+                last_heard: None,
+                added: now,
+                last_datagram: None,
+                last_greeting: None,
                 digest: Digest {
                     zone,
                     ..Digest::default()
                 },
-                ahead_ms: None,
+                logged_offset_ms: None,
                 counted: false,
             };
-            self.others.insert(at, peer);
-            self.learned = now;
+            self.others.insert(index, peer);
+            self.last_added = now;
             if zone == self.zones[0].0 {
-                self.learned_home = now;
+                self.last_added_home = now;
             }
             return true;
         }
         false
     }
 
-    /// Notes that an instance was told everything.
-    pub fn on_told(&mut self, now: Instant, address: Ipv4Addr) {
-        if let Ok(at) = self.position(address) {
-            self.others[at].told = Some(now);
+    /// Records that an instance was sent the complete state.
+    pub fn record_greeting(&mut self, now: Instant, address: Ipv4Addr) {
+        if let Ok(index) = self.index_of(address) {
+            self.others[index].last_greeting = Some(now);
         }
     }
 
-    /// Takes a message.
-    pub fn on_digest(&mut self, now: Instant, from: Ipv4Addr, mut digest: Digest) -> Heard {
+    /// Applies a digest of another instance, received directly or through a relay.
+    pub fn on_digest(&mut self, now: Instant, from: Ipv4Addr, mut digest: Digest) -> DigestEffects {
         if from == self.own {
-            return Heard::default();
+            return DigestEffects::default();
         }
         let mut greet = Vec::new();
-        self.introduced |= digest.settled;
-        self.introduced_home |= digest.settled && digest.zone == self.zones[0].0;
+        self.got_full_list |= digest.settled;
+        self.got_full_home_list |= digest.settled && digest.zone == self.zones[0].0;
         for (zone, members) in std::mem::take(&mut digest.members) {
             for member in members {
-                // Those of other zones hear of this instance through relays.
-                if self.learn(now, member, zone) && zone == self.zones[0].0 {
+                // Instances of other zones learn of this instance through relays.
+                if self.add(now, member, zone) && zone == self.zones[0].0 {
                     greet.push(member);
                 }
             }
         }
         if digest.leaving || self.has_left(from, digest.incarnation) {
-            self.on_leaver(now, from, digest.incarnation);
-            return Heard::default();
+            self.remove_leaving(now, from, digest.incarnation);
+            return DigestEffects::default();
         }
-        self.learn(now, from, digest.zone);
-        let Ok(at) = self.position(from) else {
-            return Heard::default();
+        self.add(now, from, digest.zone);
+        let Ok(index) = self.index_of(from) else {
+            return DigestEffects::default();
         };
-        let silent = self.silence(now);
+        let silent = self.drop_silent(now);
         let home = self.zones[0].0;
-        let peer = &mut self.others[at];
-        let same_life = peer.digest.incarnation == digest.incarnation;
-        if same_life && peer.heard.is_some() && digest.seq < peer.digest.seq {
-            return Heard {
+        let peer = &mut self.others[index];
+        let same_incarnation = peer.digest.incarnation == digest.incarnation;
+        if same_incarnation && peer.last_heard.is_some() && digest.seq < peer.digest.seq {
+            return DigestEffects {
                 greet,
                 silent,
-                ..Heard::default()
+                ..DigestEffects::default()
             };
         }
-        let is_new = !same_life || !peer.is_fresh(now);
+        let is_new = !same_incarnation || !peer.is_live(now);
         digest.upto = digest.upto.max(peer.digest.upto);
-        peer.count(&mut self.elsewhere, &digest.loads);
+        peer.count_load(&mut self.remote_load, &digest.loads);
         peer.digest = digest;
-        peer.heard = Some(now);
-        let told = peer
-            .told
-            .is_some_and(|at| now.saturating_duration_since(at) < GREETED);
-        if is_new && !told && (peer.digest.zone == home || peer.digest.greeting) {
+        peer.last_heard = Some(now);
+        let recently_greeted = peer
+            .last_greeting
+            .is_some_and(|at| now.saturating_duration_since(at) < GREETING_COOLDOWN);
+        if is_new && !recently_greeted && (peer.digest.zone == home || peer.digest.greeting) {
             greet.push(from);
         }
-        Heard {
+        DigestEffects {
             is_new,
             greet,
             silent,
@@ -273,119 +280,124 @@
     }
 
     fn has_left(&self, address: Ipv4Addr, incarnation: u64) -> bool {
-        let same = |l: &Leaver| l.address == address && l.incarnation == incarnation;
-        self.leavers.iter().any(same)
+        let same = |peer: &LeavingPeer| peer.address == address && peer.incarnation == incarnation;
+        self.leaving.iter().any(same)
     }
 
-    /// Notes that an instance ends: it has no share and no load any more. Late messages of
-    /// the same life don't bring it back.
-    fn on_leaver(&mut self, now: Instant, from: Ipv4Addr, incarnation: u64) {
+    /// Removes an instance that shuts down, with its share and its load. Late messages of the same
+    /// incarnation don't add it again.
+    fn remove_leaving(&mut self, now: Instant, from: Ipv4Addr, incarnation: u64) {
         if self.has_left(from, incarnation) {
             return;
         }
-        self.leavers.retain(|l| l.address != from);
-        self.leavers.push(Leaver {
+        self.leaving.retain(|peer| peer.address != from);
+        self.leaving.push(LeavingPeer {
             address: from,
             incarnation,
             since: now,
         });
-        if let Ok(at) = self.position(from) {
-            let mut leaver = self.others.remove(at);
-            leaver.count_nothing(&mut self.elsewhere);
+        if let Ok(index) = self.index_of(from) {
+            let mut peer = self.others.remove(index);
+            peer.uncount_load(&mut self.remote_load);
         }
     }
 
-    /// Stops to count the load of instances that have fallen silent, and names them.
-    pub fn silence(&mut self, now: Instant) -> Vec<Ipv4Addr> {
+    /// Stops counting the load of instances that have fallen silent, and returns their addresses.
+    pub fn drop_silent(&mut self, now: Instant) -> Vec<Ipv4Addr> {
         let mut silent = Vec::new();
-        if now < self.none_silent_before {
+        if now < self.next_silence_check {
             return silent;
         }
-        let mut next = now + SILENT;
+        let mut next = now + SILENCE_TIMEOUT;
         for peer in self.others.iter_mut().filter(|p| p.counted) {
-            if peer.is_fresh(now) {
-                next = next.min(peer.heard.map_or(next, |at| at + SILENT));
+            if peer.is_live(now) {
+                next = next.min(peer.last_heard.map_or(next, |at| at + SILENCE_TIMEOUT));
             } else {
-                peer.count_nothing(&mut self.elsewhere);
+                peer.uncount_load(&mut self.remote_load);
                 silent.push(peer.address);
             }
         }
-        self.none_silent_before = next;
+        self.next_silence_check = next;
         silent
     }
 
-    /// Notes by how much an instance's time of day is ahead; returns whether that is news.
-    pub fn on_clock(&mut self, from: Ipv4Addr, ahead_ms: i64) -> bool {
-        let Ok(at) = self.position(from) else {
+    /// Records by how many milliseconds an instance's clock is ahead; returns whether the estimate
+    /// has changed enough to be logged.
+    pub fn record_clock_offset(&mut self, from: Ipv4Addr, ahead_ms: i64) -> bool {
+        let Ok(index) = self.index_of(from) else {
             return false;
         };
-        let told = &mut self.others[at].ahead_ms;
-        // A message that was held up makes the other clock look late, so only a better reading is
-        // news, or a clock that was set back by far.
-        let news = told.is_none_or(|told| {
-            ahead_ms >= told + CLOCK_NEWS_MS || ahead_ms <= told - CLOCK_SET_BACK_MS
+        let logged_ms = &mut self.others[index].logged_offset_ms;
+        // A delayed message makes the other clock look late, so only a better estimate counts, or
+        // one that is so much worse that the clock was set back.
+        let should_log = logged_ms.is_none_or(|logged_ms| {
+            ahead_ms >= logged_ms + CLOCK_GAIN_TO_LOG_MS
+                || ahead_ms <= logged_ms - CLOCK_LOSS_TO_LOG_MS
         });
-        if news {
-            *told = Some(ahead_ms);
+        if should_log {
+            *logged_ms = Some(ahead_ms);
         }
-        news
+        should_log
     }
 
-    /// Forgets the instances that are gone.
-    pub fn forget(&mut self, now: Instant) {
-        self.others.retain(|p| !p.is_forgotten(now));
-        let is_gone = |l: &Leaver| now.saturating_duration_since(l.since) >= FORGOTTEN;
-        self.leavers.retain(|l| !is_gone(l));
+    /// Removes the instances that have been silent for too long.
+    pub fn remove_gone(&mut self, now: Instant) {
+        self.others.retain(|p| !p.is_gone(now));
+        let is_gone =
+            |peer: &LeavingPeer| now.saturating_duration_since(peer.since) >= FORGET_TIMEOUT;
+        self.leaving.retain(|peer| !is_gone(peer));
     }
 
-    /// What waits at the others of a zone: the instance, the service, the most urgent class.
-    pub fn waiting(
+    /// Requests that wait at the live instances of a zone: the instance, the service and its most
+    /// urgent class.
+    pub fn waiting_in_zone(
         &self,
         now: Instant,
         zone: ShortName,
     ) -> impl Iterator<Item = (Ipv4Addr, ShortName, Class)> {
-        let near = move |p: &&Peer| p.is_fresh(now) && p.digest.zone == zone;
-        self.others.iter().filter(near).flat_map(|p| {
+        let in_zone = move |p: &&Peer| p.is_live(now) && p.digest.zone == zone;
+        self.others.iter().filter(in_zone).flat_map(|p| {
             let waiting = p.digest.waiting.iter();
             waiting.map(|(service, class)| (p.address, *service, *class))
         })
     }
 
-    /// What the others have at a replica.
+    /// Load of the other instances at a replica.
     pub fn load_at(&self, replica: ShortName) -> Sum {
-        self.elsewhere.at(replica)
+        self.remote_load.at(replica)
     }
 
-    /// All replicas at which the others have or had something.
+    /// Load of the other instances by replica, including replicas whose load has fallen to zero.
     pub fn loads(&self) -> &[(ShortName, Sum)] {
-        self.elsewhere.all()
+        self.remote_load.all()
     }
 
-    /// The replicas at which the others' load has changed since the last call.
+    /// Returns the replicas whose remote load has changed since the last call.
     pub fn take_changed_loads(&mut self) -> Vec<ShortName> {
-        self.elsewhere.take_changed()
+        self.remote_load.take_changed()
     }
 
-    /// An instance that knows the directory further than `upto`: one of the nearest, which one by
-    /// `salt`, the asker's own.
+    /// An instance with a directory revision above `upto`: one of the nearest, chosen by `salt`,
+    /// which is random.
     ///
-    /// A fleet that asked the one that is furthest ahead would ask the same one all at once, and a
-    /// large table takes a small machine's link a tenth of a second for each asker.
-    pub fn ahead(
+    /// If all instances asked the one with the highest revision, they would ask the same one at the
+    /// same time, and a large table occupies a small machine's link for a tenth of a second per
+    /// request.
+    pub fn find_ahead(
         &self,
         now: Instant,
         upto: Revision,
-        place: (ShortName, ShortName),
+        location: (ShortName, ShortName),
         salt: u64,
     ) -> Option<&Peer> {
-        let (zone, region) = place;
-        let ahead = |p: &&Peer| p.is_fresh(now) && p.digest.upto > upto;
+        let (zone, region) = location;
+        let is_ahead = |p: &&Peer| p.is_live(now) && p.digest.upto > upto;
         let nearness = |p: &Peer| p.nearness(zone, region) as u8;
-        let nearest = self.others.iter().filter(ahead).map(nearness).min()?;
+        let nearest = self.others.iter().filter(is_ahead).map(nearness).min()?;
         let candidates: Vec<&Peer> = self
             .others
             .iter()
-            .filter(ahead)
+            .filter(is_ahead)
             .filter(|p| nearness(p) == nearest)
             .collect();
         Some(candidates[salt as usize % candidates.len()])
@@ -393,29 +405,30 @@
 
     /// Whether this instance is one of the few that read the store, so that the others need not.
     ///
-    /// The first of each zone reads, and the first two of all. Whoever hears nobody that reads, reads.
-    pub fn reads_store(&self, now: Instant, zone: ShortName, lost: Duration) -> bool {
-        let mut before_in_zone = 0;
-        let mut before_in_all = 0;
-        let mut served = 0;
-        for peer in self.others.iter().filter(|p| p.is_fresh(now)) {
+    /// The first instance of each zone by address reads it, and the first two of the fleet. An
+    /// instance reads it as well if no live instance has had a response of the store within `lost`.
+    pub fn reads_store(&self, now: Instant, zone: ShortName, max_store_age: Duration) -> bool {
+        let mut lower_in_zone = 0;
+        let mut lower_in_fleet = 0;
+        let mut readers = 0;
+        for peer in self.others.iter().filter(|p| p.is_live(now)) {
             let age = peer
                 .digest
                 .store_age_ms
                 .map(|ms| Duration::from_millis(u64::from(ms)));
-            if age.is_none_or(|age| age > lost) {
+            if age.is_none_or(|age| age > max_store_age) {
                 continue;
             }
-            served += 1;
+            readers += 1;
             if peer.address < self.own {
-                before_in_all += 1;
-                before_in_zone += usize::from(peer.digest.zone == zone);
+                lower_in_fleet += 1;
+                lower_in_zone += usize::from(peer.digest.zone == zone);
             }
         }
-        served == 0 || before_in_zone == 0 || before_in_all < READERS
+        readers == 0 || lower_in_zone == 0 || lower_in_fleet < MIN_STORE_READERS
     }
 
-    /// How long this instance has run.
+    /// Time since the start of this instance.
     pub fn age(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.started)
     }
--- a/crates/entry/src/peers/digest.rs
+++ b/crates/entry/src/peers/digest.rs
@@ -1,4 +1,4 @@
-//! Messages from one instance to another.
+//! Messages between instances, sent as `MessagePack` over UDP.
 
 use std::net::Ipv4Addr;
 
@@ -12,59 +12,66 @@
 /// A datagram from one instance to another.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// The sender's state, and how far it goes.
-    Digest(Box<Digest>, Reach),
-    /// States of others, gathered by the sender.
+    /// The sender's state, and to whom the receiver forwards it.
+    Digest(Box<Digest>, ForwardScope),
+    /// States of other instances, collected by a relay.
     Relayed(Vec<(Ipv4Addr, Digest)>),
-    /// About credit of organisations' limits.
+    /// A message about credit of organisations' limits.
     Credit(credit::Message),
 }
 
-/// How far the receiver of a digest passes it on.
+/// To whom the receiver of a digest forwards it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Reach {
-    /// Not at all.
-    Receiver,
-    /// To the other zones: all of the zone have it.
-    Beyond,
-    /// To the zone and the others.
-    All,
+pub enum ForwardScope {
+    /// To nobody.
+    #[serde(rename = "Receiver")]
+    Nobody,
+    /// To relays of the other zones; the sender's zone has it already.
+    #[serde(rename = "Beyond")]
+    OtherZones,
+    /// To the sender's zone and to relays of the other zones.
+    #[serde(rename = "All")]
+    AllZones,
 }
 
-/// What an instance tells of itself.
+/// State of an instance as it reports it to the others.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Digest {
-    /// Distinguishes the lives of the instance.
+    /// Start time in microseconds, which distinguishes incarnations of the instance.
     pub incarnation: u64,
-    /// Counts its digests in this life: two ways may bring them out of order.
+    /// Sequence number within the incarnation: digests that take different paths may arrive out of
+    /// order.
     pub seq: u32,
-    /// Revision up to which it knows the directory.
+    /// Directory revision up to which it has all entries.
     pub upto: Revision,
-    /// Its availability zone.
+    /// Short name of its availability zone.
     pub zone: ShortName,
-    /// Its region.
+    /// Short name of its region.
     pub region: ShortName,
-    /// Milliseconds since the store last answered it, if it ever did.
+    /// Milliseconds since the last response of the store; none before the first.
     pub store_age_ms: Option<u32>,
-    /// Whether it is about to end.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// Replicas that it could not reach just now.
+    /// Replicas to which its connections failed recently.
     pub unreachable: Vec<ShortName>,
-    /// Its load at replicas; those that are missing have none.
+    /// Its load at replicas; a replica without an entry has none.
     pub loads: Vec<Load>,
-    /// The most urgent class that waits there, by service; none where nothing waits.
+    /// The most urgent class of its waiting requests by service; services without waiting requests
+    /// are left out.
     pub waiting: Vec<(ShortName, Class)>,
-    /// Microseconds a step that it has learned of replicas; not in every message.
+    /// Measured time per generation step of replicas, in microseconds; not in every message.
     pub steps: Vec<(ShortName, u32)>,
-    /// How many instances of its zone it knows, with itself and the silent ones.
+    /// Number of instances of its zone that it knows, including itself and the silent ones.
     pub zone_size: u16,
-    /// Whether it is for the receiver alone, who is to answer with the same if the sender is new to it.
+    /// Whether this is the complete state, sent to the receiver alone. A receiver that hears the
+    /// sender for the first time answers with its own.
     pub greeting: bool,
-    /// Whether it has found the others, so that `members` are all that are there; not in every message.
+    /// Whether discovery is complete, so that `members` lists the whole fleet; not in every
+    /// message.
     pub settled: bool,
-    /// Instances that it has heard lately, by zone; not in every message.
+    /// Live instances by zone; not in every message.
     pub members: Vec<(ShortName, Vec<Ipv4Addr>)>,
-    /// Its time of day in milliseconds; not in every message.
+    /// Its clock in Unix milliseconds; not in every message.
     pub time_ms: Option<u64>,
 }
--- a/crates/entry/src/peers/peer.rs
+++ b/crates/entry/src/peers/peer.rs
@@ -1,4 +1,4 @@
-//! What is known of one other instance.
+//! Last known state of one other instance.
 
 use std::net::Ipv4Addr;
 
@@ -6,50 +6,52 @@
 use kingcupfield_decisions::id::ShortName;
 use tokio::time::Instant;
 
-use super::{Digest, FORGOTTEN, SILENT};
+use super::{Digest, FORGET_TIMEOUT, SILENCE_TIMEOUT};
 
-/// What is known of one other instance.
+/// Last known state of one other instance.
 #[derive(Debug)]
 pub struct Peer {
-    /// Its address.
+    /// Its address, which identifies it.
     pub address: Ipv4Addr,
-    /// When it was heard last; `None` if it is only known by name.
-    pub heard: Option<Instant>,
-    /// When it became known.
-    pub since: Instant,
-    /// When it sent something itself last.
-    pub sent: Option<Instant>,
-    /// When it was told everything last.
-    pub told: Option<Instant>,
-    /// What it said last.
+    /// When its last digest arrived, directly or through a relay; `None` while it is only known by
+    /// name.
+    pub last_heard: Option<Instant>,
+    /// When it was added.
+    pub added: Instant,
+    /// When the last datagram from it arrived directly.
+    pub last_datagram: Option<Instant>,
+    /// When it was last sent the complete state.
+    pub last_greeting: Option<Instant>,
+    /// Its last digest.
     pub digest: Digest,
-    /// By how many milliseconds its time of day was ahead when that was told last.
-    pub(super) ahead_ms: Option<i64>,
-    /// Whether its load is counted: it was heard and has not fallen silent since.
+    /// By how many milliseconds its clock was ahead when the difference was last logged.
+    pub(super) logged_offset_ms: Option<i64>,
+    /// Whether its load is included in the remote load: a digest has arrived and it has not fallen
+    /// silent since.
     pub(super) counted: bool,
 }
 
-/// How near another instance is, which decides who is asked for the directory.
+/// Distance of another instance, by which peers are chosen for a directory sync.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Nearness {
     /// In the same availability zone.
     Zone,
-    /// In another zone of the region, or not known yet.
+    /// In another zone of the region, or not heard yet.
     Region,
     /// In another region.
     Far,
 }
 
 impl Peer {
-    /// Whether it was heard lately.
-    pub fn is_fresh(&self, now: Instant) -> bool {
-        self.heard
-            .is_some_and(|at| now.saturating_duration_since(at) < SILENT)
+    /// Whether its last digest is recent enough for it to count as live.
+    pub fn is_live(&self, now: Instant) -> bool {
+        self.last_heard
+            .is_some_and(|at| now.saturating_duration_since(at) < SILENCE_TIMEOUT)
     }
 
-    /// How near it is to an instance of this zone and region.
+    /// Its distance from an instance of this zone and region.
     pub fn nearness(&self, zone: ShortName, region: ShortName) -> Nearness {
-        if self.heard.is_none() {
+        if self.last_heard.is_none() {
             return Nearness::Region;
         }
         if self.digest.zone == zone {
@@ -61,24 +63,24 @@
         Nearness::Far
     }
 
-    /// Counts its load, in place of what was counted before.
-    pub(super) fn count(&mut self, elsewhere: &mut Elsewhere, loads: &[Load]) {
-        let before: &[Load] = if self.counted {
+    /// Adds its load to the remote load, in place of the load that was counted before.
+    pub(super) fn count_load(&mut self, remote_load: &mut Elsewhere, loads: &[Load]) {
+        let counted_before: &[Load] = if self.counted {
             &self.digest.loads
         } else {
             &[]
         };
-        elsewhere.replace(before, loads);
+        remote_load.replace(counted_before, loads);
         self.counted = true;
     }
 
-    pub(super) fn count_nothing(&mut self, elsewhere: &mut Elsewhere) {
-        self.count(elsewhere, &[]);
+    pub(super) fn uncount_load(&mut self, remote_load: &mut Elsewhere) {
+        self.count_load(remote_load, &[]);
         self.counted = false;
     }
 
-    pub(super) fn is_forgotten(&self, now: Instant) -> bool {
-        let last = self.heard.unwrap_or(self.since);
-        now.saturating_duration_since(last) >= FORGOTTEN
+    pub(super) fn is_gone(&self, now: Instant) -> bool {
+        let last = self.last_heard.unwrap_or(self.added);
+        now.saturating_duration_since(last) >= FORGET_TIMEOUT
     }
 }
--- a/crates/entry/src/hearing.rs
+++ b/crates/entry/src/receiver.rs
@@ -12,7 +12,7 @@
 use crate::directory;
 use crate::log::{self, Weight};
 use crate::node::Node;
-use crate::peers::{Digest, PeerMessage, Reach};
+use crate::peers::{Digest, ForwardScope, PeerMessage};
 
 /// How long the directory may take to tell what a peer already knows, before the peer is asked.
 const BEHIND: Duration = Duration::from_millis(250);
@@ -28,9 +28,11 @@
             continue;
         };
         let sender = *from.ip();
-        node.peers.borrow_mut().on_sent(Instant::now(), sender);
+        node.peers
+            .borrow_mut()
+            .record_datagram(Instant::now(), sender);
         match rmp_serde::from_slice::<PeerMessage>(&buf[..len]) {
-            Ok(PeerMessage::Digest(digest, reach)) => on_direct(&node, sender, *digest, reach),
+            Ok(PeerMessage::Digest(digest, scope)) => on_direct(&node, sender, *digest, scope),
             Ok(PeerMessage::Relayed(digests)) => on_relayed(&node, sender, digests),
             Ok(PeerMessage::Credit(message)) => credit::on_message(&node, *from.ip(), message),
             Err(e) => node.log.line(
@@ -42,11 +44,11 @@
 }
 
 /// Takes what an instance says of itself, and gathers it for those who are to have it.
-fn on_direct(node: &Rc<Node>, from: Ipv4Addr, digest: Digest, reach: Reach) {
-    match reach {
-        Reach::Receiver => {}
-        Reach::Beyond => node.outbox.borrow_mut().add_away(from, digest.clone()),
-        Reach::All => {
+fn on_direct(node: &Rc<Node>, from: Ipv4Addr, digest: Digest, scope: ForwardScope) {
+    match scope {
+        ForwardScope::Nobody => {}
+        ForwardScope::OtherZones => node.outbox.borrow_mut().add_away(from, digest.clone()),
+        ForwardScope::AllZones => {
             node.outbox.borrow_mut().add_home(from, digest.clone());
             node.outbox_wakeup.notify_one();
         }
@@ -58,7 +60,7 @@
 /// Takes what a relay has gathered; what comes from another zone is gathered for this one.
 fn on_relayed(node: &Rc<Node>, sender: Ipv4Addr, digests: Vec<(Ipv4Addr, Digest)>) {
     let zone = short_name(&node.settings().availability_zone);
-    let by_foreigner = !node.peers.borrow().is_of(sender, zone);
+    let by_foreigner = !node.peers.borrow().is_in_zone(sender, zone);
     for (from, digest) in digests {
         if by_foreigner && digest.zone != zone {
             node.outbox.borrow_mut().add_foreign(from, digest.clone());
@@ -112,9 +114,9 @@
 /// Tells of the instances that have fallen silent, and forgets those that are gone.
 pub fn notice_silence(node: &Node) {
     let now = Instant::now();
-    let silent = node.peers.borrow_mut().silence(now);
+    let silent = node.peers.borrow_mut().drop_silent(now);
     tell_silent(node, &silent);
-    node.peers.borrow_mut().forget(now);
+    node.peers.borrow_mut().remove_gone(now);
 }
 
 fn tell_silent(node: &Node, silent: &[Ipv4Addr]) {
@@ -130,7 +132,7 @@
 fn take_clock(node: &Node, from: Ipv4Addr, time_ms: u64) {
     let own = u64::try_from(log::now_ms()).unwrap_or(u64::MAX);
     let ahead_ms = time_ms.cast_signed().saturating_sub(own.cast_signed());
-    if node.peers.borrow_mut().on_clock(from, ahead_ms) {
+    if node.peers.borrow_mut().record_clock_offset(from, ahead_ms) {
         node.log.line(
             Weight::Notable,
             format_args!("event=peer_clock peer={from} ahead_ms={ahead_ms}"),
@@ -169,5 +171,5 @@
 pub fn take_waiting(node: &Node) {
     let zone = short_name(&node.settings().availability_zone);
     let peers = node.peers.borrow();
-    node.set_competitors(peers.waiting(Instant::now(), zone));
+    node.set_competitors(peers.waiting_in_zone(Instant::now(), zone));
 }
--- a/crates/entry/tests/limits.rs
+++ b/crates/entry/tests/limits.rs
@@ -359,7 +359,9 @@
             .on_digest(due, address(from), digest);
         let greet: Vec<usize> = heard.greet.iter().map(|a| number(*a)).collect();
         for other in greet {
-            self.instances[to].peers.on_told(due, address(other));
+            self.instances[to]
+                .peers
+                .record_greeting(due, address(other));
             self.send_digest(to, &[other], Telling::Full);
         }
     }
@@ -401,8 +403,8 @@
             let me = &mut self.instances[i];
             me.next_tick += TICK;
             me.tick += 1;
-            me.peers.silence(now);
-            me.peers.forget(now);
+            me.peers.drop_silent(now);
+            me.peers.remove_gone(now);
             let mut roster = me.peers.roster(now);
             if me.leaving {
                 roster.mints_since = None;
@@ -460,7 +462,7 @@
         if telling == Telling::Full {
             digest.greeting = true;
             digest.settled = me.peers.is_settled(self.now);
-            let fresh = me.peers.all().iter().filter(|p| p.is_fresh(self.now));
+            let fresh = me.peers.all().iter().filter(|p| p.is_live(self.now));
             let mut by_zone: BTreeMap<ShortName, Vec<Ipv4Addr>> = BTreeMap::new();
             for peer in fresh {
                 by_zone
--- a/crates/entry/tests/peers.rs
+++ b/crates/entry/tests/peers.rs
@@ -48,7 +48,7 @@
     assert_eq!(peers.take_changed_loads(), [4]);
     let home = &mut peers.roster(later).zones[0];
     assert_eq!((home.size, home.members.len()), (3, 1));
-    peers.forget(now + Duration::from_secs(61));
+    peers.remove_gone(now + Duration::from_secs(61));
     assert_eq!(peers.instance_count(), 2);
 }
 
@@ -164,7 +164,7 @@
         [address(7), address(1)]
     );
     assert_eq!(peers.on_digest(now, address(1), digest(1)).greet.len(), 0);
-    peers.on_told(now, address(7));
+    peers.record_greeting(now, address(7));
     assert_eq!(peers.on_digest(now, address(7), digest(1)).greet.len(), 0);
     assert_eq!(peers.all()[0].nearness(1, 1), Nearness::Zone);
     assert_eq!(peers.all()[0].nearness(2, 1), Nearness::Region);
@@ -249,5 +249,5 @@
     let later = start + Duration::from_secs(5);
     let heard = peers.on_digest(later, address(2), digest(1));
     assert!(heard.silent.contains(&address(1)), "{:?}", heard.silent);
-    assert_eq!(peers.silence(later), Vec::<Ipv4Addr>::new());
+    assert_eq!(peers.drop_silent(later), Vec::<Ipv4Addr>::new());
 }
