--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -1,45 +1,48 @@
-//! A clock that notices that the machine was suspended.
+//! Detects suspension of the machine.
 //!
-//! A suspended machine wakes with all that it knew before, and the steady clock does not count the
-//! time. Without this an instance would go on with an old list of replicas, hand out more time
-//! than a caller has left, and take its peers' old counts for new ones.
+//! A suspended machine resumes with all its state, and the monotonic clock does not count the time.
+//! Without detection an instance would go on with an outdated list of replicas, grant more time
+//! than a caller has left, and take its peers' outdated counts for current ones.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use rustix::time::{ClockId, clock_gettime};
 
-/// A difference above this is a suspension; below it is the time between reading both clocks.
-const NOTICEABLE: Duration = Duration::from_millis(100);
+/// A difference above this is a suspension; smaller ones come from the time between reading the two
+/// clocks.
+const MIN_SUSPENSION: Duration = Duration::from_millis(100);
 
-/// Time that passed while the machine stood still.
+/// Measures the time for which the machine was suspended.
 #[derive(Debug)]
 pub struct SuspendDetector {
-    seen: Cell<Duration>,
+    reported: Cell<Duration>,
 }
 
 impl SuspendDetector {
-    /// Starts to watch.
+    /// Starts detection now; earlier suspensions are not reported.
     pub fn new() -> Self {
         Self {
-            seen: Cell::new(suspended()),
+            reported: Cell::new(total_suspended()),
         }
     }
 
-    /// How long the machine was suspended in all; compare two readings.
+    /// Total time since boot for which the machine was suspended; meaningful as a difference of two
+    /// readings.
     pub fn total_suspended(&self) -> Duration {
-        suspended()
+        total_suspended()
     }
 
-    /// How long the machine was suspended since the last call, if it was.
+    /// Time for which the machine was suspended since the last suspension was returned, `None` if
+    /// it was not.
     pub fn take_suspension(&self) -> Option<Duration> {
-        let now = suspended();
-        let slept = now.saturating_sub(self.seen.get());
-        if slept < NOTICEABLE {
+        let total = total_suspended();
+        let suspended = total.saturating_sub(self.reported.get());
+        if suspended < MIN_SUSPENSION {
             return None;
         }
-        self.seen.set(now);
-        Some(slept)
+        self.reported.set(total);
+        Some(suspended)
     }
 }
 
@@ -49,11 +52,11 @@
     }
 }
 
-fn suspended() -> Duration {
-    reading(ClockId::Boottime).saturating_sub(reading(ClockId::Monotonic))
+fn total_suspended() -> Duration {
+    read_clock(ClockId::Boottime).saturating_sub(read_clock(ClockId::Monotonic))
 }
 
-fn reading(id: ClockId) -> Duration {
+fn read_clock(id: ClockId) -> Duration {
     let t = clock_gettime(id);
     let seconds = u64::try_from(t.tv_sec).unwrap_or(0);
     Duration::new(seconds, u32::try_from(t.tv_nsec).unwrap_or(0))
--- a/crates/entry/src/credit.rs
+++ b/crates/entry/src/credit.rs
@@ -1,4 +1,5 @@
-//! Credit of organisations' limits: asked for by requests, told between instances.
+//! Requests for credit of the organisations' limits, and the messages about credit between
+//! instances.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -15,38 +16,38 @@
 use crate::settings::Settings;
 use crate::table::Organisation;
 
-/// Time between two looks at requests that wait for credit.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval at which requests that wait for credit are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a request was charged, and how it got that.
+/// The credit that a request was granted.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CreditGrant {
-    /// What it took of the limit; nothing where there is no limit.
+    /// The credit batch that was charged; `None` if the organisation has no limit.
     pub batch: Option<Lot>,
-    /// How long it waited for the credit.
+    /// How long the request waited for the credit.
     pub waited: Duration,
-    /// The instance that gave it.
+    /// The credit coordinator that granted it.
     pub coordinator: Option<Ipv4Addr>,
 }
 
 /// Why a request got no credit.
 #[derive(Debug, Clone, Copy)]
 pub struct CreditDenial {
-    /// What the keeper decided.
+    /// The verdict of the credit coordinator.
     pub verdict: Verdict,
     /// How long the request waited.
     pub waited: Duration,
-    /// The instance that was asked.
+    /// The credit coordinator that was asked.
     pub coordinator: Ipv4Addr,
 }
 
-/// The time by which credit is counted. It goes on while the machine is suspended: credit that was at
-/// hand before would live longer than it may.
-fn now(node: &Node) -> Instant {
+/// Time base of the credit ledger. It includes the time for which the machine was suspended:
+/// otherwise credit from before a suspension would outlive its expiry.
+fn credit_now(node: &Node) -> Instant {
     Instant::now() + node.suspend_detector.total_suspended()
 }
 
-/// The zones of the deployment, by how far they are.
+/// The zones of the deployment with their distance from this instance.
 pub fn zone_distances(cfg: &Settings) -> Vec<(ShortName, Distance)> {
     let distance = |zone: &str, region: &str| {
         if zone == &*cfg.availability_zone {
@@ -68,7 +69,8 @@
     zones
 }
 
-/// Takes a request's cost from its organisation's limit.
+/// Charges a request's cost to its organisation's limit, waiting for the credit coordinator's
+/// verdict.
 pub async fn charge(
     node: &Node,
     organisation: &Organisation,
@@ -76,18 +78,18 @@
     charge: Charge,
 ) -> Result<CreditGrant, CreditDenial> {
     let name = short_name(&organisation.name);
-    let began = now(node);
+    let started = credit_now(node);
     let (tx, rx) = oneshot::channel();
-    let coordinator = Ipv4Addr::from_bits(node.credit_ledger.borrow().keeper(began, name));
+    let coordinator = Ipv4Addr::from_bits(node.credit_ledger.borrow().keeper(started, name));
     let number = node
         .credit_ledger
         .borrow_mut()
-        .request(began, name, limit, charge);
+        .request(started, name, limit, charge);
     node.credit_waiters.borrow_mut().push((number, tx));
     flush(node);
-    let _forget = Forget { node, number };
+    let _guard = WaitGuard { node, number };
     let verdict = rx.await.unwrap_or(Verdict::Unanswered);
-    let waited = now(node).saturating_duration_since(began);
+    let waited = credit_now(node).saturating_duration_since(started);
     let Verdict::Granted { left_ms } = verdict else {
         return Err(CreditDenial {
             verdict,
@@ -95,28 +97,28 @@
             coordinator,
         });
     };
-    let lot = Lot {
-        expires: began + Duration::from_millis(u64::from(left_ms)),
+    let batch = Lot {
+        expires: started + Duration::from_millis(u64::from(left_ms)),
         amount: charge.cost,
     };
     Ok(CreditGrant {
-        batch: Some(lot),
+        batch: Some(batch),
         waited,
         coordinator: Some(coordinator),
     })
 }
 
-/// Takes back what a request was charged that did not run.
-pub fn refund(node: &Node, organisation: &Organisation, charged: &CreditGrant) {
-    if let Some(lot) = charged.batch {
+/// Refunds the credit of a request that did not run.
+pub fn refund(node: &Node, organisation: &Organisation, grant: &CreditGrant) {
+    if let Some(batch) = grant.batch {
         let name = short_name(&organisation.name);
         node.credit_ledger
             .borrow_mut()
-            .give_back(now(node), name, lot);
+            .give_back(credit_now(node), name, batch);
     }
 }
 
-/// Takes a message of another instance.
+/// Applies a credit message of another instance.
 pub fn on_message(node: &Node, from: Ipv4Addr, message: Message) {
     let organisation = match &message {
         Message::Ask { organisation, .. } => Some(*organisation),
@@ -125,26 +127,26 @@
     let table = node.table();
     let limit = organisation.and_then(|name| table?.organisation_by_short_name(name)?.limit);
     let mut ledger = node.credit_ledger.borrow_mut();
-    ledger.on_message(now(node), from.to_bits(), message, limit);
+    ledger.on_message(credit_now(node), from.to_bits(), message, limit);
     drop(ledger);
     flush(node);
 }
 
-/// Looks at who is there.
+/// Updates the members of the fleet in the credit ledger and in the dispatcher.
 pub fn update_roster(node: &Node) {
     let mut roster = node.peers.borrow_mut().roster(Instant::now());
-    // Instances that end have left the others' counts.
+    // The others no longer count an instance that shuts down, so it must not accrue credit.
     if node.process_state() >= ProcessState::Closing {
         roster.mints_since = None;
     }
-    let known = roster.mints_since.is_some();
+    let accrues = roster.mints_since.is_some();
     let members = node.peers.borrow().zone_members();
-    let members = Some(members).filter(|_| known);
+    let members = Some(members).filter(|_| accrues);
     node.dispatch
         .borrow_mut()
         .set_members(Instant::now(), members);
-    let slept = node.suspend_detector.total_suspended();
-    roster.mints_since = roster.mints_since.map(|at| at + slept);
+    let suspended = node.suspend_detector.total_suspended();
+    roster.mints_since = roster.mints_since.map(|at| at + suspended);
     let mut ledger = node.credit_ledger.borrow_mut();
     if ledger.mints() != roster.mints_since.is_some() {
         node.log.line(
@@ -156,22 +158,22 @@
             ),
         );
     }
-    ledger.set_roster(now(node), &roster);
+    ledger.set_roster(credit_now(node), &roster);
 }
 
-/// Looks after the requests that wait for credit until the process ends.
+/// Checks the requests that wait for credit until the process ends.
 pub async fn run(node: Rc<Node>) {
     loop {
         node.credit_wakeup.notified().await;
         while !node.credit_ledger.borrow().is_idle() {
-            sleep(LOOK).await;
-            node.credit_ledger.borrow_mut().tick(now(&node));
+            sleep(CHECK_INTERVAL).await;
+            node.credit_ledger.borrow_mut().tick(credit_now(&node));
             flush(&node);
         }
     }
 }
 
-/// Sends what is to be sent, and tells requests what was decided.
+/// Sends the ledger's pending messages and delivers its verdicts to the waiting requests.
 fn flush(node: &Node) {
     let mut ledger = node.credit_ledger.borrow_mut();
     let messages = ledger.take_messages();
@@ -182,8 +184,8 @@
         send(node, to, message);
     }
     for (number, verdict) in verdicts {
-        if let Some(tx) = waiter(node, number) {
-            // A caller that left meanwhile needs no answer.
+        if let Some(tx) = take_waiter(node, number) {
+            // A caller that has disconnected needs no verdict.
             let _ = tx.send(verdict);
         }
     }
@@ -200,24 +202,24 @@
         return;
     };
     let to = SocketAddr::from((Ipv4Addr::from_bits(to), node.settings().peer_port));
-    // What is lost is asked for again, or expires.
+    // Lost requests are sent again, and lost credit expires.
     let _ = socket.try_send_to(&message, to);
 }
 
-fn waiter(node: &Node, number: Number) -> Option<oneshot::Sender<Verdict>> {
+fn take_waiter(node: &Node, number: Number) -> Option<oneshot::Sender<Verdict>> {
     let mut waiters = node.credit_waiters.borrow_mut();
-    let at = waiters.iter().position(|(n, _)| *n == number)?;
-    Some(waiters.swap_remove(at).1)
+    let index = waiters.iter().position(|(waiting, _)| *waiting == number)?;
+    Some(waiters.swap_remove(index).1)
 }
 
-/// Forgets a request whose caller goes away.
-struct Forget<'a> {
+/// Removes a waiting request when its caller disconnects.
+struct WaitGuard<'a> {
     node: &'a Node,
     number: Number,
 }
 
-impl Drop for Forget<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        waiter(self.node, self.number);
+        take_waiter(self.node, self.number);
     }
 }
--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -1,8 +1,8 @@
-//! Keeps up with the published directory, through the store or through peers.
+//! Follows the published directory, through the store or through peers.
 //!
-//! The store may refuse this instance alone, fall silent on an open connection, answer late or
-//! drop its history. A watch that brings nothing is therefore ended after a few seconds, and an
-//! instance whose peers are ahead takes what they know.
+//! The store may refuse this instance alone, go silent on an open connection, answer late or drop
+//! its history. A watch without a response is therefore ended after a few seconds, and an instance
+//! whose peers have a newer revision gets the entries from them.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -20,76 +20,78 @@
 use crate::replica::PublishedReplica;
 use crate::snapshot;
 
-/// Longest time that one watch waits. Each call is paid for; a store that fell silent on an open
-/// connection is noticed only after this, and the users' bounds hold again four seconds after its
-/// return.
-const WATCH: Duration = Duration::from_millis(4200);
+/// Maximum duration of one watch. Each call is billed; a store that goes silent on an open
+/// connection is noticed only after this, and the users' bounds have to hold again four seconds
+/// after its return.
+const MAX_WATCH: Duration = Duration::from_millis(4200);
 
-/// Longest time that a watch waits after a call that failed: one that hangs on a silent store would
+/// Maximum duration of a watch after a call that failed: one that hangs on a silent store would
 /// outlast the store's return by seconds.
-const PROBE: Duration = Duration::from_millis(200);
+const MAX_WATCH_AFTER_FAILURE: Duration = Duration::from_millis(200);
 
-/// Shortest and longest pause after a call that failed: long enough for a store that counts its
-/// calls, short enough to keep the operator's bound of three seconds on changes.
-const PAUSES: [Duration; 4] = [
+/// Pauses after calls that failed, by the number of failures in a row: long enough for a store that
+/// limits its call rate, short enough to keep the operator's bound of three seconds on changes.
+const RETRY_PAUSES: [Duration; 4] = [
     Duration::from_millis(60),
     Duration::from_millis(200),
     Duration::from_millis(500),
     Duration::from_millis(900),
 ];
 
-/// A replica whose entry lapsed while the store was away is used on for this long: it writes
-/// itself anew within two seconds of the store's return if it lives.
-const RETURNS_WITHIN: Duration = Duration::from_millis(2300);
+/// Time for which a replica stays in use after its entry lapsed while the store had failed: a live
+/// replica writes its entry again within two seconds of the store's return.
+const LAPSED_REPLICA_GRACE: Duration = Duration::from_millis(2300);
 
-/// A call that failed this lately means that entries may have lapsed by the store's own trouble.
-const TROUBLE: Duration = Duration::from_secs(4);
+/// Time after a failed call in which a lapsed entry may be caused by the store and not by its
+/// replica.
+const STORE_FAILURE_WINDOW: Duration = Duration::from_secs(4);
 
-/// Pause after a watch that brought something: what changes meanwhile comes with one call instead of
-/// many, at a fiftieth of the operator's bound of three seconds.
-const COLLECT: Duration = Duration::from_millis(60);
+/// Pause after a watch that returned changes: the changes made meanwhile come with one call instead
+/// of many, at a fiftieth of the operator's bound of three seconds.
+const PAUSE_AFTER_CHANGES: Duration = Duration::from_millis(60);
 
-/// How long an instance that is no first contact waits for a peer's word before it reads the store
-/// itself, when the whole fleet starts for the first time: it would read the store sixty times over.
-/// At any other start callers wait already, and the wait costs 0.01 of the worth of a heavy day.
-const HEARS_PEERS: Duration = Duration::from_millis(700);
+/// Time for which an instance that is not a configured contact waits for entries from a peer before
+/// it reads the store itself, when the whole fleet starts for the first time: otherwise it would
+/// read the store sixty times over. At any other start callers are waiting already, and the wait
+/// would lose 0.01 of the value that is served on a day of heavy load.
+const PEER_HEAD_START: Duration = Duration::from_millis(700);
 
-/// Shortest time between two lists of the whole directory: a sixth of the operator's bound of three
-/// seconds, so that history that is lost twice is still caught up with in time.
-const LIST_AGAIN: Duration = Duration::from_millis(500);
+/// Minimum interval of full listings: a sixth of the operator's bound of three seconds, so that an
+/// instance still catches up in time if the history is lost twice.
+const MIN_LIST_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How often an instance looks whether it has to read the store itself.
-const READER_CHECK: Duration = Duration::from_millis(200);
+/// Interval at which an instance checks whether it has to read the store itself.
+const READER_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Pause between two calls to peers for the directory.
-const ASK_PAUSE: Duration = Duration::from_millis(30);
+/// Minimum interval of directory requests to peers.
+const MIN_PEER_REQUEST_INTERVAL: Duration = Duration::from_millis(30);
 
 #[derive(Debug)]
-struct Read {
+struct ReadEntry {
     key: String,
     revision: Revision,
     replica: Option<PublishedReplica>,
-    /// The zone that the entry wants emptied.
-    emptied: Option<ZoneId>,
-    /// Until when a lapsed replica is used on.
-    fading: Option<Instant>,
+    /// The zone that the entry drains.
+    drained_zone: Option<ZoneId>,
+    /// Time until which a lapsed replica stays in use.
+    in_use_until: Option<Instant>,
 }
 
-/// What was read of the entries so far.
+/// The entries as parsed, sorted by key, and the state of reading.
 #[derive(Debug, Default)]
 pub struct DirectoryReader {
-    read: Vec<Read>,
-    failed_at: Option<Instant>,
-    asking: bool,
+    entries: Vec<ReadEntry>,
+    store_failed_at: Option<Instant>,
+    peer_sync_scheduled: bool,
 }
 
-/// Follows the store until the process ends.
+/// Follows the directory until the process ends.
 pub async fn run(node: Rc<Node>) {
     let mut failures = 0;
     wait_for_peers(&node).await;
     loop {
         let Err(e) = follow(&node, &mut failures).await;
-        node.directory_reader.borrow_mut().failed_at = Some(Instant::now());
+        node.directory_reader.borrow_mut().store_failed_at = Some(Instant::now());
         failures += 1;
         if failures == 1 || failures % 16 == 0 {
             let reason = e.to_string();
@@ -101,51 +103,56 @@
         if node.table().is_none() {
             schedule_peer_sync(&node, Duration::ZERO);
         }
-        let pause = PAUSES[failures.min(PAUSES.len()) - 1];
+        let pause = RETRY_PAUSES[failures.min(RETRY_PAUSES.len()) - 1];
         sleep(pause.mul_f64(rand::rng().random_range(0.7..1.3))).await;
     }
 }
 
-/// Waits at the start until a peer has told the directory, or for a moment.
+/// At the first start of the fleet, waits until a peer has sent the directory, for
+/// `PEER_HEAD_START` at most.
 async fn wait_for_peers(node: &Node) {
     let cfg = node.settings();
-    let until = Instant::now() + HEARS_PEERS;
-    let waits = cfg.first_start && !cfg.is_contact();
-    while waits && node.directory.borrow().upto() == 0 && Instant::now() < until {
-        sleep(ASK_PAUSE).await;
+    let deadline = Instant::now() + PEER_HEAD_START;
+    let should_wait = cfg.first_start && !cfg.is_contact();
+    while should_wait && node.directory.borrow().upto() == 0 && Instant::now() < deadline {
+        sleep(MIN_PEER_REQUEST_INTERVAL).await;
     }
 }
 
-/// Reads everything once and then each change; ends with the first failure.
+/// Lists the directory once and then watches for changes; returns at the first failure.
 async fn follow(node: &Rc<Node>, failures: &mut usize) -> Result<Infallible, SourceError> {
-    let mut listed = Instant::now();
+    let mut listed_at = Instant::now();
     loop {
         while !node.reads_store() {
-            sleep(READER_CHECK).await;
+            sleep(READER_CHECK_INTERVAL).await;
         }
         let after = node.directory.borrow().upto();
         if after == 0 || node.needs_full_list.get() {
-            listed = Instant::now();
+            listed_at = Instant::now();
             let listing = node.directory_source.list().await?;
             node.needs_full_list.set(false);
-            regained(node, failures);
-            take_list(node, listing);
+            record_store_response(node, failures);
+            apply_list(node, listing);
             continue;
         }
-        let wait = if *failures > 0 { PROBE } else { WATCH };
+        let max_wait = if *failures > 0 {
+            MAX_WATCH_AFTER_FAILURE
+        } else {
+            MAX_WATCH
+        };
         let listing = tokio::select! {
-            listing = node.directory_source.changes(after, wait) => listing,
+            listing = node.directory_source.changes(after, max_wait) => listing,
             () = node.resync_wakeup.notified() => {
-                // The process stood still: what it was told meanwhile may be lost.
+                // The machine was suspended: changes that were sent meanwhile may be lost.
                 node.needs_full_list.set(true);
                 continue;
             }
         };
         match listing {
             Ok(listing) => {
-                regained(node, failures);
-                if take_changes(node, listing) {
-                    sleep(COLLECT).await;
+                record_store_response(node, failures);
+                if apply_changes(node, listing) {
+                    sleep(PAUSE_AFTER_CHANGES).await;
                 }
             }
             Err(SourceError::HistoryGone) => {
@@ -154,16 +161,17 @@
                     format_args!("event=directory_history_gone"),
                 );
                 node.needs_full_list.set(true);
-                // A store that forgets what it has just listed would be listed in a loop.
-                sleep_until(listed + LIST_AGAIN).await;
+                // A store whose history ends before its own listing would otherwise be listed in a
+                // tight loop.
+                sleep_until(listed_at + MIN_LIST_INTERVAL).await;
             }
             Err(e) => return Err(e),
         }
     }
 }
 
-/// Notes an answer of the store, and tells of it after failures.
-fn regained(node: &Node, failures: &mut usize) {
+/// Records a response of the store, and logs it if the previous calls failed.
+fn record_store_response(node: &Node, failures: &mut usize) {
     node.record_store_response();
     if *failures > 0 {
         node.log.line(
@@ -174,7 +182,7 @@
     *failures = 0;
 }
 
-fn take_list(node: &Rc<Node>, listing: Listing) {
+fn apply_list(node: &Rc<Node>, listing: Listing) {
     let entries = listing.entries.len();
     let changed = node
         .directory
@@ -191,8 +199,8 @@
     apply(node);
 }
 
-/// Returns whether there was any change.
-fn take_changes(node: &Rc<Node>, listing: Listing) -> bool {
+/// Applies a listing of changes; returns whether anything changed.
+fn apply_changes(node: &Rc<Node>, listing: Listing) -> bool {
     let changed = node
         .directory
         .borrow_mut()
@@ -204,31 +212,35 @@
     !changed.is_empty()
 }
 
-/// Asks a peer after a while, if it is still ahead or nothing is known here.
-pub fn schedule_peer_sync(node: &Rc<Node>, after: Duration) {
-    if std::mem::replace(&mut node.directory_reader.borrow_mut().asking, true) {
+/// Starts a task that after `delay` gets newer entries from a peer, if one has a higher revision by
+/// then. At most one such task runs at a time.
+pub fn schedule_peer_sync(node: &Rc<Node>, delay: Duration) {
+    if std::mem::replace(
+        &mut node.directory_reader.borrow_mut().peer_sync_scheduled,
+        true,
+    ) {
         return;
     }
     let node = Rc::clone(node);
     tokio::task::spawn_local(async move {
-        sleep(after).await;
-        ask_peers(&node).await;
-        sleep(ASK_PAUSE).await;
-        node.directory_reader.borrow_mut().asking = false;
+        sleep(delay).await;
+        sync_from_peer(&node).await;
+        sleep(MIN_PEER_REQUEST_INTERVAL).await;
+        node.directory_reader.borrow_mut().peer_sync_scheduled = false;
     });
 }
 
-async fn ask_peers(node: &Rc<Node>) {
+async fn sync_from_peer(node: &Rc<Node>) {
     let upto = node.directory.borrow().upto();
     let cfg = node.settings();
-    let place = (short_name(&cfg.availability_zone), short_name(&cfg.region));
+    let location = (short_name(&cfg.availability_zone), short_name(&cfg.region));
     let salt = rand::rng().random();
-    let ahead = node
+    let peer_address = node
         .peers
         .borrow()
-        .find_ahead(Instant::now(), upto, place, salt)
+        .find_ahead(Instant::now(), upto, location, salt)
         .map(|p| p.address);
-    let Some(address) = ahead else {
+    let Some(address) = peer_address else {
         return;
     };
     let peer = SocketAddr::from((address, node.settings().peer_listen.port()));
@@ -242,9 +254,9 @@
                 ),
             );
             if snapshot.store_trouble {
-                node.directory_reader.borrow_mut().failed_at = Some(Instant::now());
+                node.directory_reader.borrow_mut().store_failed_at = Some(Instant::now());
             }
-            take_snapshot(node, snapshot.upto, snapshot.entries);
+            apply_snapshot(node, snapshot.upto, snapshot.entries);
         }
         Err(e) => node.log.line(
             Weight::Notable,
@@ -256,7 +268,7 @@
     }
 }
 
-fn take_snapshot(node: &Rc<Node>, upto: Revision, entries: Vec<Entry>) {
+fn apply_snapshot(node: &Rc<Node>, upto: Revision, entries: Vec<Entry>) {
     if upto <= node.directory.borrow().upto() {
         return;
     }
@@ -265,28 +277,29 @@
     node.state_changed.notify_one();
 }
 
-/// Puts what is known into force.
+/// Parses the entries that changed and passes the table, the drained zones and the replicas to the
+/// node.
 pub fn apply(node: &Rc<Node>) {
     let now = Instant::now();
-    let mut lapsing = false;
+    let mut any_lapsed = false;
     {
-        let known = node.directory.borrow();
+        let directory = node.directory.borrow();
         let mut reader = node.directory_reader.borrow_mut();
-        let trouble = reader.store_failed_recently();
-        for entry in known.entries() {
-            reader.take(node, now, entry, trouble);
+        let store_failed = reader.store_failed_recently();
+        for entry in directory.entries() {
+            reader.apply_entry(node, now, entry, store_failed);
         }
-        lapsing |= reader.read.iter().any(|r| r.fading.is_some());
+        any_lapsed |= reader.entries.iter().any(|r| r.in_use_until.is_some());
     }
-    // Before the replicas, whose use depends on it.
-    let emptied = node.directory_reader.borrow().emptied();
-    node.set_drained_zones(now, emptied);
+    // Before the replicas, which are usable only outside of drained zones.
+    let drained_zones = node.directory_reader.borrow().drained_zones();
+    node.set_drained_zones(now, drained_zones);
     let replicas = node.directory_reader.borrow_mut().replicas(now);
     node.set_replicas(replicas);
-    if lapsing {
+    if any_lapsed {
         let node = Rc::clone(node);
         tokio::task::spawn_local(async move {
-            sleep(RETURNS_WITHIN).await;
+            sleep(LAPSED_REPLICA_GRACE).await;
             let replicas = node.directory_reader.borrow_mut().replicas(Instant::now());
             node.set_replicas(replicas);
         });
@@ -294,57 +307,67 @@
 }
 
 impl DirectoryReader {
-    /// Whether a call to the store has failed lately.
+    /// Whether a call to the store failed within the last seconds, as seen here or by the peer that
+    /// sent the entries.
     pub fn store_failed_recently(&self) -> bool {
-        self.failed_at.is_some_and(|at| at.elapsed() < TROUBLE)
+        self.store_failed_at
+            .is_some_and(|at| at.elapsed() < STORE_FAILURE_WINDOW)
     }
 
-    fn take(&mut self, node: &Node, now: Instant, entry: &Entry, trouble: bool) {
-        let found = self.read.binary_search_by(|r| r.key.cmp(&entry.key));
-        if found.is_ok_and(|at| self.read[at].revision >= entry.revision) {
+    fn apply_entry(&mut self, node: &Node, now: Instant, entry: &Entry, store_failed: bool) {
+        let found = self.entries.binary_search_by(|r| r.key.cmp(&entry.key));
+        if found.is_ok_and(|index| self.entries[index].revision >= entry.revision) {
             return;
         }
-        let before = found.ok().and_then(|at| self.read[at].replica.take());
-        let mut read = Read {
+        let previous = found
+            .ok()
+            .and_then(|index| self.entries[index].replica.take());
+        let mut updated = ReadEntry {
             key: entry.key.clone(),
             revision: entry.revision,
             replica: None,
-            emptied: None,
-            fading: None,
+            drained_zone: None,
+            in_use_until: None,
         };
         match &entry.value {
-            Some(value) => read.take(node, value, before.as_ref()),
-            None => lapse(node, now, before, trouble, &mut read),
+            Some(value) => updated.apply_value(node, value, previous.as_ref()),
+            None => apply_lapse(node, now, previous, store_failed, &mut updated),
         }
         match found {
-            Ok(at) => self.read[at] = read,
-            Err(at) => self.read.insert(at, read),
+            Ok(index) => self.entries[index] = updated,
+            Err(index) => self.entries.insert(index, updated),
         }
     }
 
-    fn emptied(&self) -> Vec<ZoneId> {
-        self.read.iter().filter_map(|r| r.emptied.clone()).collect()
+    fn drained_zones(&self) -> Vec<ZoneId> {
+        self.entries
+            .iter()
+            .filter_map(|r| r.drained_zone.clone())
+            .collect()
     }
 
     fn replicas(&mut self, now: Instant) -> Vec<PublishedReplica> {
-        for read in &mut self.read {
-            if read.fading.is_some_and(|until| now >= until) {
-                read.fading = None;
-                read.replica = None;
+        for entry in &mut self.entries {
+            if entry.in_use_until.is_some_and(|deadline| now >= deadline) {
+                entry.in_use_until = None;
+                entry.replica = None;
             }
         }
-        self.read.iter().filter_map(|r| r.replica.clone()).collect()
+        self.entries
+            .iter()
+            .filter_map(|r| r.replica.clone())
+            .collect()
     }
 }
 
-fn lapse(
+fn apply_lapse(
     node: &Node,
     now: Instant,
-    before: Option<PublishedReplica>,
-    trouble: bool,
-    read: &mut Read,
+    previous: Option<PublishedReplica>,
+    store_failed: bool,
+    entry: &mut ReadEntry,
 ) {
-    let Some(replica) = before else {
+    let Some(replica) = previous else {
         return;
     };
     let id: &UpstreamId = &replica.id;
@@ -353,28 +376,28 @@
     }
     node.log.line(
         Weight::Notable,
-        format_args!("event=replica_gone replica={id} store_trouble={trouble}"),
+        format_args!("event=replica_gone replica={id} store_trouble={store_failed}"),
     );
-    if trouble && !replica.leaving {
-        read.replica = Some(replica);
-        read.fading = Some(now + RETURNS_WITHIN);
+    if store_failed && !replica.leaving {
+        entry.replica = Some(replica);
+        entry.in_use_until = Some(now + LAPSED_REPLICA_GRACE);
     }
 }
 
-impl Read {
-    /// Takes what the entry means.
-    fn take(&mut self, node: &Node, value: &[u8], before: Option<&PublishedReplica>) {
+impl ReadEntry {
+    /// Applies the parsed entry.
+    fn apply_value(&mut self, node: &Node, value: &[u8], previous: Option<&PublishedReplica>) {
         let key = &self.key;
         match node.directory_source.meaning(key, value) {
             Meaning::Table(table) => node.set_table(table),
             Meaning::Replica(replica) => {
-                // A cold replica tells again and again how long it stays so.
-                if before.is_none_or(|b| !b.differs_only_in_cold_until(&replica)) {
-                    tell_replica(node, &replica);
+                // A cold replica publishes its remaining cold time again and again.
+                if previous.is_none_or(|p| !p.differs_only_in_cold_until(&replica)) {
+                    log_replica(node, &replica);
                 }
                 self.replica = Some(replica);
             }
-            Meaning::EmptiedZone(zone) => self.emptied = Some(zone),
+            Meaning::EmptiedZone(zone) => self.drained_zone = Some(zone),
             Meaning::BadReplica(reason) => node.log.line(
                 Weight::Notable,
                 format_args!("event=replica_unreadable key={key:?} reason={reason:?}"),
@@ -388,7 +411,7 @@
     }
 }
 
-fn tell_replica(node: &Node, replica: &PublishedReplica) {
+fn log_replica(node: &Node, replica: &PublishedReplica) {
     let cold_ms = replica.remaining_cold_time().as_millis();
     node.log.line(
         Weight::Notable,
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -1,7 +1,8 @@
-//! What an instance tells the others of itself, and passes on of others.
+//! Exchange of state between the instances.
 //!
-//! News go to each of a small zone, and to the relay of the zone that serves this instance. A relay sends what it has
-//! gathered to its zone after a moment, and less often to a relay of each other zone, which sends it on to its own.
+//! An instance sends each change of its state to every instance of a small zone, and to the zone's
+//! relay that is responsible for it. A relay collects digests for a moment and sends them to its
+//! zone, and less often to a relay of each other zone, which forwards them to its own zone.
 
 mod local_state;
 
@@ -17,87 +18,89 @@
 use crate::credit;
 use crate::log::{self, Weight};
 use crate::node::Node;
-use crate::outbox::{self, Gathered};
+use crate::outbox::{self, DigestBatch};
 use crate::peers::{Digest, ForwardScope, Peer, PeerMessage};
 use crate::receiver;
 
-use local_state::{News, fresh_members, own_news, own_steps, own_unreachable};
+use local_state::{LocalState, live_members, local_state, local_step_times, unreachable_replicas};
 
-/// Time between two looks at everything.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval of the periodic checks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Shortest time between two messages of an instance about itself.
-const OWN_GAP: Duration = Duration::from_millis(4);
+/// Minimum time between two messages of an instance about itself.
+const MIN_STATE_INTERVAL: Duration = Duration::from_millis(4);
 
-/// Time for which a relay gathers news of its zone for each pair of instances there: as many have news as
-/// have to be told.
-const GATHERS_FOR_EACH: Duration = Duration::from_micros(40);
+/// Time for which a relay collects digests of its zone, per pair of instances there: each instance
+/// is both a source and a receiver.
+const COLLECT_TIME_PER_PAIR: Duration = Duration::from_micros(40);
 
-/// Longest time for which a relay gathers.
-const GATHERS: Duration = Duration::from_millis(100);
+/// Longest time for which a relay collects digests of its zone.
+const MAX_COLLECT_TIME: Duration = Duration::from_millis(100);
 
-/// Time between news to another zone of the region, and to one of another region; longer where a zone
-/// has more than [`fanout::SMALL`] instances, each of which has to be told.
-const NEAR_GAP: Duration = Duration::from_millis(100);
-const FAR_GAP: Duration = Duration::from_millis(400);
+/// Interval of messages to another zone of the region, and to one of another region; longer if a
+/// zone has more than [`fanout::SMALL`] instances, each of which has to receive them.
+const NEAR_ZONE_INTERVAL: Duration = Duration::from_millis(100);
+const FAR_ZONE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Time between messages at rest.
-const AT_REST: Duration = Duration::from_secs(1);
+/// Interval of messages while nothing changes.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Time between messages to first contacts until the zone is found: after a kill of all, instances come up
-/// some tenths of a second apart, and no organisation has credit before.
-const UNTIL_FOUND: Duration = Duration::from_millis(200);
+/// Interval of messages to the configured contacts until the zone is found: after a kill of all,
+/// instances come up some tenths of a second apart, and no organisation has credit before.
+const CONTACT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Time between messages that tell how fast replicas are, which changes slowly.
-const FULL: Duration = Duration::from_secs(8);
+/// Interval of messages that include the speed of the replicas, which changes slowly.
+const FULL_STATE_INTERVAL: Duration = Duration::from_secs(8);
 
-/// Longest time between two messages of a relay to its zone.
-const RELAY_AT_REST: Duration = Duration::from_millis(300);
+/// Longest time between two messages of a relay to its zone, also if it has nothing to forward.
+const RELAY_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Sends and receives until the process ends.
+/// Sends and receives messages of other instances until the process ends.
+///
+/// `incarnation` is greater for each start of the process.
 pub async fn run(node: Rc<Node>, socket: UdpSocket, incarnation: u64) {
     let socket = Rc::new(socket);
-    // Set once, as there is one exchange with the peers in a process.
+    // Set only here, and this function runs once per process.
     let _ = node.peer_socket.set(Rc::clone(&socket));
     tokio::task::spawn_local(credit::run(Rc::clone(&node)));
     tokio::task::spawn_local(receiver::receive(Rc::clone(&node), Rc::clone(&socket)));
     let mut sender = Sender::new(&node, incarnation);
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        let due = sender.due(&node);
+        let home_due = sender.home_due(&node);
         tokio::select! {
             _ = ticks.tick() => {
-                receiver::notice_silence(&node);
+                receiver::expire_silent(&node);
                 credit::update_roster(&node);
-                receiver::take_loads(&node);
-                receiver::take_waiting(&node);
+                receiver::apply_loads(&node);
+                receiver::apply_waiting(&node);
                 node.assign_slots();
                 sender.tick(&node, &socket);
             }
             () = node.greeting_wakeup.notified() => sender.greet(&node, &socket),
             () = node.state_changed.notified() => {
-                sender.tell(&node, &socket, Telling::Change);
-                sleep(OWN_GAP).await;
+                sender.send_state(&node, &socket, StateKind::Change);
+                sleep(MIN_STATE_INTERVAL).await;
             }
             () = node.outbox_wakeup.notified() => {}
-            () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {
-                sender.send_home(&node, &socket);
+            () = sleep_until(home_due.unwrap_or_else(Instant::now)), if home_due.is_some() => {
+                sender.flush_home(&node, &socket);
             }
         }
     }
 }
 
-/// How much an instance tells of itself.
+/// How much of its state an instance sends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Telling {
-    /// What has changed, if anything has.
+enum StateKind {
+    /// The current state, only if it has changed.
     Change,
-    /// That it lives.
+    /// The current state, also if it has not changed.
     Heartbeat,
-    /// How fast replicas are as well.
+    /// The current state, the speed of the replicas and the clock.
     Full,
-    /// Whom it knows as well.
+    /// All of `Full`, and the instances that it knows.
     Greeting,
 }
 
@@ -107,13 +110,17 @@
     zone: ShortName,
     region: ShortName,
     seq: u32,
-    last: News,
-    told_at: Option<Instant>,
-    full_at: Option<Instant>,
-    contacts_at: Option<Instant>,
-    home_at: Instant,
-    near_at: Instant,
-    far_at: Instant,
+    /// State at the last message, to detect changes.
+    last_sent: LocalState,
+    state_sent_at: Option<Instant>,
+    full_state_sent_at: Option<Instant>,
+    contacts_sent_at: Option<Instant>,
+    /// When collected digests were last sent to the zone.
+    home_sent_at: Instant,
+    /// When they were last sent to the other zones of the region.
+    near_sent_at: Instant,
+    /// When they were last sent to the other regions.
+    far_sent_at: Instant,
     relays: Relays,
 }
 
@@ -127,68 +134,81 @@
             zone: short_name(&cfg.availability_zone),
             region: short_name(&cfg.region),
             seq: 0,
-            last: News::default(),
-            told_at: None,
-            full_at: None,
-            contacts_at: None,
-            home_at: now,
-            near_at: now,
-            far_at: now,
+            last_sent: LocalState::default(),
+            state_sent_at: None,
+            full_state_sent_at: None,
+            contacts_sent_at: None,
+            home_sent_at: now,
+            near_sent_at: now,
+            far_sent_at: now,
             relays: Relays::default(),
         }
     }
 
     fn tick(&mut self, node: &Node, socket: &UdpSocket) {
         let now = Instant::now();
-        let past =
-            |at: Option<Instant>, gap| at.is_none_or(|at| now.saturating_duration_since(at) >= gap);
-        if past(self.full_at, FULL) {
-            self.full_at = Some(now);
-            self.tell(node, socket, Telling::Full);
+        let has_passed = |sent_at: Option<Instant>, interval| {
+            sent_at.is_none_or(|sent_at| now.saturating_duration_since(sent_at) >= interval)
+        };
+        if has_passed(self.full_state_sent_at, FULL_STATE_INTERVAL) {
+            self.full_state_sent_at = Some(now);
+            self.send_state(node, socket, StateKind::Full);
             self.greet_relays(node, socket);
-        } else if past(self.told_at, AT_REST) {
-            self.tell(node, socket, Telling::Heartbeat);
+        } else if has_passed(self.state_sent_at, HEARTBEAT_INTERVAL) {
+            self.send_state(node, socket, StateKind::Heartbeat);
         } else {
-            self.tell(node, socket, Telling::Change);
+            self.send_state(node, socket, StateKind::Change);
         }
-        let knows_fleet = node.credit_ledger.borrow().mints();
-        let gap = if knows_fleet { AT_REST } else { UNTIL_FOUND };
-        if past(self.contacts_at, gap) {
-            self.contacts_at = Some(now);
+        let accrues_credit = node.credit_ledger.borrow().mints();
+        let contact_interval = if accrues_credit {
+            HEARTBEAT_INTERVAL
+        } else {
+            CONTACT_INTERVAL
+        };
+        if has_passed(self.contacts_sent_at, contact_interval) {
+            self.contacts_sent_at = Some(now);
             self.greet_contacts(node, socket);
         }
-        if self.is_relay() && now.saturating_duration_since(self.home_at) >= RELAY_AT_REST {
-            self.send_home(node, socket);
+        if self.is_relay()
+            && now.saturating_duration_since(self.home_sent_at) >= RELAY_HEARTBEAT_INTERVAL
+        {
+            self.flush_home(node, socket);
         }
-        if now.saturating_duration_since(self.near_at) >= away_gap(node, NEAR_GAP) {
-            self.near_at = now;
-            let gathered = node.outbox.borrow_mut().take_near();
-            self.send_away(node, socket, gathered, true);
+        if now.saturating_duration_since(self.near_sent_at)
+            >= cross_zone_interval(node, NEAR_ZONE_INTERVAL)
+        {
+            self.near_sent_at = now;
+            let collected = node.outbox.borrow_mut().take_near_zones();
+            self.send_cross_zone(node, socket, collected, true);
         }
-        if now.saturating_duration_since(self.far_at) >= away_gap(node, FAR_GAP) {
-            self.far_at = now;
-            let gathered = node.outbox.borrow_mut().take_far();
-            self.send_away(node, socket, gathered, false);
+        if now.saturating_duration_since(self.far_sent_at)
+            >= cross_zone_interval(node, FAR_ZONE_INTERVAL)
+        {
+            self.far_sent_at = now;
+            let collected = node.outbox.borrow_mut().take_far_zones();
+            self.send_cross_zone(node, socket, collected, false);
         }
     }
 
-    /// Tells the zone and the relay how this instance stands.
-    fn tell(&mut self, node: &Node, socket: &UdpSocket, telling: Telling) {
+    /// Sends the state of this instance to its zone and to its relay.
+    fn send_state(&mut self, node: &Node, socket: &UdpSocket, kind: StateKind) {
         let now = Instant::now();
-        let news = own_news(node);
-        if telling == Telling::Change && news == self.last {
+        let state = local_state(node);
+        if kind == StateKind::Change && state == self.last_sent {
             return;
         }
-        self.last.clone_from(&news);
-        self.told_at = Some(now);
-        let digest = self.digest(node, news, telling);
-        self.see_relays(node, now);
+        self.last_sent.clone_from(&state);
+        self.state_sent_at = Some(now);
+        let digest = self.build_digest(node, state, kind);
+        self.update_relays(node, now);
         let others = node.peers.borrow().reachable(now, self.zone);
         let others: Vec<Member> = others.iter().map(|a| a.to_bits()).collect();
         let receivers = self.relays.receivers(self.own.to_bits(), &others);
         self.send_digest(node, socket, digest, receivers);
     }
 
+    /// Sends a digest of this instance to its receivers, and queues it in the own outbox if this
+    /// instance is its own relay.
     fn send_digest(&self, node: &Node, socket: &UdpSocket, digest: Digest, receivers: Receivers) {
         let scope = match receivers.neighbours {
             Some(_) => ForwardScope::OtherZones,
@@ -207,19 +227,22 @@
         }
         let mut outbox = node.outbox.borrow_mut();
         match scope {
-            ForwardScope::AllZones => outbox.add_home(self.own, *digest),
-            ForwardScope::OtherZones | ForwardScope::Nobody => outbox.add_away(self.own, *digest),
+            ForwardScope::AllZones => outbox.add_for_all_zones(self.own, *digest),
+            ForwardScope::OtherZones | ForwardScope::Nobody => {
+                outbox.add_for_other_zones(self.own, *digest);
+            }
         }
     }
 
-    /// Looks who the relays of the zone are. One that does not send although it is one is passed over.
-    fn see_relays(&mut self, node: &Node, now: Instant) {
+    /// Determines the relays of the zone. One that doesn't send although it is a relay is passed
+    /// over.
+    fn update_relays(&mut self, node: &Node, now: Instant) {
         let peers = node.peers.borrow();
-        let there = |p: &&Peer| p.is_live(now) && p.digest.zone == self.zone;
-        let heard = peers.all().iter().filter(there);
-        let heard: Vec<Member> = heard.map(|p| p.address.to_bits()).collect();
-        let sent_at = |m: Member| peers.last_datagram_at(Ipv4Addr::from_bits(m));
-        let lost = self.relays.see(now, self.own.to_bits(), &heard, sent_at);
+        let in_zone = |p: &&Peer| p.is_live(now) && p.digest.zone == self.zone;
+        let live = peers.all().iter().filter(in_zone);
+        let live: Vec<Member> = live.map(|p| p.address.to_bits()).collect();
+        let sent_at = |member: Member| peers.last_datagram_at(Ipv4Addr::from_bits(member));
+        let lost = self.relays.see(now, self.own.to_bits(), &live, sent_at);
         for relay in lost.into_iter().map(Ipv4Addr::from_bits) {
             node.log.line(
                 Weight::Notable,
@@ -232,43 +255,51 @@
         self.relays.has(self.own.to_bits())
     }
 
-    /// When news are to be sent to the zone, if there are any.
-    fn due(&self, node: &Node) -> Option<Instant> {
-        if !node.outbox.borrow().has_home() {
+    /// When the collected digests are due to be sent to the zone; `None` if there are none.
+    fn home_due(&self, node: &Node) -> Option<Instant> {
+        if !node.outbox.borrow().has_own_zone() {
             return None;
         }
         let members = node.peers.borrow().zone_size() as u32;
-        let gathers = (GATHERS_FOR_EACH * members.saturating_mul(members)).min(GATHERS);
-        Some(self.home_at + gathers.max(OWN_GAP))
+        let collect_time =
+            (COLLECT_TIME_PER_PAIR * members.saturating_mul(members)).min(MAX_COLLECT_TIME);
+        Some(self.home_sent_at + collect_time.max(MIN_STATE_INTERVAL))
     }
 
-    /// Sends what was gathered to all of the zone.
-    fn send_home(&mut self, node: &Node, socket: &UdpSocket) {
+    /// Sends the collected digests to all instances of the zone.
+    fn flush_home(&mut self, node: &Node, socket: &UdpSocket) {
         let now = Instant::now();
-        self.home_at = now;
-        let gathered = node.outbox.borrow_mut().take_home();
+        self.home_sent_at = now;
+        let collected = node.outbox.borrow_mut().take_own_zone();
         let to = node.peers.borrow().reachable(now, self.zone);
-        send_gathered(node, socket, gathered, &to);
+        send_collected(node, socket, collected, &to);
     }
 
-    /// Sends what was gathered to a relay of each zone of the region, or of each zone beyond it.
-    fn send_away(&self, node: &Node, socket: &UdpSocket, gathered: Gathered, near: bool) {
-        if gathered.is_empty() {
+    /// Sends the collected digests to a relay of each other zone, either in this region or outside
+    /// of it.
+    fn send_cross_zone(
+        &self,
+        node: &Node,
+        socket: &UdpSocket,
+        collected: DigestBatch,
+        same_region: bool,
+    ) {
+        if collected.is_empty() {
             return;
         }
-        // By turns, so that a dead one does not take all.
+        // Alternates between two relays, so that a dead one does not swallow all messages.
         let turn = self.seq as usize;
         let by_turns = |relays: &[Member]| relays.get(turn % relays.len().clamp(1, 2)).copied();
-        let there = self
+        let zones = self
             .other_zones(node)
             .into_iter()
-            .filter(|(_, is_near)| *is_near == near);
-        let relays = there.filter_map(|(zone, _)| by_turns(&relays_of(node, zone)));
+            .filter(|(_, in_region)| *in_region == same_region);
+        let relays = zones.filter_map(|(zone, _)| by_turns(&relays_of(node, zone)));
         let to: Vec<Ipv4Addr> = relays.map(Ipv4Addr::from_bits).collect();
-        send_gathered(node, socket, gathered, &to);
+        send_collected(node, socket, collected, &to);
     }
 
-    /// The other zones, and whether each is of this region.
+    /// The other zones, and whether each is in the region of this instance.
     fn other_zones(&self, node: &Node) -> Vec<(ShortName, bool)> {
         let cfg = node.settings();
         let zones = cfg.regions_by_zone.iter();
@@ -278,15 +309,15 @@
             .collect()
     }
 
-    /// Tells everything to instances that have just become known: a fleet that starts at once is
-    /// whole after a few round trips instead of some seconds.
+    /// Sends the complete state to instances that have just become known: a fleet that starts at
+    /// once is complete after a few round trips instead of some seconds.
     fn greet(&mut self, node: &Node, socket: &UdpSocket) {
         let now = Instant::now();
         let to = std::mem::take(&mut *node.greeting_targets.borrow_mut());
         for address in &to {
             node.peers.borrow_mut().record_greeting(now, *address);
         }
-        let digest = self.digest(node, own_news(node), Telling::Greeting);
+        let digest = self.build_digest(node, local_state(node), StateKind::Greeting);
         send_to(
             node,
             socket,
@@ -295,7 +326,7 @@
         );
     }
 
-    /// Tells everything to the first contacts, as long as they are not heard.
+    /// Sends the complete state to the configured contacts that are not live.
     fn greet_contacts(&mut self, node: &Node, socket: &UdpSocket) {
         let now = Instant::now();
         let cfg = node.settings();
@@ -304,16 +335,18 @@
             SocketAddr::V6(_) => None,
         });
         let peers = node.peers.borrow();
-        let heard = |a: Ipv4Addr| {
+        let is_live = |a: Ipv4Addr| {
             let mut all = peers.all().iter();
             all.any(|p| p.address == a && p.is_live(now))
         };
-        let to: Vec<Ipv4Addr> = contacts.filter(|a| *a != self.own && !heard(*a)).collect();
+        let to: Vec<Ipv4Addr> = contacts
+            .filter(|a| *a != self.own && !is_live(*a))
+            .collect();
         drop(peers);
         if to.is_empty() {
             return;
         }
-        let digest = self.digest(node, own_news(node), Telling::Greeting);
+        let digest = self.build_digest(node, local_state(node), StateKind::Greeting);
         send_to(
             node,
             socket,
@@ -322,8 +355,8 @@
         );
     }
 
-    /// As a relay, tells those of other zones whom this instance knows: two that have found only
-    /// different parts of the fleet would not find the rest.
+    /// As a relay, sends the list of known instances to the relays of other zones: two parts of the
+    /// fleet that have found only themselves would not find each other.
     fn greet_relays(&mut self, node: &Node, socket: &UdpSocket) {
         if !self.is_relay() {
             return;
@@ -335,7 +368,7 @@
             .into_iter()
             .filter_map(|(zone, _)| relay(zone));
         let to: Vec<Ipv4Addr> = relays.map(Ipv4Addr::from_bits).collect();
-        let digest = self.digest(node, own_news(node), Telling::Greeting);
+        let digest = self.build_digest(node, local_state(node), StateKind::Greeting);
         send_to(
             node,
             socket,
@@ -344,7 +377,7 @@
         );
     }
 
-    fn digest(&mut self, node: &Node, news: News, telling: Telling) -> Digest {
+    fn build_digest(&mut self, node: &Node, state: LocalState, kind: StateKind) -> Digest {
         let now = Instant::now();
         self.seq = self.seq.wrapping_add(1);
         let mut digest = Digest {
@@ -352,37 +385,37 @@
             seq: self.seq,
             zone: self.zone,
             region: self.region,
-            upto: news.upto,
+            upto: state.upto,
             store_age_ms: node.store_age().map(|age| age.as_millis() as u32),
-            leaving: news.leaving,
-            zone_size: news.zone_size,
-            unreachable: own_unreachable(node),
-            loads: news.loads,
-            waiting: news.waiting,
+            leaving: state.leaving,
+            zone_size: state.zone_size,
+            unreachable: unreachable_replicas(node),
+            loads: state.loads,
+            waiting: state.waiting,
             ..Digest::default()
         };
-        if matches!(telling, Telling::Full | Telling::Greeting) {
-            digest.steps = own_steps(node);
+        if matches!(kind, StateKind::Full | StateKind::Greeting) {
+            digest.steps = local_step_times(node);
             digest.time_ms = u64::try_from(log::now_ms()).ok();
         }
-        if telling == Telling::Greeting {
+        if kind == StateKind::Greeting {
             digest.greeting = true;
-            digest.members = fresh_members(node);
+            digest.members = live_members(node);
             digest.settled = node.peers.borrow().is_settled(now);
         }
         digest
     }
 }
 
-/// The relays of a zone, by those of it that can be reached.
+/// The relays of a zone, derived from its reachable instances.
 fn relays_of(node: &Node, zone: ShortName) -> Vec<Member> {
-    let there = node.peers.borrow().reachable(Instant::now(), zone);
-    let there: Vec<Member> = there.iter().map(|a| a.to_bits()).collect();
-    fanout::relays(&there)
+    let reachable = node.peers.borrow().reachable(Instant::now(), zone);
+    let reachable: Vec<Member> = reachable.iter().map(|a| a.to_bits()).collect();
+    fanout::relays(&reachable)
 }
 
-fn send_gathered(node: &Node, socket: &UdpSocket, gathered: Gathered, to: &[Ipv4Addr]) {
-    for datagram in outbox::datagrams(gathered) {
+fn send_collected(node: &Node, socket: &UdpSocket, collected: DigestBatch, to: &[Ipv4Addr]) {
+    for datagram in outbox::datagrams(collected) {
         send_to(node, socket, &PeerMessage::Relayed(datagram), to);
     }
 }
@@ -396,12 +429,12 @@
     };
     for address in to {
         let to = SocketAddr::from((*address, node.settings().peer_port));
-        // A message that can't be sent now is replaced by the next one.
+        // A message that can't be sent now is superseded by the next one.
         let _ = socket.try_send_to(&bytes, to);
     }
 }
 
-/// Time in which a change of a replica's load in a zone comes round to this instance.
+/// Time until a change of a replica's load in a zone reaches this instance.
 pub fn propagation_delay(node: &Node, zone: &str) -> Duration {
     let cfg = node.settings();
     if zone == &*cfg.availability_zone {
@@ -409,14 +442,14 @@
     }
     let region = cfg.regions_by_zone.get(zone);
     if region.is_some_and(|r| **r == *cfg.region) {
-        return away_gap(node, NEAR_GAP);
+        return cross_zone_interval(node, NEAR_ZONE_INTERVAL);
     }
-    away_gap(node, FAR_GAP)
+    cross_zone_interval(node, FAR_ZONE_INTERVAL)
 }
 
-/// Time between news to other zones, in a zone as large as this one.
-fn away_gap(node: &Node, gap: Duration) -> Duration {
+/// Interval of messages to other zones, for zones of the size of this one.
+fn cross_zone_interval(node: &Node, base_interval: Duration) -> Duration {
     let members = node.peers.borrow().zone_size() as u32;
-    let small = fanout::SMALL as u32;
-    gap * members.max(small) / small
+    let small_zone = fanout::SMALL as u32;
+    base_interval * members.max(small_zone) / small_zone
 }
--- a/crates/entry/src/gossip/local_state.rs
+++ b/crates/entry/src/gossip/local_state.rs
@@ -1,4 +1,4 @@
-//! What an instance has to tell of itself.
+//! The state that an instance reports to the others.
 
 use std::net::Ipv4Addr;
 
@@ -9,9 +9,9 @@
 
 use crate::node::{Node, ProcessState};
 
-/// What others need to know at once when it changes.
+/// State whose changes are sent to the others at once.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub(super) struct News {
+pub(super) struct LocalState {
     pub(super) loads: Vec<Load>,
     pub(super) waiting: Vec<(ShortName, Class)>,
     pub(super) upto: u64,
@@ -19,23 +19,26 @@
     pub(super) leaving: bool,
 }
 
-pub(super) fn own_news(node: &Node) -> News {
-    News {
-        loads: own_loads(node),
-        waiting: own_waiting(node),
+/// Reads the current state from the node.
+pub(super) fn local_state(node: &Node) -> LocalState {
+    LocalState {
+        loads: local_loads(node),
+        waiting: waiting_classes(node),
         upto: node.directory.borrow().upto(),
         zone_size: node.peers.borrow().zone_size() as u16,
         leaving: node.process_state() >= ProcessState::Closing,
     }
 }
 
-pub(super) fn own_unreachable(node: &Node) -> Vec<ShortName> {
+/// Short names of the replicas to which connections of this instance failed recently.
+pub(super) fn unreachable_replicas(node: &Node) -> Vec<ShortName> {
     let now = Instant::now();
     let dispatch = node.dispatch.borrow();
     dispatch.unreachable(now).map(|id| short_name(id)).collect()
 }
 
-fn own_loads(node: &Node) -> Vec<Load> {
+/// Load of this instance at replicas, without those where it has no running request.
+fn local_loads(node: &Node) -> Vec<Load> {
     node.dispatch
         .borrow()
         .own_load()
@@ -48,32 +51,35 @@
         .collect()
 }
 
-fn own_waiting(node: &Node) -> Vec<(ShortName, Class)> {
-    let urgent = node.dispatch.borrow().urgent(Instant::now());
-    let short = urgent
+/// The most urgent class of the waiting requests, by service.
+fn waiting_classes(node: &Node) -> Vec<(ShortName, Class)> {
+    let classes = node.dispatch.borrow().urgent(Instant::now());
+    let by_short_name = classes
         .into_iter()
         .map(|(service, class)| (short_name(&service), class));
-    short.collect()
+    by_short_name.collect()
 }
 
-pub(super) fn own_steps(node: &Node) -> Vec<(u32, u32)> {
+/// Measured time per generation step of replicas, in microseconds.
+pub(super) fn local_step_times(node: &Node) -> Vec<(u32, u32)> {
     node.dispatch
         .borrow()
         .own_load()
-        .filter_map(|(id, _, _, step)| Some((short_name(id), (step? * 1000.0) as u32)))
+        .filter_map(|(id, _, _, step_ms)| Some((short_name(id), (step_ms? * 1000.0) as u32)))
         .collect()
 }
 
-pub(super) fn fresh_members(node: &Node) -> Vec<(ShortName, Vec<Ipv4Addr>)> {
+/// The live instances by zone, sorted by the zone's short name.
+pub(super) fn live_members(node: &Node) -> Vec<(ShortName, Vec<Ipv4Addr>)> {
     let now = Instant::now();
     let peers = node.peers.borrow();
-    let fresh = peers.all().iter().filter(|p| p.is_live(now));
+    let live = peers.all().iter().filter(|p| p.is_live(now));
     let mut by_zone: Vec<(ShortName, Vec<Ipv4Addr>)> = Vec::new();
-    for peer in fresh {
+    for peer in live {
         let zone = peer.digest.zone;
         match by_zone.binary_search_by_key(&zone, |(name, _)| *name) {
-            Ok(at) => by_zone[at].1.push(peer.address),
-            Err(at) => by_zone.insert(at, (zone, vec![peer.address])),
+            Ok(index) => by_zone[index].1.push(peer.address),
+            Err(index) => by_zone.insert(index, (zone, vec![peer.address])),
         }
     }
     by_zone
--- a/crates/entry/src/outbox.rs
+++ b/crates/entry/src/outbox.rs
@@ -1,88 +1,90 @@
-//! News that a relay has gathered and not sent yet, the latest of each instance.
+//! Digests that a relay has collected and not sent yet, the latest of each instance.
 
 use std::net::Ipv4Addr;
 
 use crate::peers::Digest;
 
-/// Bytes of a datagram that passes links whole.
-const DATAGRAM: usize = 1200;
+/// Maximum payload of a datagram in bytes, which links carry without fragmentation.
+const MAX_DATAGRAM_BYTES: usize = 1200;
 
-/// News of instances, by their addresses.
-pub type Gathered = Vec<(Ipv4Addr, Digest)>;
+/// Digests of instances, sorted by their addresses.
+pub type DigestBatch = Vec<(Ipv4Addr, Digest)>;
 
-/// What is to be sent to the zone and beyond it.
+/// Digests to be sent to the own zone, to the other zones of the region and to the other regions.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    home: Gathered,
-    near: Gathered,
-    far: Gathered,
+    own_zone: DigestBatch,
+    near_zones: DigestBatch,
+    far_zones: DigestBatch,
 }
 
 impl Outbox {
-    /// Adds news of an instance of the zone, for all.
-    pub fn add_home(&mut self, from: Ipv4Addr, digest: Digest) {
-        add(&mut self.home, from, digest.clone());
-        self.add_away(from, digest);
+    /// Adds a digest of an instance of the own zone, for all zones.
+    pub fn add_for_all_zones(&mut self, from: Ipv4Addr, digest: Digest) {
+        add(&mut self.own_zone, from, digest.clone());
+        self.add_for_other_zones(from, digest);
     }
 
-    /// Adds news of an instance of the zone that all of the zone have.
-    pub fn add_away(&mut self, from: Ipv4Addr, digest: Digest) {
-        add(&mut self.near, from, digest.clone());
-        add(&mut self.far, from, digest);
+    /// Adds a digest of an instance of the own zone that the own zone already has, for the other
+    /// zones.
+    pub fn add_for_other_zones(&mut self, from: Ipv4Addr, digest: Digest) {
+        add(&mut self.near_zones, from, digest.clone());
+        add(&mut self.far_zones, from, digest);
     }
 
-    /// Adds news of an instance of another zone, for this one.
-    pub fn add_foreign(&mut self, from: Ipv4Addr, digest: Digest) {
-        add(&mut self.home, from, digest);
+    /// Adds a digest of an instance of another zone, for the own zone.
+    pub fn add_for_own_zone(&mut self, from: Ipv4Addr, digest: Digest) {
+        add(&mut self.own_zone, from, digest);
     }
 
-    /// Whether there are news for the zone.
-    pub fn has_home(&self) -> bool {
-        !self.home.is_empty()
+    /// Whether there are digests for the own zone.
+    pub fn has_own_zone(&self) -> bool {
+        !self.own_zone.is_empty()
     }
 
-    /// Takes out the news for the zone.
-    pub fn take_home(&mut self) -> Gathered {
-        std::mem::take(&mut self.home)
+    /// Removes and returns the digests for the own zone.
+    pub fn take_own_zone(&mut self) -> DigestBatch {
+        std::mem::take(&mut self.own_zone)
     }
 
-    /// Takes out the news for the other zones of the region.
-    pub fn take_near(&mut self) -> Gathered {
-        std::mem::take(&mut self.near)
+    /// Removes and returns the digests for the other zones of the region.
+    pub fn take_near_zones(&mut self) -> DigestBatch {
+        std::mem::take(&mut self.near_zones)
     }
 
-    /// Takes out the news for the other regions.
-    pub fn take_far(&mut self) -> Gathered {
-        std::mem::take(&mut self.far)
+    /// Removes and returns the digests for the other regions.
+    pub fn take_far_zones(&mut self) -> DigestBatch {
+        std::mem::take(&mut self.far_zones)
     }
 }
 
-fn add(gathered: &mut Gathered, from: Ipv4Addr, mut digest: Digest) {
-    match gathered.binary_search_by_key(&from, |(a, _)| *a) {
-        Ok(at) => {
-            let before = &mut gathered[at].1;
-            // What only some messages tell is kept.
-            if digest.steps.is_empty() && before.incarnation == digest.incarnation {
-                digest.steps = std::mem::take(&mut before.steps);
-                digest.time_ms = digest.time_ms.or(before.time_ms);
+fn add(batch: &mut DigestBatch, from: Ipv4Addr, mut digest: Digest) {
+    match batch.binary_search_by_key(&from, |(a, _)| *a) {
+        Ok(index) => {
+            let previous = &mut batch[index].1;
+            // Values that only some digests contain are kept.
+            if digest.steps.is_empty() && previous.incarnation == digest.incarnation {
+                digest.steps = std::mem::take(&mut previous.steps);
+                digest.time_ms = digest.time_ms.or(previous.time_ms);
             }
-            *before = digest;
+            *previous = digest;
         }
-        Err(at) => gathered.insert(at, (from, digest)),
+        Err(index) => batch.insert(index, (from, digest)),
     }
 }
 
-/// Divides news into datagrams; one without any still tells that the relay lives.
-pub fn datagrams(gathered: Gathered) -> Vec<Gathered> {
-    let mut datagrams = vec![Gathered::new()];
-    let mut bytes = 0;
-    for (from, digest) in gathered {
-        let size = size(&digest);
-        if bytes + size > DATAGRAM && bytes > 0 {
-            datagrams.push(Gathered::new());
-            bytes = 0;
+/// Divides digests into datagrams. Without any digest the result is one empty datagram, which shows
+/// that the relay is alive.
+pub fn datagrams(batch: DigestBatch) -> Vec<DigestBatch> {
+    let mut datagrams = vec![DigestBatch::new()];
+    let mut datagram_bytes = 0;
+    for (from, digest) in batch {
+        let digest_bytes = encoded_size(&digest);
+        if datagram_bytes + digest_bytes > MAX_DATAGRAM_BYTES && datagram_bytes > 0 {
+            datagrams.push(DigestBatch::new());
+            datagram_bytes = 0;
         }
-        bytes += size;
+        datagram_bytes += digest_bytes;
         if let Some(last) = datagrams.last_mut() {
             last.push((from, digest));
         }
@@ -90,8 +92,8 @@
     datagrams
 }
 
-/// About how many bytes a digest takes.
-fn size(digest: &Digest) -> usize {
-    let lists = digest.loads.len() * 11 + digest.waiting.len() * 9 + digest.steps.len() * 9;
-    48 + lists + digest.unreachable.len() * 5
+/// Approximate encoded size of a digest in bytes.
+fn encoded_size(digest: &Digest) -> usize {
+    let list_bytes = digest.loads.len() * 11 + digest.waiting.len() * 9 + digest.steps.len() * 9;
+    48 + list_bytes + digest.unreachable.len() * 5
 }
--- a/crates/entry/src/pool.rs
+++ b/crates/entry/src/pool.rs
@@ -1,8 +1,8 @@
-//! Kept connections to one replica.
+//! Idle connections to one replica.
 //!
-//! Connections are a replica's scarce resource and cost time to open, so they are used again, but
-//! only while they are young: a replica closes idle ones, and a request written to a connection
-//! that is being closed may or may not have run.
+//! Connections are a replica's scarce resource and take time to open, so they are reused, but only
+//! while they have been idle for a short time: a replica closes idle connections, and a request
+//! written to a connection that is being closed may or may not have run.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -17,31 +17,31 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, timeout};
 
-/// Longest time to open a connection: two round trips between regions and some.
-const CONNECT: Duration = Duration::from_millis(450);
+/// Maximum time to open a connection: two round trips between regions and a margin.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// Part of a replica's announced idle time for which a connection is used again.
-const SAFE_PART: f64 = 0.6;
+/// Fraction of a replica's announced idle timeout for which an idle connection is reused.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 
-/// Idle time where the replica announces none.
-const UNANNOUNCED: Duration = Duration::from_millis(700);
+/// Time for which an idle connection is reused if the replica announces no timeout.
+const DEFAULT_IDLE_TIME: Duration = Duration::from_millis(700);
 
-/// Longest idle time, whatever is announced.
-const LONGEST: Duration = Duration::from_secs(20);
+/// Maximum time for which an idle connection is reused, whatever the replica announces.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(20);
 
-/// A connection that can take one request now.
+/// An open connection, which carries one request at a time.
 #[derive(Debug)]
 pub struct Connection {
-    /// Where requests go in.
+    /// Sends requests on the connection.
     pub sender: SendRequest<Full<Bytes>>,
-    /// Whether it has served a request before.
+    /// Whether the connection has carried an earlier request.
     pub reused: bool,
     task: AbortHandle,
     reusable: bool,
 }
 
 impl Connection {
-    /// Marks the connection as ready for another request; else it is closed when dropped.
+    /// Marks the connection as reusable; otherwise it is closed when dropped.
     pub fn mark_reusable(&mut self) {
         self.reusable = true;
     }
@@ -49,8 +49,8 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // The replica stops its work when the connection closes, so it closes at once, also with
-        // the request half written.
+        // The replica cancels the request when the connection closes, so it is closed at once, even
+        // with a half-written request.
         if !self.reusable {
             self.task.abort();
         }
@@ -58,70 +58,71 @@
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    until: Instant,
-    since: Instant,
+    reuse_until: Instant,
+    idle_since: Instant,
 }
 
-/// The kept connections of one replica.
+/// The idle connections of one replica.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
-    idle: RefCell<Vec<Idle>>,
+    idle: RefCell<Vec<IdleConnection>>,
 }
 
 impl ConnectionPool {
-    /// Keeps nothing yet.
+    /// Creates an empty pool.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A kept connection that was idle for `fresh` at most.
-    pub fn take_idle(&self, now: Instant, fresh: Duration) -> Option<Connection> {
+    /// Removes and returns the connection that became idle last, unless it has been idle for longer
+    /// than `max_idle`.
+    pub fn take_idle(&self, now: Instant, max_idle: Duration) -> Option<Connection> {
         let mut idle = self.idle.borrow_mut();
-        while let Some(mut kept) = idle.pop() {
-            let usable = now < kept.until && kept.connection.sender.is_ready();
+        while let Some(mut candidate) = idle.pop() {
+            let usable = now < candidate.reuse_until && candidate.connection.sender.is_ready();
             if !usable {
-                kept.connection.reusable = false;
+                candidate.connection.reusable = false;
                 continue;
             }
-            if now.saturating_duration_since(kept.since) > fresh {
-                idle.push(kept);
+            if now.saturating_duration_since(candidate.idle_since) > max_idle {
+                idle.push(candidate);
                 return None;
             }
-            kept.connection.reusable = false;
-            kept.connection.reused = true;
-            return Some(kept.connection);
+            candidate.connection.reusable = false;
+            candidate.connection.reused = true;
+            return Some(candidate.connection);
         }
         None
     }
 
-    /// Whether a kept connection can be taken now.
+    /// Whether an idle connection can be reused now.
     pub fn has_idle(&self, now: Instant) -> bool {
         let idle = self.idle.borrow();
         idle.iter()
-            .any(|kept| now < kept.until && kept.connection.sender.is_ready())
+            .any(|idle| now < idle.reuse_until && idle.connection.sender.is_ready())
     }
 
-    /// Keeps a connection after a whole answer, if the answer allows it.
-    pub fn put_back(&self, now: Instant, mut connection: Connection, answer: &HeaderMap) {
-        if closes(answer) || connection.sender.is_closed() {
+    /// Puts a connection back after a complete response, if the response allows it.
+    pub fn put_back(&self, now: Instant, mut connection: Connection, response_head: &HeaderMap) {
+        if has_connection_close(response_head) || connection.sender.is_closed() {
             return;
         }
         connection.mark_reusable();
-        let until = now + idle_time(answer);
-        self.idle.borrow_mut().push(Idle {
+        let reuse_until = now + idle_time(response_head);
+        self.idle.borrow_mut().push(IdleConnection {
             connection,
-            until,
-            since: now,
+            reuse_until,
+            idle_since: now,
         });
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes connections that have been idle for too long.
     pub fn close_expired(&self, now: Instant) {
         self.idle
             .borrow_mut()
-            .retain(|kept| now < kept.until && !kept.connection.sender.is_closed());
+            .retain(|idle| now < idle.reuse_until && !idle.connection.sender.is_closed());
     }
 
     /// Closes all idle connections.
@@ -130,9 +131,9 @@
     }
 }
 
-/// Opens a connection.
+/// Opens a new connection to a replica.
 pub async fn connect(address: SocketAddr) -> std::io::Result<Connection> {
-    let stream = timeout(CONNECT, TcpStream::connect(address))
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
         .map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))??;
     stream.set_nodelay(true)?;
@@ -141,7 +142,7 @@
         .await
         .map_err(std::io::Error::other)?;
     let task = tokio::task::spawn_local(async move {
-        // Errors reach the request that stands on the connection.
+        // Errors are returned by the request that uses the connection.
         let _ = connection.await;
     });
     Ok(Connection {
@@ -152,24 +153,26 @@
     })
 }
 
-fn closes(answer: &HeaderMap) -> bool {
-    answer
+fn has_connection_close(response_head: &HeaderMap) -> bool {
+    response_head
         .get_all(http::header::CONNECTION)
         .iter()
         .filter_map(|v| v.to_str().ok())
         .any(|v| v.split(',').any(|t| t.trim().eq_ignore_ascii_case("close")))
 }
 
-fn idle_time(answer: &HeaderMap) -> Duration {
-    let announced = answer
+fn idle_time(response_head: &HeaderMap) -> Duration {
+    let announced_s = response_head
         .get("keep-alive")
         .and_then(|v| v.to_str().ok())
         .and_then(|v| {
             v.split(',')
                 .find_map(|p| p.trim().strip_prefix("timeout=")?.parse::<u64>().ok())
         });
-    match announced {
-        Some(s) => Duration::from_secs(s).mul_f64(SAFE_PART).min(LONGEST),
-        None => UNANNOUNCED,
+    match announced_s {
+        Some(seconds) => Duration::from_secs(seconds)
+            .mul_f64(IDLE_TIMEOUT_FRACTION)
+            .min(MAX_IDLE_TIME),
+        None => DEFAULT_IDLE_TIME,
     }
 }
--- a/crates/entry/src/receiver.rs
+++ b/crates/entry/src/receiver.rs
@@ -1,4 +1,4 @@
-//! What an instance makes of the others' messages.
+//! Receives the messages of other instances and applies them.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -14,10 +14,11 @@
 use crate::node::Node;
 use crate::peers::{Digest, ForwardScope, PeerMessage};
 
-/// How long the directory may take to tell what a peer already knows, before the peer is asked.
-const BEHIND: Duration = Duration::from_millis(250);
+/// Delay before a peer with a newer directory revision is asked, on an instance that reads the
+/// store: within it the store usually returns the same change.
+const STORE_HEAD_START: Duration = Duration::from_millis(250);
 
-/// Takes messages until the process ends.
+/// Receives and applies datagrams until the process ends.
 pub async fn receive(node: Rc<Node>, socket: Rc<UdpSocket>) {
     let mut buf = vec![0; 64 * 1024];
     loop {
@@ -32,7 +33,9 @@
             .borrow_mut()
             .record_datagram(Instant::now(), sender);
         match rmp_serde::from_slice::<PeerMessage>(&buf[..len]) {
-            Ok(PeerMessage::Digest(digest, scope)) => on_direct(&node, sender, *digest, scope),
+            Ok(PeerMessage::Digest(digest, scope)) => {
+                on_direct_digest(&node, sender, *digest, scope);
+            }
             Ok(PeerMessage::Relayed(digests)) => on_relayed(&node, sender, digests),
             Ok(PeerMessage::Credit(message)) => credit::on_message(&node, *from.ip(), message),
             Err(e) => node.log.line(
@@ -43,83 +46,92 @@
     }
 }
 
-/// Takes what an instance says of itself, and gathers it for those who are to have it.
-fn on_direct(node: &Rc<Node>, from: Ipv4Addr, digest: Digest, scope: ForwardScope) {
+/// Applies a digest that came from the instance itself, and queues it for those to whom this relay
+/// forwards it.
+fn on_direct_digest(node: &Rc<Node>, from: Ipv4Addr, digest: Digest, scope: ForwardScope) {
     match scope {
         ForwardScope::Nobody => {}
-        ForwardScope::OtherZones => node.outbox.borrow_mut().add_away(from, digest.clone()),
+        ForwardScope::OtherZones => node
+            .outbox
+            .borrow_mut()
+            .add_for_other_zones(from, digest.clone()),
         ForwardScope::AllZones => {
-            node.outbox.borrow_mut().add_home(from, digest.clone());
+            node.outbox
+                .borrow_mut()
+                .add_for_all_zones(from, digest.clone());
             node.outbox_wakeup.notify_one();
         }
     }
-    on_digest(node, from, digest);
-    act(node);
+    apply_digest(node, from, digest);
+    update_dispatcher(node);
 }
 
-/// Takes what a relay has gathered; what comes from another zone is gathered for this one.
+/// Applies the digests that a relay has collected; those from another zone are queued for this
+/// zone.
 fn on_relayed(node: &Rc<Node>, sender: Ipv4Addr, digests: Vec<(Ipv4Addr, Digest)>) {
     let zone = short_name(&node.settings().availability_zone);
-    let by_foreigner = !node.peers.borrow().is_in_zone(sender, zone);
+    let from_other_zone = !node.peers.borrow().is_in_zone(sender, zone);
     for (from, digest) in digests {
-        if by_foreigner && digest.zone != zone {
-            node.outbox.borrow_mut().add_foreign(from, digest.clone());
+        if from_other_zone && digest.zone != zone {
+            node.outbox
+                .borrow_mut()
+                .add_for_own_zone(from, digest.clone());
             node.outbox_wakeup.notify_one();
         }
-        on_digest(node, from, digest);
+        apply_digest(node, from, digest);
     }
-    act(node);
+    update_dispatcher(node);
 }
 
-fn on_digest(node: &Rc<Node>, from: Ipv4Addr, digest: Digest) {
+fn apply_digest(node: &Rc<Node>, from: Ipv4Addr, digest: Digest) {
     let now = Instant::now();
     let upto = digest.upto;
     let steps = digest.steps.clone();
     let unreachable = digest.unreachable.clone();
     let time_ms = digest.time_ms;
-    let heard = node.peers.borrow_mut().on_digest(now, from, digest);
-    tell_silent(node, &heard.silent);
-    if heard.is_new {
+    let effects = node.peers.borrow_mut().on_digest(now, from, digest);
+    log_silent(node, &effects.silent);
+    if effects.is_new {
         node.log.line(
             Weight::Notable,
             format_args!("event=peer_heard peer={from}"),
         );
     }
     if let Some(time_ms) = time_ms {
-        take_clock(node, from, time_ms);
+        log_clock_offset(node, from, time_ms);
     }
-    if !heard.greet.is_empty() {
-        node.greeting_targets.borrow_mut().extend(heard.greet);
+    if !effects.greet.is_empty() {
+        node.greeting_targets.borrow_mut().extend(effects.greet);
         node.greeting_wakeup.notify_one();
     }
-    take_steps(node, &steps);
-    take_unreachable(node, &unreachable);
+    apply_step_times(node, &steps);
+    apply_unreachable(node, &unreachable);
     if upto > node.directory.borrow().upto() {
-        let pause = if node.reads_store() {
-            BEHIND
+        let delay = if node.reads_store() {
+            STORE_HEAD_START
         } else {
             Duration::ZERO
         };
-        directory::schedule_peer_sync(node, pause);
+        directory::schedule_peer_sync(node, delay);
     }
 }
 
-/// Does what has become possible by the news.
-fn act(node: &Node) {
-    take_loads(node);
-    take_waiting(node);
+/// Updates the dispatcher with the new load, and assigns the slots that this has freed.
+fn update_dispatcher(node: &Node) {
+    apply_loads(node);
+    apply_waiting(node);
     node.assign_slots();
 }
 
-/// Tells of the instances that have fallen silent, and forgets those that are gone.
-pub fn notice_silence(node: &Node) {
+/// Logs the instances that have fallen silent, and removes those that are gone.
+pub fn expire_silent(node: &Node) {
     let now = Instant::now();
     let silent = node.peers.borrow_mut().drop_silent(now);
-    tell_silent(node, &silent);
+    log_silent(node, &silent);
     node.peers.borrow_mut().remove_gone(now);
 }
 
-fn tell_silent(node: &Node, silent: &[Ipv4Addr]) {
+fn log_silent(node: &Node, silent: &[Ipv4Addr]) {
     for peer in silent {
         node.log.line(
             Weight::Notable,
@@ -128,10 +140,10 @@
     }
 }
 
-/// Tells how another instance's time of day differs, which those need who read several logs.
-fn take_clock(node: &Node, from: Ipv4Addr, time_ms: u64) {
-    let own = u64::try_from(log::now_ms()).unwrap_or(u64::MAX);
-    let ahead_ms = time_ms.cast_signed().saturating_sub(own.cast_signed());
+/// Logs how far another instance's clock differs, for readers who merge several logs.
+fn log_clock_offset(node: &Node, from: Ipv4Addr, time_ms: u64) {
+    let own_ms = u64::try_from(log::now_ms()).unwrap_or(u64::MAX);
+    let ahead_ms = time_ms.cast_signed().saturating_sub(own_ms.cast_signed());
     if node.peers.borrow_mut().record_clock_offset(from, ahead_ms) {
         node.log.line(
             Weight::Notable,
@@ -140,7 +152,7 @@
     }
 }
 
-fn take_unreachable(node: &Node, unreachable: &[ShortName]) {
+fn apply_unreachable(node: &Node, unreachable: &[ShortName]) {
     let now = Instant::now();
     for name in unreachable {
         if let Some(id) = node.replica_by_short_name(*name) {
@@ -149,17 +161,17 @@
     }
 }
 
-fn take_steps(node: &Node, steps: &[(ShortName, u32)]) {
-    for (name, us) in steps {
+fn apply_step_times(node: &Node, step_times: &[(ShortName, u32)]) {
+    for (name, step_us) in step_times {
         if let Some(id) = node.replica_by_short_name(*name) {
-            let step_ms = f64::from(*us) / 1000.0;
+            let step_ms = f64::from(*step_us) / 1000.0;
             node.dispatch.borrow_mut().hint_step(&id, step_ms);
         }
     }
 }
 
-/// Takes the changes of what the others have at replicas.
-pub fn take_loads(node: &Node) {
+/// Passes the changes of the other instances' load to the dispatcher.
+pub fn apply_loads(node: &Node) {
     let changed = node.peers.borrow_mut().take_changed_loads();
     for name in changed {
         let sum = node.peers.borrow().load_at(name);
@@ -167,8 +179,8 @@
     }
 }
 
-/// Takes what waits at the other instances of the zone.
-pub fn take_waiting(node: &Node) {
+/// Passes the requests that wait at the other instances of the zone to the dispatcher.
+pub fn apply_waiting(node: &Node) {
     let zone = short_name(&node.settings().availability_zone);
     let peers = node.peers.borrow();
     node.set_competitors(peers.waiting_in_zone(Instant::now(), zone));
--- a/crates/entry/src/reload.rs
+++ b/crates/entry/src/reload.rs
@@ -1,7 +1,8 @@
-//! Settings that change while the process runs.
+//! Reloads the settings while the process runs.
 //!
-//! The file may change with a signal or without one. What can change in place does; the rest is
-//! named in the log and holds from the next start. A file that can't be used changes nothing.
+//! The file may change with a SIGHUP or without one. Settings that can change in a running process
+//! are applied; the others are logged and take effect at the next start. An invalid file changes
+//! nothing.
 
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -14,28 +15,28 @@
 use crate::node::Node;
 use crate::settings::Settings;
 
-/// How often the file is looked at without a signal: a change of settings may wait for seconds, and
-/// a look costs one call to the system.
-const LOOK: Duration = Duration::from_secs(5);
+/// Interval at which the modification time of the file is checked: a change of settings may wait
+/// for seconds, and a check costs one system call.
+const CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Takes changed settings until the process ends.
+/// Applies changed settings until the process ends.
 pub async fn run(node: Rc<Node>, path: PathBuf, mut hup: Signal) {
-    let mut looks = interval(LOOK);
-    let mut seen = modified(&path);
+    let mut checks = interval(CHECK_INTERVAL);
+    let mut applied_mtime = mtime(&path);
     loop {
         let signalled = tokio::select! {
-            told = hup.recv() => told.is_some(),
-            _ = looks.tick() => false,
+            signal = hup.recv() => signal.is_some(),
+            _ = checks.tick() => false,
         };
-        let now = modified(&path);
-        if signalled || now != seen {
-            seen = now;
+        let current_mtime = mtime(&path);
+        if signalled || current_mtime != applied_mtime {
+            applied_mtime = current_mtime;
             reload(&node, &path);
         }
     }
 }
 
-fn modified(path: &Path) -> Option<SystemTime> {
+fn mtime(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path).and_then(|m| m.modified()).ok()
 }
 
@@ -52,7 +53,7 @@
         }
     };
     let changed = node.settings().differences(&cfg);
-    let (now, at_start): (Vec<&str>, Vec<&str>) = changed
+    let (in_force, at_next_start): (Vec<&str>, Vec<&str>) = changed
         .iter()
         .partition(|field| Settings::ADJUSTABLE.contains(field));
     node.apply_settings(&cfg);
@@ -61,8 +62,8 @@
         format_args!(
             "event=reload changed={} in_force={} at_next_start={}",
             !changed.is_empty(),
-            now.join(","),
-            at_start.join(","),
+            in_force.join(","),
+            at_next_start.join(","),
         ),
     );
 }
--- a/crates/entry/src/replica.rs
+++ b/crates/entry/src/replica.rs
@@ -1,4 +1,4 @@
-//! A published replica.
+//! A replica as published in the directory.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,29 +6,30 @@
 use kingcupfield_decisions::id::{ServiceId, UpstreamId, ZoneId};
 use tokio::time::Instant;
 
-/// What a replica says of itself in the directory.
+/// The directory entry of a replica.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PublishedReplica {
-    /// Its name.
+    /// Id of the replica, which a restarted replica uses again.
     pub id: UpstreamId,
-    /// Its start in Unix milliseconds; a name may start again.
+    /// Start time in Unix milliseconds, which distinguishes incarnations of an id.
     pub start_unix_ms: u64,
-    /// Its service.
+    /// Service that it provides.
     pub service: ServiceId,
-    /// Where it listens.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone in which it runs.
     pub zone: ZoneId,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether it is shutting down and must not get new requests.
     pub leaving: bool,
-    /// Until when it is cold, as it says.
+    /// End of its cold period, in which it serves fewer requests because it is still warming up;
+    /// `None` if it is warm.
     pub cold_until: Option<Instant>,
 }
 
 impl PublishedReplica {
-    /// Whether nothing but how long it is cold is new in `other`.
+    /// Whether `other` differs at most in the end of the cold period.
     pub fn differs_only_in_cold_until(&self, other: &Self) -> bool {
         let same = Self {
             cold_until: other.cold_until,
@@ -37,11 +38,11 @@
         same == *other
     }
 
-    /// How much longer it is cold.
+    /// Time left until the end of the cold period; zero if it is warm.
     pub fn remaining_cold_time(&self) -> Duration {
-        let until = self.cold_until;
-        until.map_or(Duration::ZERO, |at| {
-            at.saturating_duration_since(Instant::now())
+        let cold_until = self.cold_until;
+        cold_until.map_or(Duration::ZERO, |until| {
+            until.saturating_duration_since(Instant::now())
         })
     }
 }
--- a/crates/entry/src/snapshot.rs
+++ b/crates/entry/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The directory as one instance tells it to another that is behind.
+//! Directory snapshots, which an instance sends to another with an older revision.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,41 +13,43 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest time that a peer may take to send the directory: two round trips between regions and
-/// the time of a large table over a slow link.
-const FETCH: Duration = Duration::from_millis(1200);
+/// Maximum time to get a snapshot from a peer: two round trips between regions and the transfer of
+/// a large table over a slow link.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Largest directory that is taken from a peer.
-const MAX_SNAPSHOT: usize = 16 * 1024 * 1024;
+/// Maximum size of a snapshot in bytes.
+const MAX_SNAPSHOT_BYTES: usize = 16 * 1024 * 1024;
 
-/// Path at which an instance tells what it knows of the directory.
+/// HTTP path at which an instance serves its snapshot; the query is the revision that the caller
+/// has.
 pub const SNAPSHOT_PATH: &str = "/directory";
 
-/// What an instance tells of the directory, to one that knows it up to a revision.
+/// Directory entries that changed after the revision that the receiver has.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Revision up to which it is complete.
+    /// Revision up to which the snapshot is complete.
     pub upto: u64,
-    /// Whether the store has failed calls lately, so that entries may have lapsed by its own trouble.
+    /// Whether calls to the store have failed recently, so that entries may have lapsed because of
+    /// the store.
     pub store_trouble: bool,
-    /// Entries that changed since, also the removed ones.
+    /// Entries that changed since that revision, including removed ones.
     pub entries: Vec<Entry>,
 }
 
-/// Asks a peer for what it knows of the directory.
+/// Gets the entries from a peer that changed after the revision `after`.
 pub async fn fetch(peer: SocketAddr, after: Revision) -> std::io::Result<Snapshot> {
-    timeout(FETCH, fetch_now(peer, after))
+    timeout(FETCH_TIMEOUT, fetch_without_timeout(peer, after))
         .await
         .map_err(|_| std::io::Error::from(std::io::ErrorKind::TimedOut))?
 }
 
-async fn fetch_now(peer: SocketAddr, after: Revision) -> std::io::Result<Snapshot> {
+async fn fetch_without_timeout(peer: SocketAddr, after: Revision) -> std::io::Result<Snapshot> {
     let stream = TcpStream::connect(peer).await?;
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream))
         .await
         .map_err(std::io::Error::other)?;
     tokio::task::spawn_local(async move {
-        // Errors reach the call below.
+        // Errors are returned by `send_request` below.
         let _ = connection.await;
     });
     let mut req = Request::new(Full::<Bytes>::default());
@@ -58,7 +60,7 @@
         .send_request(req)
         .await
         .map_err(std::io::Error::other)?;
-    let body = Limited::new(response.into_body(), MAX_SNAPSHOT)
+    let body = Limited::new(response.into_body(), MAX_SNAPSHOT_BYTES)
         .collect()
         .await
         .map_err(std::io::Error::other)?
--- a/crates/entry/src/table.rs
+++ b/crates/entry/src/table.rs
@@ -1,4 +1,4 @@
-//! The published table: routes, services, organisations and the bounds on what callers send.
+//! The published table: routes, services, organisations and the limits on callers' requests.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,16 +7,16 @@
 use kingcupfield_decisions::id::{OrganisationId, ServiceId, ShortName, Version, short_name};
 use kingcupfield_decisions::regions::Regions;
 
-/// What may be repeated of a route's requests.
+/// Whether requests of a route may be sent to a second replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// Requests may run more than once.
     Idempotent,
-    /// May run at most once.
+    /// Requests may run at most once.
     NonIdempotent,
-    /// A series of events.
+    /// The response is a stream of events.
     Stream {
-        /// Whether another replica may go on after the last event.
+        /// Whether another replica can resume the stream after the last event.
         resumable: bool,
     },
 }
@@ -27,79 +27,80 @@
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
-    /// Whether the answer is a series of events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// Where requests with a host and a path prefix go.
+/// A route: host and path prefix of requests, and the services that serve them.
 #[derive(Debug, Clone)]
 pub struct Route {
-    /// Its name.
+    /// Name of the route.
     pub name: Rc<str>,
-    /// Host that it answers to.
+    /// Host that requests must name.
     pub host: String,
-    /// Start of the paths that it answers to.
+    /// Prefix of the request paths.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether its requests may be retried.
     pub kind: RouteKind,
-    /// Longest time that a request is kept.
+    /// Maximum duration of a request.
     pub timeout: Duration,
-    /// Time within which an answer is on time.
+    /// Latency objective, from arrival to the complete response, or to the first event of a stream.
     pub latency_objective: Duration,
-    /// Longest pause between events of an answer that is on time.
+    /// Maximum time between two events of a stream that meets its objective.
     pub max_event_gap: Duration,
-    /// Urgency, 0 first.
+    /// Priority rank; 0 is the most urgent.
     pub rank: u32,
-    /// Services that serve it, with their weights.
+    /// Services that serve the route, with their weights.
     pub targets: Vec<(ServiceId, u32)>,
-    /// Most replicas that may run one request.
+    /// Maximum number of replicas that may run one request.
     pub max_attempts: u32,
-    /// Whether it needs no key.
+    /// Whether callers need no key.
     pub public: bool,
     /// Regions in which its requests may be served.
     pub regions: Regions,
 }
 
-/// A service that replicas belong to.
+/// A service, which a group of replicas provides.
 #[derive(Debug, Clone)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: ServiceId,
-    /// Tokens in an event, if its replicas generate tokens in batches.
+    /// Tokens per event, if its replicas generate tokens in batches; `None` for other services.
     pub tokens_per_event: Option<u32>,
-    /// What its replicas bear after a start, if they are cold then.
+    /// Load limit of its replicas after a start, if they start cold.
     pub cold: Option<ColdStart>,
 }
 
-/// What replicas bear after a start.
+/// Load limit of replicas that are still warming up after a start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdStart {
-    /// How long they are cold.
+    /// How long a replica warms up.
     pub duration: Duration,
-    /// Requests a second that they bear meanwhile.
+    /// Requests per second that a replica can serve meanwhile.
     pub requests_per_s: f64,
 }
 
-/// Who holds keys, and how much they may use.
+/// An organisation, which holds keys and has limits.
 #[derive(Debug, Clone)]
 pub struct Organisation {
-    /// Its name.
+    /// Name of the organisation.
     pub name: OrganisationId,
-    /// Urgency that goes before the route's.
+    /// Priority rank that takes precedence over the rank of the route; 0 is the most urgent.
     pub rank: Option<u32>,
-    /// Limit over all instances, if there is one.
+    /// Rate limit over all instances together, if there is one.
     pub limit: Option<Limit>,
-    /// Whether the limit counts tokens, else requests.
+    /// Whether the limit is in tokens per second; otherwise in requests per second.
     pub limit_in_tokens: bool,
-    /// Tokens that a request counts that names none.
+    /// Tokens charged for a request that names no number.
     pub default_tokens: u32,
     /// Regions in which its requests may be served.
     pub regions: Regions,
 }
 
-/// Regions in which a request of the organisation may be served on the route.
+/// Regions in which a request of the organisation may be served on the route: those that both
+/// allow.
 pub fn allowed_regions(route: &Route, organisation: Option<&Organisation>) -> Regions {
     organisation.map_or_else(
         || route.regions.clone(),
@@ -107,25 +108,25 @@
     )
 }
 
-/// Bounds on what a caller sends.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head in bytes.
     pub head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub body_bytes: usize,
-    /// Time for a request's head.
+    /// Maximum time to receive a request's head.
     pub head_timeout: Duration,
-    /// Time that a connection may be idle.
+    /// Maximum time that a connection may be idle.
     pub idle_timeout: Duration,
 }
 
 /// One published version of the table.
 #[derive(Debug, Clone)]
 pub struct Table {
-    /// Its version.
+    /// Version number, which grows with each publication.
     pub version: Version,
-    /// Bounds on what callers send.
+    /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
     routes: Vec<Rc<Route>>,
     services: Vec<Service>,
@@ -135,7 +136,7 @@
 }
 
 impl Table {
-    /// Makes a table; `organisations` is `None` where no keys are in use.
+    /// Creates a table; `organisations`, each with its keys, is `None` where no keys are in use.
     pub fn new(
         version: Version,
         limits: CallerLimits,
@@ -149,10 +150,14 @@
         let requires_key = organisations.is_some();
         let mut keys = Vec::new();
         let mut short_names = Vec::new();
-        for (organisation, held) in organisations.into_iter().flatten() {
+        for (organisation, organisation_keys) in organisations.into_iter().flatten() {
             let organisation = Rc::new(organisation);
             short_names.push((short_name(&organisation.name), Rc::clone(&organisation)));
-            keys.extend(held.into_iter().map(|key| (key, Rc::clone(&organisation))));
+            keys.extend(
+                organisation_keys
+                    .into_iter()
+                    .map(|key| (key, Rc::clone(&organisation))),
+            );
         }
         keys.sort_by(|a, b| a.0.cmp(&b.0));
         short_names.sort_by_key(|(short, _)| *short);
@@ -167,7 +172,7 @@
         }
     }
 
-    /// The route of the host with the longest prefix that begins the path.
+    /// The route of the host with the longest prefix of the path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Rc<Route>> {
         let first = self.routes.partition_point(|r| r.host.as_str() < host);
         self.routes[first..]
@@ -179,20 +184,20 @@
 
     /// The organisation that holds the key.
     pub fn organisation(&self, key: &str) -> Option<&Rc<Organisation>> {
-        let at = self
+        let index = self
             .keys
-            .binary_search_by(|(held, _)| held.as_str().cmp(key))
+            .binary_search_by(|(other, _)| other.as_str().cmp(key))
             .ok()?;
-        Some(&self.keys[at].1)
+        Some(&self.keys[index].1)
     }
 
-    /// The organisation that peers mean by a short name.
+    /// The organisation with this short name, which identifies it in messages between instances.
     pub fn organisation_by_short_name(&self, name: ShortName) -> Option<&Rc<Organisation>> {
-        let at = self
+        let index = self
             .short_names
             .binary_search_by(|(short, _)| short.cmp(&name))
             .ok()?;
-        Some(&self.short_names[at].1)
+        Some(&self.short_names[index].1)
     }
 
     /// Whether requests need a key.
@@ -200,12 +205,12 @@
         self.requires_key
     }
 
-    /// A service by its name.
+    /// The service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
-        let at = self
+        let index = self
             .services
             .binary_search_by(|s| (*s.name).cmp(name))
             .ok()?;
-        Some(&self.services[at])
+        Some(&self.services[index])
     }
 }
--- a/crates/entry/tests/outbox.rs
+++ b/crates/entry/tests/outbox.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 
 use kingcupfield_decisions::elsewhere::Load;
-use kingcupfield_entry::outbox::{Gathered, Outbox, datagrams};
+use kingcupfield_entry::outbox::{DigestBatch, Outbox, datagrams};
 use kingcupfield_entry::peers::{Digest, PeerMessage};
 use yare::parameterized;
 
@@ -33,26 +33,33 @@
     let mut full = digest(1, 1);
     full.steps = vec![(9, 7000)];
     full.time_ms = Some(5);
-    outbox.add_home(address(1), full);
-    outbox.add_home(address(1), digest(2, 3));
-    for gathered in [outbox.take_home(), outbox.take_near(), outbox.take_far()] {
+    outbox.add_for_all_zones(address(1), full);
+    outbox.add_for_all_zones(address(1), digest(2, 3));
+    for gathered in [
+        outbox.take_own_zone(),
+        outbox.take_near_zones(),
+        outbox.take_far_zones(),
+    ] {
         let [(from, news)] = &gathered[..] else {
             panic!("{gathered:?}");
         };
         assert_eq!((*from, news.seq, news.loads.len()), (address(1), 2, 3));
         assert_eq!((&news.steps[..], news.time_ms), (&[(9, 7000)][..], Some(5)));
     }
-    assert!(!outbox.has_home());
+    assert!(!outbox.has_own_zone());
 }
 
 /// News of another zone are for this one alone. Sent on to a third zone, they would go round for good.
 #[test]
 fn news_of_another_zone_stay_in_this_one() {
     let mut outbox = Outbox::default();
-    outbox.add_foreign(address(1), digest(1, 1));
-    assert!(outbox.has_home());
-    assert_eq!(outbox.take_near().len() + outbox.take_far().len(), 0);
-    assert_eq!(outbox.take_home().len(), 1);
+    outbox.add_for_own_zone(address(1), digest(1, 1));
+    assert!(outbox.has_own_zone());
+    assert_eq!(
+        outbox.take_near_zones().len() + outbox.take_far_zones().len(),
+        0
+    );
+    assert_eq!(outbox.take_own_zone().len(), 1);
 }
 
 struct Size {
@@ -70,7 +77,7 @@
 )]
 fn news_are_divided_into_datagrams(size: Size) {
     let news = |at| (address(at), digest(u32::from(at) + 1_000_000, size.loads));
-    let gathered: Gathered = (0..size.instances).map(news).collect();
+    let gathered: DigestBatch = (0..size.instances).map(news).collect();
     let datagrams = datagrams(gathered.clone());
     assert!(
         !datagrams.is_empty(),
