--- a/crates/entry/src/account.rs
+++ b/crates/entry/src/account.rs
@@ -10,17 +10,17 @@
 use kingcupfield_decisions::id::UpstreamId;
 use tokio::time::Instant;
 
-use crate::exchange::Failure;
+use crate::exchange::SendFailure;
 use crate::kind::Refusal;
 use crate::log::Weight;
 use crate::metrics::Timing;
-use crate::node::{Node, Place, Stage};
+use crate::node::{Node, ProcessState, SlotGuard};
 use crate::port::Call;
 use crate::request::Life;
 
 /// A request was given a place and goes to a replica.
-pub fn sent(node: &Node, life: &Life, place: &Place) {
-    let why = place.why;
+pub fn sent(node: &Node, life: &Life, place: &SlotGuard) {
+    let why = place.selection;
     let organisation = life.organisation.as_ref().map_or("-", |o| &*o.name);
     node.log.line(
         Weight::Ordinary,
@@ -37,16 +37,16 @@
             why.replicas_with_room,
             why.own_running,
             why.remote_running,
-            node.peers.borrow().oldest_word(Instant::now()).as_millis(),
+            node.peers.borrow().max_report_age(Instant::now()).as_millis(),
             why.is_cold,
             life.charge.waited.as_millis(),
-            life.charge.keeper.map_or("-".to_owned(), |k| k.to_string()),
+            life.charge.coordinator.map_or("-".to_owned(), |k| k.to_string()),
         ),
     );
 }
 
 /// A send brought no answer of the replica.
-pub fn send_failed(node: &Node, life: &Life, replica: &UpstreamId, failure: Failure) {
+pub fn send_failed(node: &Node, life: &Life, replica: &UpstreamId, failure: SendFailure) {
     node.metrics.count(failure.as_str());
     node.log.line(
         Weight::Notable,
@@ -171,8 +171,8 @@
             return;
         }
         // The tasks of a process that ends are dropped as well, and their callers have not left.
-        let event = match self.node.stage() {
-            Stage::Ended => "cut",
+        let event = match self.node.process_state() {
+            ProcessState::Ended => "cut",
             _ => "caller_left",
         };
         self.node.metrics.count(event);
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -13,9 +13,9 @@
 use rand::RngExt as _;
 use tokio::time::Instant;
 
-use crate::credit::{self, Charged, Uncharged};
+use crate::credit::{self, CreditDenial, CreditGrant};
 use crate::kind::{Kind, Refusal};
-use crate::node::{Node, Stage};
+use crate::node::{Node, ProcessState};
 use crate::port::Call;
 use crate::table::{Organisation, Route, Table};
 
@@ -56,12 +56,12 @@
 /// leaves, the pace that is learned of the replicas decides; once it closes, nothing may be cut, so
 /// a slow replica must be able to end it too.
 pub fn ends_in_time(node: &Node, service: &ServiceId, call: &Call) -> bool {
-    let Some(end) = node.answers_by.get() else {
+    let Some(end) = node.response_deadline.get() else {
         return true;
     };
     let left = end.saturating_duration_since(Instant::now());
     let slow = SLOW_REST + SLOW_TOKEN * call.output_tokens.unwrap_or(0);
-    if node.stage() >= Stage::Closing && slow >= left {
+    if node.process_state() >= ProcessState::Closing && slow >= left {
         return false;
     }
     let left = left.saturating_sub(REST);
@@ -87,7 +87,7 @@
         Refusal::new(Kind::NotFound).with_message(reason)
     })?;
     let organisation = call.key.as_deref().and_then(|k| table.organisation(k));
-    if table.keyed() && !route.public && organisation.is_none() {
+    if table.requires_key() && !route.public && organisation.is_none() {
         let reason = match call.key {
             Some(_) => "the table has no such key",
             None => "no key",
@@ -120,19 +120,22 @@
     route: &Route,
     service: &ServiceId,
     call: &Call,
-) -> Result<Charged, Refusal> {
+) -> Result<CreditGrant, Refusal> {
     let Some(organisation) = organisation else {
-        return Ok(Charged::default());
+        return Ok(CreditGrant::default());
     };
     let Some(limit) = organisation.limit else {
-        return Ok(Charged::default());
+        return Ok(CreditGrant::default());
     };
     let charge = Charge {
         cost: cost(organisation, call),
         priority_class: class(node, route, service, call),
-        max_wait: route.objective.mul_f64(FOR_CREDIT).min(MOST_FOR_CREDIT),
+        max_wait: route
+            .latency_objective
+            .mul_f64(FOR_CREDIT)
+            .min(MOST_FOR_CREDIT),
     };
-    let taken = credit::take(node, organisation, limit, charge).await;
+    let taken = credit::charge(node, organisation, limit, charge).await;
     taken.map_err(|uncharged| refuse(node, organisation, route, charge, uncharged))
 }
 
@@ -142,15 +145,15 @@
     organisation: &Organisation,
     route: &Route,
     charge: Charge,
-    uncharged: Uncharged,
+    uncharged: CreditDenial,
 ) -> Refusal {
-    let Uncharged {
+    let CreditDenial {
         verdict,
         waited,
-        keeper,
+        coordinator,
     } = uncharged;
     let wanted = format!(
-        "limit of {}: {:.0} wanted in tier {}, class {}; keeper {keeper}, waited {} ms",
+        "limit of {}: {:.0} wanted in tier {}, class {}; keeper {coordinator}, waited {} ms",
         organisation.name,
         charge.cost,
         route.rank,
@@ -162,7 +165,10 @@
             .with_message(format!("{wanted}, no answer"))
             .with_retry_after(COME_BACK_SOON);
     };
-    let pace = node.ledger.borrow().accrual(name_hash(&organisation.name));
+    let pace = node
+        .credit_ledger
+        .borrow()
+        .accrual(name_hash(&organisation.name));
     let depth = pace.map_or(0.0, |p| p.max_stock());
     let size = node.peers.borrow().zone_size();
     let reason = format!(
@@ -173,11 +179,11 @@
 
 /// What a request takes of its organisation's limit.
 fn cost(organisation: &Organisation, call: &Call) -> f64 {
-    if !organisation.in_tokens {
+    if !organisation.limit_in_tokens {
         return 1.0;
     }
     let tokens = match (call.prompt_tokens, call.output_tokens) {
-        (None, None) => organisation.plain_tokens,
+        (None, None) => organisation.default_tokens,
         (p, o) => p.unwrap_or(0).saturating_add(o.unwrap_or(0)),
     };
     f64::from(tokens)
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -145,16 +145,16 @@
         self.table_version.set(node.table_version() as f64);
         self.waiting.set(dispatch.waiting_count() as f64);
         for (of, count) in [
-            ("connections", *node.connections.borrow()),
-            ("requests", node.active.get()),
+            ("connections", *node.open_connections.borrow()),
+            ("requests", node.active_requests.get()),
         ] {
             self.callers.with_label_values(&[of]).set(count as f64);
         }
         if let Some(age) = node.store_age() {
             self.set_age("store", age);
         }
-        self.set_age("peers", peers.oldest_word(now));
-        let heard = peers.fresh(now) as f64 - 1.0;
+        self.set_age("peers", peers.max_report_age(now));
+        let heard = peers.live_count(now) as f64 - 1.0;
         let known = peers.all().len() as f64;
         self.peers.with_label_values(&["heard"]).set(heard);
         self.peers.with_label_values(&["silent"]).set(known - heard);
--- a/crates/entry/src/node/replicas.rs
+++ b/crates/entry/src/node/replicas.rs
@@ -1,4 +1,5 @@
-//! The published replicas as the dispatcher gets them: where they stand, how far, and whether they may get work.
+//! Passes the published replicas to the dispatcher: their zone, their distance, and whether they
+//! may get requests.
 
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -12,35 +13,36 @@
 use super::Node;
 use crate::gossip;
 use crate::log::Weight;
-use crate::pool::Pool;
-use crate::replica::Published;
+use crate::pool::ConnectionPool;
+use crate::replica::PublishedReplica;
 use crate::table::ColdStart;
 
-/// Time of a message there and back between availability zones of a region.
-const TRAVEL_ZONE: Duration = Duration::from_millis(2);
+/// Round-trip time between availability zones of a region.
+const ZONE_RTT: Duration = Duration::from_millis(2);
 
-/// Time of a message there and back between regions.
-const TRAVEL_REGION: Duration = Duration::from_millis(60);
+/// Round-trip time between regions.
+const REGION_RTT: Duration = Duration::from_millis(60);
 
-/// What the bytes of a request that cross zones or regions cost the users, counted as time: they pay
-/// for them by volume.
-const ZONE_COST: Duration = Duration::from_millis(30);
+/// Cost of the bytes of a request that cross zones or regions, expressed as time: users pay for
+/// them by volume.
+const ZONE_TRANSFER_COST: Duration = Duration::from_millis(30);
 
-const REGION_COST: Duration = Duration::from_millis(60);
+/// The same for requests that cross regions.
+const REGION_TRANSFER_COST: Duration = Duration::from_millis(60);
 
-/// A replica that requests can be sent to.
+/// A published replica and the connections to it.
 #[derive(Debug)]
 pub struct Target {
-    /// What is published of it.
-    pub published: Published,
-    /// Kept connections to it.
-    pub pool: Rc<Pool>,
+    /// The replica's entry in the directory.
+    pub published: PublishedReplica,
+    /// Idle connections to the replica.
+    pub pool: Rc<ConnectionPool>,
 }
 
 impl Node {
-    /// Takes the zones whose replicas are to get nothing new.
-    pub fn set_emptied(&self, now: Instant, zones: Vec<ZoneId>) {
-        let change = self.emptied.borrow_mut().update(now, zones);
+    /// Sets the drained zones, whose replicas get no new requests, and logs each change.
+    pub fn set_drained_zones(&self, now: Instant, zones: Vec<ZoneId>) {
+        let change = self.drained_zones.borrow_mut().update(now, zones);
         for (zones, event) in [
             (change.drained, "zone_emptied"),
             (change.restored, "zone_refilled"),
@@ -52,11 +54,13 @@
         }
     }
 
-    /// Takes the published replicas that may get work or finish it.
-    pub fn set_replicas(&self, published: Vec<Published>) {
+    /// Replaces the published replicas: those that may get requests, or still finish some.
+    pub fn set_replicas(&self, published: Vec<PublishedReplica>) {
         let mut targets = Vec::with_capacity(published.len());
         for replica in published {
-            let old = self.target(&replica.id).filter(|t| same_life(t, &replica));
+            let old = self
+                .target(&replica.id)
+                .filter(|t| is_same_incarnation(t, &replica));
             targets.push(match old {
                 Some(old) if old.published == replica => old,
                 old => Rc::new(Target {
@@ -78,32 +82,32 @@
         *self.short_names.borrow_mut() = short_names;
         self.refresh_replicas();
         for (name, sum) in self.peers.borrow().loads() {
-            self.set_elsewhere(*name, *sum);
+            self.set_remote_load(*name, *sum);
         }
-        self.pump();
+        self.assign_slots();
     }
 
-    /// Tells the dispatcher of the replicas anew, after a change of them or of the table.
+    /// Passes all replicas to the dispatcher again, after a change of them or of the table.
     pub fn refresh_replicas(&self) {
         let replicas: Vec<Replica> = self
             .targets
             .borrow()
             .iter()
-            .map(|t| self.replica(&t.published))
+            .map(|t| self.dispatch_replica(&t.published))
             .collect();
         let now = Instant::now();
         self.dispatch.borrow_mut().update_replicas(now, &replicas);
     }
 
-    /// The replica that peers mean by a short name.
+    /// The replica with this short name, which identifies it in messages between instances.
     pub fn replica_by_short_name(&self, name: NameHash) -> Option<UpstreamId> {
         let names = self.short_names.borrow();
-        let at = names.binary_search_by(|(short, _)| short.cmp(&name)).ok()?;
-        Some(names[at].1.clone())
+        let index = names.binary_search_by(|(short, _)| short.cmp(&name)).ok()?;
+        Some(names[index].1.clone())
     }
 
-    /// Takes what the other instances have at a replica.
-    pub fn set_elsewhere(&self, name: NameHash, sum: TotalLoad) {
+    /// Sets the load that the other instances have at a replica.
+    pub fn set_remote_load(&self, name: NameHash, sum: TotalLoad) {
         if let Some(id) = self.replica_by_short_name(name) {
             let prompt = sum.prompt as f64;
             let mut dispatch = self.dispatch.borrow_mut();
@@ -111,37 +115,38 @@
         }
     }
 
-    /// Takes what waits at the other instances of the zone.
-    pub fn set_contenders<I>(&self, waiting: I)
+    /// Sets the requests that wait at the other instances of the zone: instance, service and most
+    /// urgent class.
+    pub fn set_competitors<I>(&self, waiting: I)
     where
         I: Iterator<Item = (Ipv4Addr, NameHash, PriorityClass)>,
     {
         let services = self.services.borrow();
-        let contenders = waiting.filter_map(|(address, service, class)| {
-            let found = services.binary_search_by(|(short, _)| short.cmp(&service));
+        let competitors = waiting.filter_map(|(address, service, class)| {
+            let index = services.binary_search_by(|(short, _)| short.cmp(&service));
             Some(Competitor {
-                service: services[found.ok()?].1.clone(),
+                service: services[index.ok()?].1.clone(),
                 address: address.to_bits(),
                 class,
             })
         });
-        let contenders = contenders.collect();
-        self.dispatch.borrow_mut().update_competitors(contenders);
+        let competitors = competitors.collect();
+        self.dispatch.borrow_mut().update_competitors(competitors);
     }
 
-    /// A replica by its name.
+    /// The replica with this id.
     pub fn target(&self, id: &UpstreamId) -> Option<Rc<Target>> {
         let targets = self.targets.borrow();
-        let at = targets.binary_search_by(|t| t.published.id.cmp(id)).ok()?;
-        Some(Rc::clone(&targets[at]))
+        let index = targets.binary_search_by(|t| t.published.id.cmp(id)).ok()?;
+        Some(Rc::clone(&targets[index]))
     }
 
-    /// All replicas.
+    /// All published replicas, sorted by id.
     pub fn targets(&self) -> Vec<Rc<Target>> {
         self.targets.borrow().clone()
     }
 
-    fn replica(&self, published: &Published) -> Replica {
+    fn dispatch_replica(&self, published: &PublishedReplica) -> Replica {
         let table = self.table();
         let service = table.as_ref().and_then(|t| t.service(&published.service));
         let tokens_per_event = service.and_then(|s| s.tokens_per_event);
@@ -149,58 +154,61 @@
         let cfg = self.settings();
         Replica {
             id: published.id.clone(),
-            incarnation: published.born,
+            incarnation: published.start_unix_ms,
             service: published.service.clone(),
             region: self.region_of(&published.zone),
             slots: published.slots,
-            weighted_round_trip: self.round_trip(&published.zone),
-            network_round_trip: self.travel(&published.zone),
-            propagation_delay: gossip::news(self, &published.zone),
+            weighted_round_trip: self.weighted_rtt(&published.zone),
+            network_round_trip: self.rtt(&published.zone),
+            propagation_delay: gossip::propagation_delay(self, &published.zone),
             is_engine: tokens_per_event.is_some(),
             tokens_per_event: tokens_per_event.unwrap_or(1),
-            usable: !published.leaving && !self.emptied.borrow().contains(&published.zone),
+            usable: !published.leaving && !self.drained_zones.borrow().contains(&published.zone),
             in_own_zone: published.zone == cfg.availability_zone,
             cold_until: self.cold_until(published, cold),
-            cold_limit: cold.map(|cold| cfg.bearable(cold.per_s)),
+            cold_limit: cold.map(|cold| cfg.bearable(cold.requests_per_s)),
         }
     }
 
-    /// Until when a replica is cold: as it says, or as one must be taken to be whose zone was emptied.
-    fn cold_until(&self, published: &Published, cold: Option<ColdStart>) -> Option<Instant> {
-        let refilled = self.emptied.borrow().restored_at(&published.zone);
-        let since = refilled.zip(cold).map(|(at, cold)| at + cold.lasts);
-        published.cold_until.max(since)
+    /// End of a replica's cold period: as published, or, if later, one cold period after its zone
+    /// came back from being drained.
+    fn cold_until(&self, published: &PublishedReplica, cold: Option<ColdStart>) -> Option<Instant> {
+        let refilled = self.drained_zones.borrow().restored_at(&published.zone);
+        let cold_after_refill = refilled.zip(cold).map(|(at, cold)| at + cold.duration);
+        published.cold_until.max(cold_after_refill)
     }
 
-    /// The region of a zone; of one that the settings don't name, a region that is in no list.
+    /// The region of a zone; an empty region, which no list of regions contains, if the settings
+    /// don't name the zone.
     pub fn region_of(&self, zone: &str) -> RegionId {
         let cfg = self.settings();
         cfg.regions_by_zone.get(zone).map_or("", |r| r).into()
     }
 
-    /// Time of a message to a zone and back, with what the way costs the users counted as time.
-    pub fn round_trip(&self, zone: &str) -> Duration {
-        match self.travel(zone) {
+    /// Round-trip time to a zone plus the transfer cost expressed as time.
+    pub fn weighted_rtt(&self, zone: &str) -> Duration {
+        match self.rtt(zone) {
             Duration::ZERO => Duration::ZERO,
-            TRAVEL_REGION => TRAVEL_REGION + REGION_COST,
-            travel => travel + ZONE_COST,
+            REGION_RTT => REGION_RTT + REGION_TRANSFER_COST,
+            rtt => rtt + ZONE_TRANSFER_COST,
         }
     }
 
-    /// Time of a message to a zone and back.
-    pub fn travel(&self, zone: &str) -> Duration {
+    /// Round-trip time to a zone.
+    pub fn rtt(&self, zone: &str) -> Duration {
         let cfg = self.settings();
         if zone == &*cfg.availability_zone {
             return Duration::ZERO;
         }
         let region = cfg.regions_by_zone.get(zone);
         if region.is_some_and(|r| **r == *cfg.region) {
-            return TRAVEL_ZONE;
+            return ZONE_RTT;
         }
-        TRAVEL_REGION
+        REGION_RTT
     }
 }
 
-fn same_life(target: &Target, replica: &Published) -> bool {
-    target.published.born == replica.born && target.published.address == replica.address
+fn is_same_incarnation(target: &Target, replica: &PublishedReplica) -> bool {
+    target.published.start_unix_ms == replica.start_unix_ms
+        && target.published.address == replica.address
 }
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -20,9 +20,9 @@
 
 use crate::account;
 use crate::events::Scanner;
-use crate::exchange::{self, Answer};
+use crate::exchange::{self, ReplicaResponse};
 use crate::metrics::Timing;
-use crate::node::{Node, Place, Target};
+use crate::node::{Node, SlotGuard, Target};
 use crate::over::{Over, time_over};
 use crate::pool::Connection;
 use crate::request::{Active, Life};
@@ -37,15 +37,15 @@
 /// The stream broke off; the caller's connection is closed.
 #[derive(Debug, thiserror::Error)]
 #[error("the stream broke off")]
-pub struct BrokenOff;
+pub struct StreamBroken;
 
 /// Body of an answer: whole, or passed on as it comes.
 #[derive(Debug)]
-pub enum Body {
+pub enum ResponseBody {
     /// All of it.
-    Whole(Option<Bytes>),
+    Complete(Option<Bytes>),
     /// What a relay passes on.
-    Relayed(Relayed),
+    Streamed(RelayedStream),
 }
 
 /// The caller's end of a relay.
@@ -53,53 +53,53 @@
 /// The end of the channel alone doesn't end the answer: a relay that was dropped, or ended while the
 /// channel was full because its caller reads slowly, would leave a stream that looks complete.
 #[derive(Debug)]
-pub struct Relayed {
+pub struct RelayedStream {
     rx: mpsc::Receiver<Bytes>,
     /// Set once the relay has passed everything on.
     whole: Rc<Cell<bool>>,
 }
 
-impl Relayed {
-    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+impl RelayedStream {
+    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, StreamBroken>>> {
         self.rx.poll_recv(cx).map(|chunk| match chunk {
             Some(chunk) => Some(Ok(Frame::data(chunk))),
             None if self.whole.get() => None,
-            None => Some(Err(BrokenOff)),
+            None => Some(Err(StreamBroken)),
         })
     }
 }
 
-impl Body {
+impl ResponseBody {
     /// A body that is there as a whole.
-    pub fn whole(bytes: Bytes) -> Self {
-        Self::Whole(Some(bytes).filter(|b| !b.is_empty()))
+    pub fn complete(bytes: Bytes) -> Self {
+        Self::Complete(Some(bytes).filter(|b| !b.is_empty()))
     }
 }
 
-impl hyper::body::Body for Body {
+impl hyper::body::Body for ResponseBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = StreamBroken;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamBroken>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            Self::Relayed(relayed) => relayed.poll(cx),
+            Self::Complete(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
+            Self::Streamed(relayed) => relayed.poll(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Complete(None))
     }
 
     fn size_hint(&self) -> hyper::body::SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Complete(bytes) => {
                 hyper::body::SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
-            Self::Relayed(_) => hyper::body::SizeHint::default(),
+            Self::Streamed(_) => hyper::body::SizeHint::default(),
         }
     }
 }
@@ -109,19 +109,19 @@
     node: Rc<Node>,
     life: Life,
     target: Rc<Target>,
-    place: Place,
-    answer: Answer,
+    place: SlotGuard,
+    answer: ReplicaResponse,
     active: Option<Active>,
-) -> Response<Body> {
+) -> Response<ResponseBody> {
     let (tx, rx) = mpsc::channel(CHUNKS);
     let whole = Rc::new(Cell::new(false));
-    let relayed = Relayed {
+    let relayed = RelayedStream {
         rx,
         whole: Rc::clone(&whole),
     };
-    let mut response = Response::new(Body::Relayed(relayed));
+    let mut response = Response::new(ResponseBody::Streamed(relayed));
     *response.status_mut() = answer.head.status;
-    *response.headers_mut() = node.dialect.answer(&answer.head);
+    *response.headers_mut() = node.protocol.answer(&answer.head);
     let run = Run {
         target,
         place,
@@ -152,7 +152,7 @@
 /// A run of the request at one replica.
 struct Run {
     target: Rc<Target>,
-    place: Place,
+    place: SlotGuard,
     connection: Connection,
     body: Incoming,
     head: http::response::Parts,
@@ -160,7 +160,7 @@
 
 /// How passing a run on ended.
 enum End {
-    Whole,
+    Complete,
     Broken,
     CallerGone,
     Over(Over),
@@ -204,12 +204,12 @@
             let end = self.pass_run(&mut run).await;
             let replica = run.place.upstream.clone();
             match end {
-                End::Whole => {
+                End::Complete => {
                     self.whole.set(true);
                     run.target
                         .pool
-                        .keep(Instant::now(), run.connection, &run.head.headers);
-                    run.place.end(Outcome::Served);
+                        .put_back(Instant::now(), run.connection, &run.head.headers);
+                    run.place.release(Outcome::Served);
                     let status = run.head.status.as_u16();
                     let (first, pause) = (self.first_after, self.longest_pause);
                     account::answered(&self.node, &self.life, &replica, status, first, pause);
@@ -232,7 +232,7 @@
             self.log("broke_off", &replica);
             drop(run.connection);
             drop(run.body);
-            run.place.end(Outcome::Failed);
+            run.place.release(Outcome::Failed);
             let (node, route) = (Rc::clone(&self.node), Rc::clone(&self.life.route));
             let over = time_over(&node, &route, self.life.received);
             let next = tokio::select! {
@@ -266,7 +266,7 @@
             };
             let chunk = match frame {
                 None if self.scanner.in_event() => return End::Broken,
-                None => return End::Whole,
+                None => return End::Complete,
                 Some(Err(_)) => return End::Broken,
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             };
@@ -291,7 +291,7 @@
         let now = Instant::now();
         if found.events > 0 {
             if self.first {
-                run.place.on_first();
+                run.place.on_first_event();
                 if self.first_after.is_zero() {
                     self.first_after = self.life.received.elapsed();
                 }
@@ -302,7 +302,7 @@
             self.first = false;
             self.last = now;
         }
-        if !self.life.route.kind.repeatable() {
+        if !self.life.route.kind.is_retryable() {
             return Some(chunk).filter(|c| !c.is_empty());
         }
         if found.complete == 0 {
@@ -323,13 +323,13 @@
 
     /// Ends when a stream that may be resumed has brought nothing for too long.
     async fn stuck(&self) {
-        if !self.life.route.kind.repeatable() || self.life.runs >= self.life.route.attempts {
+        if !self.life.route.kind.is_retryable() || self.life.runs >= self.life.route.max_attempts {
             return std::future::pending().await;
         }
         let pause = self
             .life
             .route
-            .longest_pause
+            .max_event_gap
             .max(Duration::from_millis(200));
         tokio::time::sleep_until(self.last + pause.mul_f64(STUCK_PAUSES)).await;
     }
@@ -350,7 +350,7 @@
             let fields = self.life.onward(&self.node, &target, after.as_deref());
             let sent = exchange::send(
                 &target,
-                &*self.node.dialect,
+                &*self.node.protocol,
                 &self.life.call.id,
                 &self.life.head,
                 fields,
@@ -374,12 +374,12 @@
                         head: answer.head,
                     });
                 }
-                Ok(_) => place.end(Outcome::Failed),
+                Ok(_) => place.release(Outcome::Failed),
                 Err(e) => {
                     if !e.may_have_run() {
                         self.life.runs -= 1;
                     }
-                    place.end(e.outcome());
+                    place.release(e.outcome());
                 }
             }
         }
--- a/crates/entry/src/request/placing.rs
+++ b/crates/entry/src/request/placing.rs
@@ -12,8 +12,8 @@
 use super::refusing::{check_end, check_regions, unavailable};
 use crate::admission::resolve;
 use crate::kind::Refusal;
-use crate::node::{Node, Place, Target};
-use crate::table::regions;
+use crate::node::{Node, SlotGuard, Target};
+use crate::table::allowed_regions;
 
 /// Callers leave a stream, also before its first event, after two seconds, four times the objective
 /// or eight times the longest pause, whichever is longest.
@@ -34,7 +34,7 @@
 
 impl Life {
     /// The replica of a place, unless it has gone or the request may no longer be served there.
-    pub(super) fn target(&self, node: &Node, place: &Place) -> Option<Rc<Target>> {
+    pub(super) fn target(&self, node: &Node, place: &SlotGuard) -> Option<Rc<Target>> {
         let target = node.target(&place.upstream)?;
         let region = node.region_of(&target.published.zone);
         self.regions().allows(&region).then_some(target)
@@ -42,16 +42,17 @@
 
     /// Where it may be served.
     pub(super) fn regions(&self) -> Regions {
-        regions(&self.route, self.organisation.as_deref())
+        allowed_regions(&self.route, self.organisation.as_deref())
     }
 
     /// Ends when a newer table binds the request to other regions than those it waits for.
     pub(super) async fn bound_elsewhere(&self, node: &Node) {
-        let mut version = node.version.subscribe();
+        let mut version = node.version_tx.subscribe();
         while version.changed().await.is_ok() {
             let table = node.table();
             let found = table.and_then(|t| resolve(&t, &self.head, &self.call).ok());
-            let now = found.map(|(route, organisation)| regions(&route, organisation.as_deref()));
+            let now =
+                found.map(|(route, organisation)| allowed_regions(&route, organisation.as_deref()));
             if now.is_some_and(|now| now != self.regions()) {
                 return;
             }
@@ -62,25 +63,25 @@
     /// When its whole answer must have come: its caller leaves then, or the process ends.
     fn ends_by(&self, node: &Node) -> Instant {
         let deadline = Instant::now() + self.left(node);
-        node.answers_by
+        node.response_deadline
             .get()
             .map_or(deadline, |end| end.min(deadline))
     }
 
     pub(super) fn job(&self, node: &Node) -> Job {
         let stream = self.route.kind.is_stream();
-        let objective = self.route.objective;
+        let objective = self.route.latency_objective;
         let patience = if stream {
             PATIENCE
                 .max(objective.mul_f64(PATIENCE_OBJECTIVES))
-                .max(self.route.longest_pause.mul_f64(PATIENCE_PAUSES))
+                .max(self.route.max_event_gap.mul_f64(PATIENCE_PAUSES))
         } else {
             self.route.timeout
         };
         let waits = patience.min(self.call.deadline.unwrap_or(patience));
         let own_rank = self.organisation.as_ref().and_then(|o| o.rank);
         Job {
-            id: node.new_job(),
+            id: node.next_job_id(),
             priority: (own_rank.unwrap_or(self.route.rank), self.route.rank),
             received_at: self.received,
             slo_deadline: self.received + objective,
@@ -91,7 +92,7 @@
             prompt_tokens: f64::from(self.call.prompt_tokens.unwrap_or(0)),
             expected_output_tokens: self.call.output(),
             max_event_gap: if stream {
-                self.route.longest_pause
+                self.route.max_event_gap
             } else {
                 Duration::ZERO
             },
@@ -128,14 +129,14 @@
     }
 
     /// A place for the rest of a stream that broke off, by what holds now.
-    pub async fn place_again(&mut self, node: &Rc<Node>) -> Option<(Place, Rc<Target>)> {
+    pub async fn place_again(&mut self, node: &Rc<Node>) -> Option<(SlotGuard, Rc<Target>)> {
         self.follow_table(node);
         let now = Instant::now();
         let mut job = self.job(node);
         job.priority = (0, 0);
-        job.slo_deadline = now + self.route.longest_pause;
+        job.slo_deadline = now + self.route.max_event_gap;
         job.queue_deadline = now + PATIENCE.mul_f64(BEFORE_PATIENCE_ENDS);
-        let place = node.place(job).await.ok()?;
+        let place = node.acquire_slot(job).await.ok()?;
         self.follow_table(node);
         let target = self.target(node, &place)?;
         Some((place, target))
--- a/crates/entry/src/request/sending.rs
+++ b/crates/entry/src/request/sending.rs
@@ -9,13 +9,13 @@
 
 use super::{Active, Life};
 use crate::account;
-use crate::exchange::{self, Answer, Failure};
+use crate::exchange::{self, ReplicaResponse, SendFailure};
 use crate::kind::Refusal;
 use crate::metrics::Timing;
-use crate::node::{Node, Place, Target};
+use crate::node::{Node, SlotGuard, Target};
 use crate::over::time_over;
 use crate::port::Onward;
-use crate::relay::{self, Body};
+use crate::relay::{self, ResponseBody};
 
 /// How often a request that may be repeated looks whether its replica still brings anything to
 /// anybody; a seventh of the shortest objective of the users' streams.
@@ -32,7 +32,7 @@
 
 /// What to do after one send.
 pub(super) enum Next {
-    Answer(Box<Response<Body>>),
+    Answer(Box<Response<ResponseBody>>),
     Again,
     Refuse(Refusal),
 }
@@ -42,37 +42,37 @@
         &mut self,
         node: &Rc<Node>,
         target: &Rc<Target>,
-        place: Place,
+        place: SlotGuard,
         active: &mut Option<Active>,
     ) -> Next {
         if self.left(node).is_zero() {
-            place.end(Outcome::Unknown);
+            place.release(Outcome::Unknown);
             return Next::Refuse(self.too_late());
         }
-        let at_once = AT_ONCE + node.travel(&target.published.zone) * 2;
+        let at_once = AT_ONCE + node.rtt(&target.published.zone) * 2;
         let began = Instant::now();
         let fields = self.onward(node, target, None);
         self.tried.push(place.upstream.clone());
         self.runs += 1;
         let sent = exchange::send(
             target,
-            &*node.dialect,
+            &*node.protocol,
             &self.call.id,
             &self.head,
             fields,
             self.body.clone(),
-            self.route.kind.repeatable(),
+            self.route.kind.is_retryable(),
         );
         let sent = tokio::select! {
             sent = sent => sent.map_err(|e| match e {
-                Failure::Broken if began.elapsed() < at_once => Failure::Dropped,
+                SendFailure::Broken if began.elapsed() < at_once => SendFailure::Dropped,
                 e => e,
             }),
             over = time_over(node, &self.route, self.received) => {
-                place.end(Outcome::Unknown);
+                place.release(Outcome::Unknown);
                 return Next::Refuse(self.is_over(node, over));
             }
-            () = self.rescue(node, &place) => Err(Failure::Abandoned),
+            () = self.rescue(node, &place) => Err(SendFailure::Abandoned),
         };
         match sent {
             Ok(answer) => self.answered(node, target, place, answer, active).await,
@@ -82,26 +82,26 @@
 
     /// Ends when the request had better be sent to another replica, with a repeat taken for it; never
     /// if it may not. A request that is given up with nothing in its place helps nobody.
-    async fn rescue(&self, node: &Node, place: &Place) {
-        if !self.route.kind.repeatable() || self.runs >= self.route.attempts {
+    async fn rescue(&self, node: &Node, place: &SlotGuard) {
+        if !self.route.kind.is_retryable() || self.runs >= self.route.max_attempts {
             return std::future::pending().await;
         }
         let sent = Instant::now();
         loop {
             tokio::time::sleep(RESCUE_CHECK).await;
             let plain = !self.route.kind.is_stream();
-            let slow = sent.elapsed() > self.route.objective.mul_f64(PLAIN_RESCUE);
-            if (place.is_silent() || (plain && slow)) && self.may_repeat(node) {
+            let slow = sent.elapsed() > self.route.latency_objective.mul_f64(PLAIN_RESCUE);
+            if (place.is_replica_stalled() || (plain && slow)) && self.may_repeat(node) {
                 return;
             }
         }
     }
 
-    fn failed(&mut self, node: &Node, place: Place, failure: Failure) -> Next {
+    fn failed(&mut self, node: &Node, place: SlotGuard, failure: SendFailure) -> Next {
         account::send_failed(node, self, &place.upstream, failure);
-        place.end(failure.outcome());
+        place.release(failure.outcome());
         if failure.may_have_run() {
-            return if failure == Failure::Abandoned || self.may_repeat(node) {
+            return if failure == SendFailure::Abandoned || self.may_repeat(node) {
                 Next::Again
             } else {
                 Next::Refuse(self.broke(failure))
@@ -109,7 +109,7 @@
         }
         self.runs -= 1;
         // A connection that could not be made reached no replica, so it draws on no budget.
-        if failure == Failure::NotSent || self.take_repeat(node) {
+        if failure == SendFailure::NotSent || self.take_repeat(node) {
             Next::Again
         } else {
             Next::Refuse(self.give_up(node))
@@ -120,8 +120,8 @@
         &mut self,
         node: &Rc<Node>,
         target: &Rc<Target>,
-        place: Place,
-        answer: Answer,
+        place: SlotGuard,
+        answer: ReplicaResponse,
         active: &mut Option<Active>,
     ) -> Next {
         if self.route.kind.is_stream() && answer.head.status.is_success() {
@@ -146,26 +146,28 @@
         &mut self,
         node: &Rc<Node>,
         target: &Rc<Target>,
-        place: Place,
-        answer: Answer,
+        place: SlotGuard,
+        answer: ReplicaResponse,
     ) -> Next {
-        let Answer {
+        let ReplicaResponse {
             head,
             body,
             connection,
         } = answer;
         let body = tokio::select! {
-            body = exchange::whole(body) => body,
+            body = exchange::read_body(body) => body,
             over = time_over(node, &self.route, self.received) => {
                 return Next::Refuse(self.is_over(node, over));
             }
         };
         let Ok(body) = body else {
-            return self.failed(node, place, Failure::Broken);
+            return self.failed(node, place, SendFailure::Broken);
         };
-        target.pool.keep(Instant::now(), connection, &head.headers);
+        target
+            .pool
+            .put_back(Instant::now(), connection, &head.headers);
         let failed = head.status.is_server_error();
-        place.end(if failed {
+        place.release(if failed {
             Outcome::Failed
         } else {
             Outcome::Served
@@ -183,9 +185,9 @@
             first,
             Duration::ZERO,
         );
-        let mut response = Response::new(Body::whole(body));
+        let mut response = Response::new(ResponseBody::complete(body));
         *response.status_mut() = head.status;
-        *response.headers_mut() = node.dialect.answer(&head);
+        *response.headers_mut() = node.protocol.answer(&head);
         Next::Answer(Box::new(response))
     }
 
@@ -209,15 +211,15 @@
 
     /// Whether one more replica may be tried after one that may have run the request.
     pub fn may_repeat(&self, node: &Node) -> bool {
-        self.route.kind.repeatable()
-            && self.runs < self.route.attempts
+        self.route.kind.is_retryable()
+            && self.runs < self.route.max_attempts
             && self.left(node) > Duration::from_millis(100)
             && self.take_repeat(node)
     }
 
     pub(super) fn take_repeat(&self, node: &Node) -> bool {
-        let instances = node.peers.borrow().known();
-        node.repeats
+        let instances = node.peers.borrow().instance_count();
+        node.retry_budget
             .borrow_mut()
             .try_spend(Instant::now(), &self.service, instances)
     }
@@ -230,6 +232,6 @@
             organisation: self.organisation.as_ref().map(|o| &*o.name),
             last_event,
         };
-        node.dialect.onward(&self.head, &onward)
+        node.protocol.onward(&self.head, &onward)
     }
 }
