--- a/crates/entry/src/port.rs
+++ b/crates/entry/src/adapter.rs
@@ -10,7 +10,7 @@
 use kingcupfield_decisions::id::ZoneId;
 use kingcupfield_decisions::known::{Entry, Revision};
 
-use crate::kind::Refusal;
+use crate::refusal::Refusal;
 use crate::replica::Published;
 use crate::table::Table;
 
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -13,10 +13,10 @@
 use rand::RngExt as _;
 use tokio::time::Instant;
 
+use crate::adapter::Call;
 use crate::credit::{self, Charged, Uncharged};
-use crate::kind::{Kind, Refusal};
 use crate::node::{Node, Stage};
-use crate::port::Call;
+use crate::refusal::{Kind, Refusal};
 use crate::table::{Organisation, Route, Table};
 
 /// Advice where the instance knows no table yet or ends: another one answers the next try.
--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -14,9 +14,9 @@
 use rand::RngExt as _;
 use tokio::time::{Instant, sleep, sleep_until};
 
+use crate::adapter::{Listing, Meaning, SourceError};
 use crate::log::Weight;
 use crate::node::Node;
-use crate::port::{Listing, Meaning, SourceError};
 use crate::replica::Published;
 use crate::snapshot;
 
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -11,9 +11,9 @@
 use kingcupfield_decisions::dispatch::Outcome;
 use tokio::time::Instant;
 
+use crate::adapter::{Dialect, Reply};
 use crate::node::Target;
 use crate::pool::{self, Connection};
-use crate::port::{Dialect, Reply};
 
 /// Kept connections are taken for requests that must not be lost only when they are this fresh:
 /// a replica may drop an idle connection without notice, and what is sent next is then in doubt.
--- a/crates/entry/src/life.rs
+++ b/crates/entry/src/lifecycle.rs
@@ -9,12 +9,12 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, interval, sleep};
 
+use crate::adapter::{Dialect, Source};
 use crate::log::{self, Weight};
 use crate::node::{Node, Stage};
-use crate::port::{Dialect, Source};
 use crate::settings::Settings;
-use crate::stop::Stop;
-use crate::{callers, directory, gossip, reload};
+use crate::shutdown::Stop;
+use crate::{directory, gossip, reload, server};
 
 /// How often waiting requests are looked at.
 const WAITING_TICK: Duration = Duration::from_millis(20);
@@ -71,9 +71,9 @@
         ),
     );
     let spawn = tokio::task::spawn_local::<std::pin::Pin<Box<dyn Future<Output = ()>>>>;
-    let accepting = spawn(Box::pin(callers::serve(Rc::clone(&node), callers)));
-    spawn(Box::pin(callers::serve_ready(Rc::clone(&node), ready)));
-    spawn(Box::pin(callers::serve_peers(Rc::clone(&node), peers)));
+    let accepting = spawn(Box::pin(server::serve(Rc::clone(&node), callers)));
+    spawn(Box::pin(server::serve_ready(Rc::clone(&node), ready)));
+    spawn(Box::pin(server::serve_peers(Rc::clone(&node), peers)));
     spawn(Box::pin(gossip::run(
         Rc::clone(&node),
         datagrams,
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -18,6 +18,7 @@
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
+use crate::adapter::{Dialect, Source};
 use crate::clock::Clock;
 use crate::credit;
 use crate::directory::Reader;
@@ -25,7 +26,6 @@
 use crate::metrics::Metrics;
 use crate::outbox::Outbox;
 use crate::peers::Peers;
-use crate::port::{Dialect, Source};
 use crate::settings::Settings;
 use crate::table::Table;
 
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -18,14 +18,14 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use crate::account;
 use crate::events::Scanner;
 use crate::exchange::{self, Answer};
+use crate::expiry::{Over, time_over};
 use crate::metrics::Timing;
 use crate::node::{Node, Place, Target};
-use crate::over::{Over, time_over};
 use crate::pool::Connection;
 use crate::request::{Active, Life};
+use crate::request_log;
 
 /// Chunks that may wait for a slow caller before the replica is made to wait.
 const CHUNKS: usize = 8;
@@ -212,7 +212,7 @@
                     run.place.end(Outcome::Served);
                     let status = run.head.status.as_u16();
                     let (first, pause) = (self.first_after, self.longest_pause);
-                    account::answered(&self.node, &self.life, &replica, status, first, pause);
+                    request_log::answered(&self.node, &self.life, &replica, status, first, pause);
                     return;
                 }
                 End::CallerGone => {
@@ -248,7 +248,7 @@
 
     fn log(&self, how: &'static str, replica: &str) {
         let last_event = self.scanner.last_id();
-        account::stream_ended(&self.node, &self.life, replica, how, last_event);
+        request_log::stream_ended(&self.node, &self.life, replica, how, last_event);
     }
 
     async fn pass_run(&mut self, run: &mut Run) -> End {
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -15,15 +15,15 @@
 use kingcupfield_decisions::id::{ServiceId, UpstreamId};
 use tokio::time::Instant;
 
-use crate::account::{self, Unanswered};
+use crate::adapter::Call;
 use crate::admission::{charge, pick_service, read_body, resolve};
 use crate::credit::{self, Charged};
-use crate::kind::{Kind, Refusal};
+use crate::expiry::{Over, time_over};
 use crate::metrics::Timing;
 use crate::node::{Node, Stage};
-use crate::over::{Over, time_over};
-use crate::port::Call;
+use crate::refusal::{Kind, Refusal};
 use crate::relay::Body;
+use crate::request_log::{self, Unanswered};
 use crate::table::{Organisation, Route, Table};
 
 use refusing::{check_end, check_regions, unavailable};
@@ -157,7 +157,7 @@
 
 /// Makes the answer of a refusal and tells the log of it.
 fn refuse(node: &Node, call: &Call, received: Instant, refusal: &Refusal) -> Response<Body> {
-    account::refused(node, call, received, refusal);
+    request_log::refused(node, call, received, refusal);
     let (status, fields) = node.dialect.refusal(Some(&call.id), refusal);
     let mut response = Response::new(Body::whole(Bytes::new()));
     *response.status_mut() = status;
@@ -201,7 +201,7 @@
             let Some(target) = self.target(node, &place) else {
                 continue;
             };
-            account::sent(node, self, &place);
+            request_log::sent(node, self, &place);
             unanswered.replica = Some(place.upstream.clone());
             match self.send(node, &target, place, &mut active).await {
                 Next::Answer(response) => return Ok(*response),
--- a/crates/entry/src/request/placing.rs
+++ b/crates/entry/src/request/placing.rs
@@ -11,8 +11,8 @@
 use super::Life;
 use super::refusing::{check_end, check_regions, unavailable};
 use crate::admission::resolve;
-use crate::kind::Refusal;
 use crate::node::{Node, Place, Target};
+use crate::refusal::Refusal;
 use crate::table::regions;
 
 /// Callers leave a stream, also before its first event, after two seconds, four times the objective
--- a/crates/entry/src/request/refusing.rs
+++ b/crates/entry/src/request/refusing.rs
@@ -8,12 +8,12 @@
 use tokio::time::Instant;
 
 use super::Life;
+use crate::adapter::Call;
 use crate::admission::{COME_BACK_SOON, ends_in_time};
 use crate::exchange::Failure;
-use crate::kind::{Kind, Ran, Refusal};
+use crate::expiry::Over;
 use crate::node::Node;
-use crate::over::Over;
-use crate::port::Call;
+use crate::refusal::{Kind, Ran, Refusal};
 use crate::table::{Organisation, Route, regions};
 
 /// Advice on when to come back: bursts last two to five seconds. Callers take a third of the time
--- a/crates/entry/src/request/sending.rs
+++ b/crates/entry/src/request/sending.rs
@@ -8,14 +8,14 @@
 use tokio::time::Instant;
 
 use super::{Active, Life};
-use crate::account;
+use crate::adapter::Onward;
 use crate::exchange::{self, Answer, Failure};
-use crate::kind::Refusal;
+use crate::expiry::time_over;
 use crate::metrics::Timing;
 use crate::node::{Node, Place, Target};
-use crate::over::time_over;
-use crate::port::Onward;
+use crate::refusal::Refusal;
 use crate::relay::{self, Body};
+use crate::request_log;
 
 /// How often a request that may be repeated looks whether its replica still brings anything to
 /// anybody; a seventh of the shortest objective of the users' streams.
@@ -98,7 +98,7 @@
     }
 
     fn failed(&mut self, node: &Node, place: Place, failure: Failure) -> Next {
-        account::send_failed(node, self, &place.upstream, failure);
+        request_log::send_failed(node, self, &place.upstream, failure);
         place.end(failure.outcome());
         if failure.may_have_run() {
             return if failure == Failure::Abandoned || self.may_repeat(node) {
@@ -175,7 +175,7 @@
         }
         let first = self.received.elapsed();
         let status = head.status.as_u16();
-        account::answered(
+        request_log::answered(
             node,
             self,
             &target.published.id,
--- a/crates/entry/src/account.rs
+++ b/crates/entry/src/request_log.rs
@@ -10,12 +10,12 @@
 use kingcupfield_decisions::id::UpstreamId;
 use tokio::time::Instant;
 
+use crate::adapter::Call;
 use crate::exchange::Failure;
-use crate::kind::Refusal;
 use crate::log::Weight;
 use crate::metrics::Timing;
 use crate::node::{Node, Place, Stage};
-use crate::port::Call;
+use crate::refusal::Refusal;
 use crate::request::Life;
 
 /// A request was given a place and goes to a replica.
--- a/crates/entry/src/callers.rs
+++ b/crates/entry/src/server.rs
@@ -15,9 +15,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
+use crate::accept_queue::Queue;
 use crate::log::Weight;
 use crate::node::{Node, Stage};
-use crate::queue::Queue;
 use crate::request;
 use crate::snapshot::{SNAPSHOT_PATH, Snapshot};
 
--- a/src/server.rs
+++ b/src/server.rs
@@ -12,7 +12,7 @@
 use hyper::body::Incoming;
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use hyper_util::server::conn::auto::Builder;
-use kingcupfield_entry::queue::Queue;
+use kingcupfield_entry::accept_queue::Queue;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 use tokio::time::sleep;
