--- a/crates/entry/src/adapter.rs
+++ b/crates/entry/src/adapter.rs
@@ -42,7 +42,7 @@
 
 /// What the instance adds to a request that goes to a replica.
 #[derive(Debug)]
-pub struct Onward<'a> {
+pub struct ForwardInfo<'a> {
     /// The replica that alone may run it.
     pub replica: &'a str,
     /// Time that is left, if the caller named a deadline.
@@ -55,89 +55,89 @@
 
 /// What the head of a replica's answer says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reply {
+pub enum ResponseClass {
     /// The answer of the replica that was asked.
-    Ran,
+    Executed,
     /// The replica did not run the request, for want of room.
-    Full,
+    AtCapacity,
     /// Another replica stands at the address and did not run the request.
-    Another,
+    WrongReplica,
     /// The replica did not run the request for another reason.
-    NotRun,
+    NotExecuted,
     /// An answer to another request, or one that lacks what a replica's answer must have.
-    Foreign,
+    Invalid,
 }
 
 /// The words that callers and upstreams use.
-pub trait Dialect {
+pub trait ProtocolAdapter {
     /// Reads a caller's request.
-    fn call(&self, head: &RequestParts) -> Call;
+    fn parse_request(&self, head: &RequestParts) -> Call;
 
     /// The head fields with which the request goes to a replica.
-    fn onward(&self, head: &RequestParts, onward: &Onward<'_>) -> HeaderMap;
+    fn forward_headers(&self, head: &RequestParts, info: &ForwardInfo<'_>) -> HeaderMap;
 
     /// Judges the answer to the attempt `id`.
-    fn reply(&self, id: &str, head: &ResponseParts) -> Reply;
+    fn classify_response(&self, id: &str, head: &ResponseParts) -> ResponseClass;
 
     /// The head fields of a replica's answer that the caller gets.
-    fn answer(&self, head: &ResponseParts) -> HeaderMap;
+    fn response_headers(&self, head: &ResponseParts) -> HeaderMap;
 
     /// Status and head fields of a refusal.
-    fn refusal(&self, id: Option<&str>, refusal: &Refusal) -> (StatusCode, HeaderMap);
+    fn refusal_response(&self, id: Option<&str>, refusal: &Refusal) -> (StatusCode, HeaderMap);
 }
 
 /// A list of the directory.
 #[derive(Debug)]
 pub struct Listing {
     /// Revision up to which it is complete.
-    pub upto: Revision,
+    pub revision: Revision,
     /// What it holds, or what has changed.
     pub entries: Vec<Entry>,
 }
 
 /// Why the directory did not answer.
 #[derive(Debug, thiserror::Error)]
-pub enum SourceError {
+pub enum DirectoryError {
     /// It refused: too many calls, or not now.
     #[error("refused with status {0}")]
     Refused(StatusCode),
     /// The changes since that revision are no longer kept.
     #[error("history is no longer kept")]
-    HistoryGone,
+    HistoryCompacted,
     /// No answer, or one that can't be read.
     #[error("{0}")]
-    Lost(String),
+    NoResponse(String),
 }
 
 /// What a directory entry means.
 #[derive(Debug)]
-pub enum Meaning {
+pub enum ParsedEntry {
     /// A version of the table.
     Table(Rc<Table>),
     /// A replica.
     Replica(Published),
     /// A zone whose replicas are to get nothing new while the entry is there.
-    EmptiedZone(ZoneId),
+    DrainedZone(ZoneId),
     /// An entry that names a replica but can't be read.
-    BadReplica(String),
+    InvalidReplica(String),
     /// A table that can't be read; the last good one holds.
-    BadTable(String),
+    InvalidTable(String),
     /// Something that is none of ours.
     Other,
 }
 
 /// The published directory, which is only read.
-pub trait Source {
+pub trait DirectoryClient {
     /// Reads everything.
-    fn list(&self) -> LocalBoxFuture<'_, Result<Listing, SourceError>>;
+    fn list(&self) -> LocalBoxFuture<'_, Result<Listing, DirectoryError>>;
 
     /// Waits for changes after a revision, for `wait` at most.
-    fn changes(
+    fn watch(
         &self,
         after: Revision,
         wait: Duration,
-    ) -> LocalBoxFuture<'_, Result<Listing, SourceError>>;
+    ) -> LocalBoxFuture<'_, Result<Listing, DirectoryError>>;
 
     /// Says what an entry means.
-    fn meaning(&self, key: &str, value: &[u8]) -> Meaning;
+    fn parse_entry(&self, key: &str, value: &[u8]) -> ParsedEntry;
 }
--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -14,7 +14,7 @@
 use rand::RngExt as _;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::adapter::{Listing, Meaning, SourceError};
+use crate::adapter::{DirectoryError, Listing, ParsedEntry};
 use crate::log::Weight;
 use crate::node::Node;
 use crate::replica::Published;
@@ -117,7 +117,7 @@
 }
 
 /// Reads everything once and then each change; ends with the first failure.
-async fn follow(node: &Rc<Node>, failures: &mut usize) -> Result<Infallible, SourceError> {
+async fn follow(node: &Rc<Node>, failures: &mut usize) -> Result<Infallible, DirectoryError> {
     let mut listed = Instant::now();
     loop {
         while !node.reads() {
@@ -126,7 +126,7 @@
         let after = node.known.borrow().upto();
         if after == 0 || node.relist.get() {
             listed = Instant::now();
-            let listing = node.source.list().await?;
+            let listing = node.directory_client.list().await?;
             node.relist.set(false);
             regained(node, failures);
             take_list(node, listing);
@@ -134,7 +134,7 @@
         }
         let wait = if *failures > 0 { PROBE } else { WATCH };
         let listing = tokio::select! {
-            listing = node.source.changes(after, wait) => listing,
+            listing = node.directory_client.watch(after, wait) => listing,
             () = node.reread.notified() => {
                 // The process stood still: what it was told meanwhile may be lost.
                 node.relist.set(true);
@@ -148,7 +148,7 @@
                     sleep(COLLECT).await;
                 }
             }
-            Err(SourceError::HistoryGone) => {
+            Err(DirectoryError::HistoryCompacted) => {
                 node.log.line(
                     Weight::Notable,
                     format_args!("event=directory_history_gone"),
@@ -179,12 +179,12 @@
     let changed = node
         .known
         .borrow_mut()
-        .take_list(listing.upto, listing.entries);
+        .take_list(listing.revision, listing.entries);
     node.log.line(
         Weight::Notable,
         format_args!(
             "event=directory_list upto={} entries={entries} changed={}",
-            listing.upto,
+            listing.revision,
             changed.len()
         ),
     );
@@ -196,7 +196,7 @@
     let changed = node
         .known
         .borrow_mut()
-        .take_changes(listing.upto, listing.entries);
+        .take_changes(listing.revision, listing.entries);
     if !changed.is_empty() {
         apply(node);
         node.changed.notify_one();
@@ -359,25 +359,25 @@
     /// Takes what the entry means.
     fn take(&mut self, node: &Node, value: &[u8], before: Option<&Published>) {
         let key = &self.key;
-        match node.source.meaning(key, value) {
-            Meaning::Table(table) => node.set_table(table),
-            Meaning::Replica(replica) => {
+        match node.directory_client.parse_entry(key, value) {
+            ParsedEntry::Table(table) => node.set_table(table),
+            ParsedEntry::Replica(replica) => {
                 // A cold replica tells again and again how long it stays so.
                 if before.is_none_or(|b| !b.differs_in_warmth_alone(&replica)) {
                     tell_replica(node, &replica);
                 }
                 self.replica = Some(replica);
             }
-            Meaning::EmptiedZone(zone) => self.emptied = Some(zone),
-            Meaning::BadReplica(reason) => node.log.line(
+            ParsedEntry::DrainedZone(zone) => self.emptied = Some(zone),
+            ParsedEntry::InvalidReplica(reason) => node.log.line(
                 Weight::Notable,
                 format_args!("event=replica_unreadable key={key:?} reason={reason:?}"),
             ),
-            Meaning::BadTable(reason) => node.log.line(
+            ParsedEntry::InvalidTable(reason) => node.log.line(
                 Weight::Notable,
                 format_args!("event=table_unreadable reason={reason:?}"),
             ),
-            Meaning::Other => {}
+            ParsedEntry::Other => {}
         }
     }
 }
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -11,7 +11,7 @@
 use kingcupfield_decisions::dispatch::Outcome;
 use tokio::time::Instant;
 
-use crate::adapter::{Dialect, Reply};
+use crate::adapter::{ProtocolAdapter, ResponseClass};
 use crate::node::Target;
 use crate::pool::{self, Connection};
 
@@ -92,7 +92,7 @@
 /// Sends a request to the target and waits for the head of the answer.
 pub async fn send(
     target: &Rc<Target>,
-    dialect: &dyn Dialect,
+    protocol: &dyn ProtocolAdapter,
     id: &str,
     head: &Parts,
     fields: HeaderMap,
@@ -115,7 +115,7 @@
         };
         let req = request(head, fields.clone(), body.clone());
         match connection.sender.try_send_request(req).await {
-            Ok(response) => return judge(dialect, id, response, connection),
+            Ok(response) => return judge(protocol, id, response, connection),
             // The connection was closed before anything was written: a new one is tried.
             Err(mut e) => match e.take_message() {
                 Some(_) if was_kept => {}
@@ -135,22 +135,22 @@
 }
 
 fn judge(
-    dialect: &dyn Dialect,
+    protocol: &dyn ProtocolAdapter,
     id: &str,
     response: Response<Incoming>,
     connection: Connection,
 ) -> Result<Answer, Failure> {
     let (head, body) = response.into_parts();
-    match dialect.reply(id, &head) {
-        Reply::Ran => Ok(Answer {
+    match protocol.classify_response(id, &head) {
+        ResponseClass::Executed => Ok(Answer {
             head,
             body,
             connection,
         }),
-        Reply::Full => Err(Failure::Full),
-        Reply::Another => Err(Failure::Another),
-        Reply::NotRun => Err(Failure::NotRun),
-        Reply::Foreign => Err(Failure::Foreign),
+        ResponseClass::AtCapacity => Err(Failure::Full),
+        ResponseClass::WrongReplica => Err(Failure::Another),
+        ResponseClass::NotExecuted => Err(Failure::NotRun),
+        ResponseClass::Invalid => Err(Failure::Foreign),
     }
 }
 
--- a/crates/entry/src/lifecycle.rs
+++ b/crates/entry/src/lifecycle.rs
@@ -9,7 +9,7 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, interval, sleep};
 
-use crate::adapter::{Dialect, Source};
+use crate::adapter::{DirectoryClient, ProtocolAdapter};
 use crate::log::{self, Weight};
 use crate::node::{Node, Stage};
 use crate::settings::Settings;
@@ -28,14 +28,14 @@
 pub fn run(
     cfg: Settings,
     path: PathBuf,
-    dialect: Rc<dyn Dialect>,
-    source: Rc<dyn Source>,
+    protocol: Rc<dyn ProtocolAdapter>,
+    directory_client: Rc<dyn DirectoryClient>,
 ) -> std::io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     let local = LocalSet::new();
-    let node = local.block_on(&runtime, live(cfg, path, dialect, source))?;
+    let node = local.block_on(&runtime, live(cfg, path, protocol, directory_client))?;
     let taken = node.taken.get();
     node.stage.send_replace(Stage::Ended);
     // Requests and streams that are dropped now say so in the log.
@@ -49,8 +49,8 @@
 async fn live(
     cfg: Settings,
     path: PathBuf,
-    dialect: Rc<dyn Dialect>,
-    source: Rc<dyn Source>,
+    protocol: Rc<dyn ProtocolAdapter>,
+    directory_client: Rc<dyn DirectoryClient>,
 ) -> std::io::Result<Rc<Node>> {
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
@@ -59,7 +59,7 @@
     let ready = TcpListener::bind(cfg.ready_listen).await?;
     let peers = TcpListener::bind(cfg.peer_listen).await?;
     let datagrams = UdpSocket::bind((cfg.address(), cfg.peer_port)).await?;
-    let node = Node::new(cfg, dialect, source);
+    let node = Node::new(cfg, protocol, directory_client);
     node.log.line(
         Weight::Notable,
         format_args!(
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
-use crate::adapter::{Dialect, Source};
+use crate::adapter::{DirectoryClient, ProtocolAdapter};
 use crate::clock::Clock;
 use crate::credit;
 use crate::directory::Reader;
@@ -56,9 +56,9 @@
 pub struct Node {
     cfg: RefCell<Rc<Settings>>,
     /// Words of callers and upstreams.
-    pub dialect: Rc<dyn Dialect>,
+    pub protocol: Rc<dyn ProtocolAdapter>,
     /// The published directory.
-    pub source: Rc<dyn Source>,
+    pub directory_client: Rc<dyn DirectoryClient>,
     /// Its log.
     pub log: Log,
     /// Notices suspension.
@@ -134,13 +134,17 @@
 
 impl Node {
     /// Makes an instance that knows nothing yet.
-    pub fn new(cfg: Settings, dialect: Rc<dyn Dialect>, source: Rc<dyn Source>) -> Rc<Self> {
+    pub fn new(
+        cfg: Settings,
+        protocol: Rc<dyn ProtocolAdapter>,
+        directory_client: Rc<dyn DirectoryClient>,
+    ) -> Rc<Self> {
         let now = Instant::now();
         let mut ledger = Ledger::new(cfg.address().to_bits(), rand::random());
         ledger.set_bounds(cfg.limit_window(), cfg.tolerance());
         Rc::new(Self {
-            dialect,
-            source,
+            protocol,
+            directory_client,
             log: Log::new(),
             clock: Clock::new(),
             metrics: Metrics::new(),
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -121,7 +121,7 @@
     };
     let mut response = Response::new(Body::Relayed(relayed));
     *response.status_mut() = answer.head.status;
-    *response.headers_mut() = node.dialect.answer(&answer.head);
+    *response.headers_mut() = node.protocol.response_headers(&answer.head);
     let run = Run {
         target,
         place,
@@ -347,10 +347,12 @@
             self.life.runs += 1;
             let after = self.scanner.last_id().map(str::to_owned);
             let after = after.or_else(|| self.life.call.last_event.clone());
-            let fields = self.life.onward(&self.node, &target, after.as_deref());
+            let fields = self
+                .life
+                .forward_headers(&self.node, &target, after.as_deref());
             let sent = exchange::send(
                 &target,
-                &*self.node.dialect,
+                &*self.node.protocol,
                 &self.life.call.id,
                 &self.life.head,
                 fields,
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -70,7 +70,7 @@
     let active = Active(Rc::clone(&node));
     let received = Instant::now();
     let (head, body) = req.into_parts();
-    let call = node.dialect.call(&head);
+    let call = node.protocol.parse_request(&head);
     let body = tokio::select! {
         body = read_body(&node, body) => body,
         () = node.last_answers() => Err(unavailable("this instance ends before the body came in")),
@@ -158,7 +158,7 @@
 /// Makes the answer of a refusal and tells the log of it.
 fn refuse(node: &Node, call: &Call, received: Instant, refusal: &Refusal) -> Response<Body> {
     request_log::refused(node, call, received, refusal);
-    let (status, fields) = node.dialect.refusal(Some(&call.id), refusal);
+    let (status, fields) = node.protocol.refusal_response(Some(&call.id), refusal);
     let mut response = Response::new(Body::whole(Bytes::new()));
     *response.status_mut() = status;
     *response.headers_mut() = fields;
--- a/crates/entry/src/request/sending.rs
+++ b/crates/entry/src/request/sending.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use super::{Active, Life};
-use crate::adapter::Onward;
+use crate::adapter::ForwardInfo;
 use crate::exchange::{self, Answer, Failure};
 use crate::expiry::time_over;
 use crate::metrics::Timing;
@@ -51,12 +51,12 @@
         }
         let at_once = AT_ONCE + node.travel(&target.published.zone) * 2;
         let began = Instant::now();
-        let fields = self.onward(node, target, None);
+        let fields = self.forward_headers(node, target, None);
         self.tried.push(place.upstream.clone());
         self.runs += 1;
         let sent = exchange::send(
             target,
-            &*node.dialect,
+            &*node.protocol,
             &self.call.id,
             &self.head,
             fields,
@@ -185,7 +185,7 @@
         );
         let mut response = Response::new(Body::whole(body));
         *response.status_mut() = head.status;
-        *response.headers_mut() = node.dialect.answer(&head);
+        *response.headers_mut() = node.protocol.response_headers(&head);
         Next::Answer(Box::new(response))
     }
 
@@ -223,13 +223,18 @@
     }
 
     /// Head fields for the replica.
-    pub fn onward(&self, node: &Node, target: &Target, last_event: Option<&str>) -> HeaderMap {
-        let onward = Onward {
+    pub fn forward_headers(
+        &self,
+        node: &Node,
+        target: &Target,
+        last_event: Option<&str>,
+    ) -> HeaderMap {
+        let onward = ForwardInfo {
             replica: &target.published.id,
             left: Some(self.left(node)),
             organisation: self.organisation.as_ref().map(|o| &*o.name),
             last_event,
         };
-        node.dialect.onward(&self.head, &onward)
+        node.protocol.forward_headers(&self.head, &onward)
     }
 }
