--- a/crates/entry/src/adapter.rs
+++ b/crates/entry/src/adapter.rs
@@ -16,27 +16,31 @@
 
 /// What the head of a caller's request says.
 #[derive(Debug, Clone, Default)]
-pub struct Call {
+pub struct RequestMeta {
     /// The caller's id of this attempt.
-    pub id: String,
+    pub attempt_id: String,
     /// The key that it carries.
-    pub key: Option<String>,
+    pub api_key: Option<String>,
     /// How long the caller waits.
-    pub deadline: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Tokens of the prompt.
     pub prompt_tokens: Option<u32>,
     /// Most tokens to generate.
-    pub output_tokens: Option<u32>,
+    pub max_output_tokens: Option<u32>,
     /// Likely number of tokens to generate.
-    pub likely_tokens: Option<u32>,
+    pub expected_output_tokens: Option<u32>,
     /// Last event that the caller has, when it resumes a stream.
-    pub last_event: Option<String>,
+    pub last_event_id: Option<String>,
 }
 
-impl Call {
+impl RequestMeta {
     /// Tokens that it likely generates.
-    pub fn output(&self) -> f64 {
-        f64::from(self.likely_tokens.or(self.output_tokens).unwrap_or(0))
+    pub fn estimated_output_tokens(&self) -> f64 {
+        f64::from(
+            self.expected_output_tokens
+                .or(self.max_output_tokens)
+                .unwrap_or(0),
+        )
     }
 }
 
@@ -46,11 +50,11 @@
     /// The replica that alone may run it.
     pub replica: &'a str,
     /// Time that is left, if the caller named a deadline.
-    pub left: Option<Duration>,
+    pub time_left: Option<Duration>,
     /// The organisation that holds the caller's key.
     pub organisation: Option<&'a str>,
     /// The last event that the caller has, when a stream is resumed here.
-    pub last_event: Option<&'a str>,
+    pub last_event_id: Option<&'a str>,
 }
 
 /// What the head of a replica's answer says.
@@ -71,7 +75,7 @@
 /// The words that callers and upstreams use.
 pub trait ProtocolAdapter {
     /// Reads a caller's request.
-    fn parse_request(&self, head: &RequestParts) -> Call;
+    fn parse_request(&self, head: &RequestParts) -> RequestMeta;
 
     /// The head fields with which the request goes to a replica.
     fn forward_headers(&self, head: &RequestParts, info: &ForwardInfo<'_>) -> HeaderMap;
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -13,7 +13,7 @@
 use rand::RngExt as _;
 use tokio::time::Instant;
 
-use crate::adapter::Call;
+use crate::adapter::RequestMeta;
 use crate::credit::{self, Charged, Uncharged};
 use crate::node::{Node, Stage};
 use crate::refusal::{Kind, Refusal};
@@ -55,26 +55,26 @@
 /// shortly before the end would be cut off; another instance can serve it whole. While the instance
 /// leaves, the pace that is learned of the replicas decides; once it closes, nothing may be cut, so
 /// a slow replica must be able to end it too.
-pub fn ends_in_time(node: &Node, service: &ServiceId, call: &Call) -> bool {
+pub fn ends_in_time(node: &Node, service: &ServiceId, meta: &RequestMeta) -> bool {
     let Some(end) = node.answers_by.get() else {
         return true;
     };
     let left = end.saturating_duration_since(Instant::now());
-    let slow = SLOW_REST + SLOW_TOKEN * call.output_tokens.unwrap_or(0);
+    let slow = SLOW_REST + SLOW_TOKEN * meta.max_output_tokens.unwrap_or(0);
     if node.stage() >= Stage::Closing && slow >= left {
         return false;
     }
     let left = left.saturating_sub(REST);
-    let prompt = f64::from(call.prompt_tokens.unwrap_or(0));
+    let prompt = f64::from(meta.prompt_tokens.unwrap_or(0));
     let dispatch = node.dispatch.borrow();
-    dispatch.could_end(left, service, prompt, call.output())
+    dispatch.could_end(left, service, prompt, meta.estimated_output_tokens())
 }
 
 /// Finds the route and the organisation of a request in the table.
 pub fn resolve(
     table: &Table,
     head: &Parts,
-    call: &Call,
+    meta: &RequestMeta,
 ) -> Result<(Rc<Route>, Option<Rc<Organisation>>), Refusal> {
     let host = head
         .headers
@@ -86,9 +86,9 @@
         let reason = format!("no route for {host:?} {:?}", head.uri.path());
         Refusal::new(Kind::NotFound).with_message(reason)
     })?;
-    let organisation = call.key.as_deref().and_then(|k| table.organisation(k));
+    let organisation = meta.api_key.as_deref().and_then(|k| table.organisation(k));
     if table.keyed() && !route.public && organisation.is_none() {
-        let reason = match call.key {
+        let reason = match meta.api_key {
             Some(_) => "the table has no such key",
             None => "no key",
         };
@@ -119,7 +119,7 @@
     organisation: Option<&Organisation>,
     route: &Route,
     service: &ServiceId,
-    call: &Call,
+    meta: &RequestMeta,
 ) -> Result<Charged, Refusal> {
     let Some(organisation) = organisation else {
         return Ok(Charged::default());
@@ -128,8 +128,8 @@
         return Ok(Charged::default());
     };
     let charge = Charge {
-        cost: cost(organisation, call),
-        class: class(node, route, service, call),
+        cost: cost(organisation, meta),
+        class: class(node, route, service, meta),
         patience: route.objective.mul_f64(FOR_CREDIT).min(MOST_FOR_CREDIT),
     };
     let taken = credit::take(node, organisation, limit, charge).await;
@@ -172,11 +172,11 @@
 }
 
 /// What a request takes of its organisation's limit.
-fn cost(organisation: &Organisation, call: &Call) -> f64 {
+fn cost(organisation: &Organisation, meta: &RequestMeta) -> f64 {
     if !organisation.in_tokens {
         return 1.0;
     }
-    let tokens = match (call.prompt_tokens, call.output_tokens) {
+    let tokens = match (meta.prompt_tokens, meta.max_output_tokens) {
         (None, None) => organisation.plain_tokens,
         (p, o) => p.unwrap_or(0).saturating_add(o.unwrap_or(0)),
     };
@@ -192,11 +192,11 @@
 }
 
 /// Place of a request in the order of service, in halves of a tier, before it waits.
-fn class(node: &Node, route: &Route, service: &ServiceId, call: &Call) -> u32 {
-    let prompt = f64::from(call.prompt_tokens.unwrap_or(0));
+fn class(node: &Node, route: &Route, service: &ServiceId, meta: &RequestMeta) -> u32 {
+    let prompt = f64::from(meta.prompt_tokens.unwrap_or(0));
     let setback = node
         .dispatch
         .borrow()
-        .setback(service, prompt, call.output());
+        .setback(service, prompt, meta.estimated_output_tokens());
     route.rank * 2 + setback
 }
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -24,7 +24,7 @@
 use crate::metrics::Timing;
 use crate::node::{Node, Place, Target};
 use crate::pool::Connection;
-use crate::request::{Active, Life};
+use crate::request::{Active, RequestContext};
 use crate::request_log;
 
 /// Chunks that may wait for a slow caller before the replica is made to wait.
@@ -107,7 +107,7 @@
 /// Starts to pass a stream on.
 pub fn start(
     node: Rc<Node>,
-    life: Life,
+    ctx: RequestContext,
     target: Rc<Target>,
     place: Place,
     answer: Answer,
@@ -131,7 +131,7 @@
     };
     let relay = Relay {
         node,
-        life,
+        ctx,
         tx,
         whole,
         scanner: Scanner::new(),
@@ -168,7 +168,7 @@
 
 struct Relay {
     node: Rc<Node>,
-    life: Life,
+    ctx: RequestContext,
     tx: mpsc::Sender<Bytes>,
     /// Tells the caller's end that nothing is missing.
     whole: Rc<Cell<bool>>,
@@ -212,7 +212,7 @@
                     run.place.end(Outcome::Served);
                     let status = run.head.status.as_u16();
                     let (first, pause) = (self.first_after, self.longest_pause);
-                    request_log::answered(&self.node, &self.life, &replica, status, first, pause);
+                    request_log::answered(&self.node, &self.ctx, &replica, status, first, pause);
                     return;
                 }
                 End::CallerGone => {
@@ -233,8 +233,8 @@
             drop(run.connection);
             drop(run.body);
             run.place.end(Outcome::Failed);
-            let (node, route) = (Rc::clone(&self.node), Rc::clone(&self.life.route));
-            let over = time_over(&node, &route, self.life.received);
+            let (node, route) = (Rc::clone(&self.node), Rc::clone(&self.ctx.route));
+            let over = time_over(&node, &route, self.ctx.received);
             let next = tokio::select! {
                 next = self.resume() => next,
                 _ = over => None,
@@ -248,13 +248,13 @@
 
     fn log(&self, how: &'static str, replica: &str) {
         let last_event = self.scanner.last_id();
-        request_log::stream_ended(&self.node, &self.life, replica, how, last_event);
+        request_log::stream_ended(&self.node, &self.ctx, replica, how, last_event);
     }
 
     async fn pass_run(&mut self, run: &mut Run) -> End {
         let node = Rc::clone(&self.node);
-        let route = Rc::clone(&self.life.route);
-        let received = self.life.received;
+        let route = Rc::clone(&self.ctx.route);
+        let received = self.ctx.received;
         let mut over = std::pin::pin!(time_over(&node, &route, received));
         loop {
             let frame = tokio::select! {
@@ -293,7 +293,7 @@
             if self.first {
                 run.place.on_first();
                 if self.first_after.is_zero() {
-                    self.first_after = self.life.received.elapsed();
+                    self.first_after = self.ctx.received.elapsed();
                 }
             } else {
                 self.longest_pause = self.longest_pause.max(now - self.last);
@@ -302,7 +302,7 @@
             self.first = false;
             self.last = now;
         }
-        if !self.life.route.kind.repeatable() {
+        if !self.ctx.route.kind.repeatable() {
             return Some(chunk).filter(|c| !c.is_empty());
         }
         if found.complete == 0 {
@@ -323,11 +323,11 @@
 
     /// Ends when a stream that may be resumed has brought nothing for too long.
     async fn stuck(&self) {
-        if !self.life.route.kind.repeatable() || self.life.runs >= self.life.route.attempts {
+        if !self.ctx.route.kind.repeatable() || self.ctx.runs >= self.ctx.route.attempts {
             return std::future::pending().await;
         }
         let pause = self
-            .life
+            .ctx
             .route
             .longest_pause
             .max(Duration::from_millis(200));
@@ -339,24 +339,24 @@
         self.held.clear();
         self.scanner.forget_unfinished();
         loop {
-            if self.tx.is_closed() || !self.life.may_repeat(&self.node) {
+            if self.tx.is_closed() || !self.ctx.may_repeat(&self.node) {
                 return None;
             }
-            let (place, target) = self.life.place_again(&self.node).await?;
-            self.life.tried.push(place.upstream.clone());
-            self.life.runs += 1;
+            let (place, target) = self.ctx.place_again(&self.node).await?;
+            self.ctx.tried.push(place.upstream.clone());
+            self.ctx.runs += 1;
             let after = self.scanner.last_id().map(str::to_owned);
-            let after = after.or_else(|| self.life.call.last_event.clone());
+            let after = after.or_else(|| self.ctx.meta.last_event_id.clone());
             let fields = self
-                .life
+                .ctx
                 .forward_headers(&self.node, &target, after.as_deref());
             let sent = exchange::send(
                 &target,
                 &*self.node.protocol,
-                &self.life.call.id,
-                &self.life.head,
+                &self.ctx.meta.attempt_id,
+                &self.ctx.head,
                 fields,
-                self.life.body.clone(),
+                self.ctx.body.clone(),
                 true,
             );
             let answer = tokio::select! {
@@ -379,7 +379,7 @@
                 Ok(_) => place.end(Outcome::Failed),
                 Err(e) => {
                     if !e.may_have_run() {
-                        self.life.runs -= 1;
+                        self.ctx.runs -= 1;
                     }
                     place.end(e.outcome());
                 }
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -15,7 +15,7 @@
 use kingcupfield_decisions::id::{ServiceId, UpstreamId};
 use tokio::time::Instant;
 
-use crate::adapter::Call;
+use crate::adapter::RequestMeta;
 use crate::admission::{charge, pick_service, read_body, resolve};
 use crate::credit::{self, Charged};
 use crate::expiry::{Over, time_over};
@@ -36,9 +36,9 @@
 
 /// One request and what was decided of it.
 #[derive(Debug)]
-pub struct Life {
+pub struct RequestContext {
     /// The caller's attempt.
-    pub call: Call,
+    pub meta: RequestMeta,
     /// Head of the request.
     pub head: Parts,
     /// Its body.
@@ -70,18 +70,18 @@
     let active = Active(Rc::clone(&node));
     let received = Instant::now();
     let (head, body) = req.into_parts();
-    let call = node.protocol.parse_request(&head);
+    let meta = node.protocol.parse_request(&head);
     let body = tokio::select! {
         body = read_body(&node, body) => body,
         () = node.last_answers() => Err(unavailable("this instance ends before the body came in")),
     };
     let result = match body {
-        Ok(body) => admitted(&node, received, head, call.clone(), body, active).await,
+        Ok(body) => admitted(&node, received, head, meta.clone(), body, active).await,
         Err(refusal) => Err(refusal),
     };
     let mut response = match result {
         Ok(response) => response,
-        Err(refusal) => refuse(&node, &call, received, &refusal),
+        Err(refusal) => refuse(&node, &meta, received, &refusal),
     };
     if node.stage() != Stage::Serving {
         let close = HeaderValue::from_static("close");
@@ -104,25 +104,25 @@
     node: &Rc<Node>,
     received: Instant,
     head: Parts,
-    call: Call,
+    meta: RequestMeta,
     body: Bytes,
     active: Active,
 ) -> Result<Response<Body>, Refusal> {
-    let table = wait_for_table(node, &call).await?;
-    let (route, organisation) = resolve(&table, &head, &call)?;
-    if call.id.is_empty() {
+    let table = wait_for_table(node, &meta).await?;
+    let (route, organisation) = resolve(&table, &head, &meta)?;
+    if meta.attempt_id.is_empty() {
         return Err(Refusal::new(Kind::BadRequest).with_message("the request has no id"));
     }
     let service =
         pick_service(&route).ok_or_else(|| unavailable("the route leads to no service"))?;
-    check_end(node, &service, &call)?;
+    check_end(node, &service, &meta)?;
     check_regions(&route, organisation.as_deref())?;
-    let charge = charge(node, organisation.as_deref(), &route, &service, &call).await?;
+    let charge = charge(node, organisation.as_deref(), &route, &service, &meta).await?;
     node.repeats
         .borrow_mut()
         .on_request(Instant::now(), &service);
-    let life = Life {
-        call,
+    let ctx = RequestContext {
+        meta,
         head,
         body,
         received,
@@ -135,13 +135,13 @@
         waited: Duration::ZERO,
         charge,
     };
-    life.run(Rc::clone(node), active).await
+    ctx.run(Rc::clone(node), active).await
 }
 
 /// The table; a request that comes while the instance starts waits a moment for it.
-async fn wait_for_table(node: &Node, call: &Call) -> Result<Rc<Table>, Refusal> {
+async fn wait_for_table(node: &Node, meta: &RequestMeta) -> Result<Rc<Table>, Refusal> {
     let mut version = node.version.subscribe();
-    let patience = call.deadline.unwrap_or(FOR_TABLE).mul_f64(FOR_TABLE_PART);
+    let patience = meta.timeout.unwrap_or(FOR_TABLE).mul_f64(FOR_TABLE_PART);
     let mut over = std::pin::pin!(tokio::time::sleep(FOR_TABLE.min(patience)));
     loop {
         if let Some(table) = node.table() {
@@ -156,18 +156,20 @@
 }
 
 /// Makes the answer of a refusal and tells the log of it.
-fn refuse(node: &Node, call: &Call, received: Instant, refusal: &Refusal) -> Response<Body> {
-    request_log::refused(node, call, received, refusal);
-    let (status, fields) = node.protocol.refusal_response(Some(&call.id), refusal);
+fn refuse(node: &Node, meta: &RequestMeta, received: Instant, refusal: &Refusal) -> Response<Body> {
+    request_log::refused(node, meta, received, refusal);
+    let (status, fields) = node
+        .protocol
+        .refusal_response(Some(&meta.attempt_id), refusal);
     let mut response = Response::new(Body::whole(Bytes::new()));
     *response.status_mut() = status;
     *response.headers_mut() = fields;
     response
 }
 
-impl Life {
+impl RequestContext {
     async fn run(mut self, node: Rc<Node>, active: Active) -> Result<Response<Body>, Refusal> {
-        let mut unanswered = Unanswered::new(&node, &self.call.id, self.received);
+        let mut unanswered = Unanswered::new(&node, &self.meta.attempt_id, self.received);
         let result = self.run_watched(&node, active, &mut unanswered).await;
         unanswered.end();
         result
@@ -221,7 +223,7 @@
     pub fn left(&self, node: &Node) -> Duration {
         let slept = node.clock.suspended().saturating_sub(self.suspended);
         let passed = self.received.elapsed() + slept;
-        let deadline = self.call.deadline.unwrap_or(self.route.timeout);
+        let deadline = self.meta.timeout.unwrap_or(self.route.timeout);
         deadline.min(self.route.timeout).saturating_sub(passed)
     }
 }
--- a/crates/entry/src/request/placing.rs
+++ b/crates/entry/src/request/placing.rs
@@ -8,7 +8,7 @@
 use rand::RngExt as _;
 use tokio::time::Instant;
 
-use super::Life;
+use super::RequestContext;
 use super::refusing::{check_end, check_regions, unavailable};
 use crate::admission::resolve;
 use crate::node::{Node, Place, Target};
@@ -32,7 +32,7 @@
 /// the stream arrives.
 const BEFORE_PATIENCE_ENDS: f64 = 0.8;
 
-impl Life {
+impl RequestContext {
     /// The replica of a place, unless it has gone or the request may no longer be served there.
     pub(super) fn target(&self, node: &Node, place: &Place) -> Option<Rc<Target>> {
         let target = node.target(&place.upstream)?;
@@ -50,7 +50,7 @@
         let mut version = node.version.subscribe();
         while version.changed().await.is_ok() {
             let table = node.table();
-            let found = table.and_then(|t| resolve(&t, &self.head, &self.call).ok());
+            let found = table.and_then(|t| resolve(&t, &self.head, &self.meta).ok());
             let now = found.map(|(route, organisation)| regions(&route, organisation.as_deref()));
             if now.is_some_and(|now| now != self.regions()) {
                 return;
@@ -77,7 +77,7 @@
         } else {
             self.route.timeout
         };
-        let waits = patience.min(self.call.deadline.unwrap_or(patience));
+        let waits = patience.min(self.meta.timeout.unwrap_or(patience));
         let own_rank = self.organisation.as_ref().and_then(|o| o.rank);
         Job {
             id: node.new_job(),
@@ -88,8 +88,8 @@
             give_up: self.received + waits.mul_f64(GIVE_UP_AT),
             service: self.service.clone(),
             regions: self.regions(),
-            prompt: f64::from(self.call.prompt_tokens.unwrap_or(0)),
-            output: self.call.output(),
+            prompt: f64::from(self.meta.prompt_tokens.unwrap_or(0)),
+            output: self.meta.estimated_output_tokens(),
             longest_pause: if stream {
                 self.route.longest_pause
             } else {
@@ -114,13 +114,13 @@
         let Some(table) = node.table() else {
             return Ok(());
         };
-        let (route, organisation) = resolve(&table, &self.head, &self.call)?;
+        let (route, organisation) = resolve(&table, &self.head, &self.meta)?;
         if self.runs == 0 {
             check_regions(&route, organisation.as_deref())?;
             if !route.targets.iter().any(|(s, _)| *s == self.service) {
                 return Err(unavailable("the route leads to other services now"));
             }
-            check_end(node, &self.service, &self.call)?;
+            check_end(node, &self.service, &self.meta)?;
         }
         self.route = route;
         self.organisation = organisation;
--- a/crates/entry/src/request/refusing.rs
+++ b/crates/entry/src/request/refusing.rs
@@ -7,8 +7,8 @@
 use rand::RngExt as _;
 use tokio::time::Instant;
 
-use super::Life;
-use crate::adapter::Call;
+use super::RequestContext;
+use crate::adapter::RequestMeta;
 use crate::admission::{COME_BACK_SOON, ends_in_time};
 use crate::exchange::Failure;
 use crate::expiry::Over;
@@ -46,8 +46,12 @@
 }
 
 /// Refuses a request that could not end before the process does.
-pub(super) fn check_end(node: &Node, service: &ServiceId, call: &Call) -> Result<(), Refusal> {
-    if ends_in_time(node, service, call) {
+pub(super) fn check_end(
+    node: &Node,
+    service: &ServiceId,
+    meta: &RequestMeta,
+) -> Result<(), Refusal> {
+    if ends_in_time(node, service, meta) {
         return Ok(());
     }
     Err(unavailable("this instance ends before the request could"))
@@ -60,7 +64,7 @@
         .with_retry_after(COME_BACK_SOON)
 }
 
-impl Life {
+impl RequestContext {
     /// The final answer to a request that got no place in time.
     pub(super) fn give_up(&self, node: &Node) -> Refusal {
         if self.runs > 0 {
@@ -113,8 +117,8 @@
         let reason = format!(
             "the route's {} ms or the caller's {} are over after {} ms",
             self.route.timeout.as_millis(),
-            self.call
-                .deadline
+            self.meta
+                .timeout
                 .map_or_else(|| "-".to_owned(), |d| d.as_millis().to_string()),
             self.received.elapsed().as_millis(),
         );
--- a/crates/entry/src/request/sending.rs
+++ b/crates/entry/src/request/sending.rs
@@ -7,7 +7,7 @@
 use kingcupfield_decisions::dispatch::Outcome;
 use tokio::time::Instant;
 
-use super::{Active, Life};
+use super::{Active, RequestContext};
 use crate::adapter::ForwardInfo;
 use crate::exchange::{self, Answer, Failure};
 use crate::expiry::time_over;
@@ -37,7 +37,7 @@
     Refuse(Refusal),
 }
 
-impl Life {
+impl RequestContext {
     pub(super) async fn send(
         &mut self,
         node: &Rc<Node>,
@@ -57,7 +57,7 @@
         let sent = exchange::send(
             target,
             &*node.protocol,
-            &self.call.id,
+            &self.meta.attempt_id,
             &self.head,
             fields,
             self.body.clone(),
@@ -126,11 +126,11 @@
     ) -> Next {
         if self.route.kind.is_stream() && answer.head.status.is_success() {
             node.metrics.observe(Timing::First, self.received.elapsed());
-            let life = self.take();
+            let ctx = self.take();
             let active = active.take();
             let response = relay::start(
                 Rc::clone(node),
-                life,
+                ctx,
                 Rc::clone(target),
                 place,
                 answer,
@@ -190,9 +190,9 @@
     }
 
     /// Moves this request's life into a relay.
-    fn take(&mut self) -> Life {
-        Life {
-            call: std::mem::take(&mut self.call),
+    fn take(&mut self) -> RequestContext {
+        RequestContext {
+            meta: std::mem::take(&mut self.meta),
             head: self.head.clone(),
             body: self.body.clone(),
             received: self.received,
@@ -227,14 +227,14 @@
         &self,
         node: &Node,
         target: &Target,
-        last_event: Option<&str>,
+        last_event_id: Option<&str>,
     ) -> HeaderMap {
-        let onward = ForwardInfo {
+        let info = ForwardInfo {
             replica: &target.published.id,
-            left: Some(self.left(node)),
+            time_left: Some(self.left(node)),
             organisation: self.organisation.as_ref().map(|o| &*o.name),
-            last_event,
+            last_event_id,
         };
-        node.protocol.forward_headers(&self.head, &onward)
+        node.protocol.forward_headers(&self.head, &info)
     }
 }
--- a/crates/entry/src/request_log.rs
+++ b/crates/entry/src/request_log.rs
@@ -10,65 +10,65 @@
 use kingcupfield_decisions::id::UpstreamId;
 use tokio::time::Instant;
 
-use crate::adapter::Call;
+use crate::adapter::RequestMeta;
 use crate::exchange::Failure;
 use crate::log::Weight;
 use crate::metrics::Timing;
 use crate::node::{Node, Place, Stage};
 use crate::refusal::Refusal;
-use crate::request::Life;
+use crate::request::RequestContext;
 
 /// A request was given a place and goes to a replica.
-pub fn sent(node: &Node, life: &Life, place: &Place) {
+pub fn sent(node: &Node, ctx: &RequestContext, place: &Place) {
     let why = place.why;
-    let organisation = life.organisation.as_ref().map_or("-", |o| &*o.name);
+    let organisation = ctx.organisation.as_ref().map_or("-", |o| &*o.name);
     node.log.line(
         Weight::Ordinary,
         format_args!(
             "event=sent id={} replica={} service={} route={} organisation={organisation} table={} wait_ms={} try={} cost_ms={:.0} with_room={} own={} elsewhere={} elsewhere_age_ms={} cold={} credit_ms={} keeper={}",
-            life.call.id,
+            ctx.meta.attempt_id,
             place.upstream,
-            life.service,
-            life.route.name,
+            ctx.service,
+            ctx.route.name,
             node.table_version(),
-            life.waited.as_millis(),
-            life.tried.len() + 1,
+            ctx.waited.as_millis(),
+            ctx.tried.len() + 1,
             why.cost_ms,
             why.with_room,
             why.own,
             why.elsewhere,
             node.peers.borrow().oldest_word(Instant::now()).as_millis(),
             why.cold,
-            life.charge.waited.as_millis(),
-            life.charge.keeper.map_or("-".to_owned(), |k| k.to_string()),
+            ctx.charge.waited.as_millis(),
+            ctx.charge.keeper.map_or("-".to_owned(), |k| k.to_string()),
         ),
     );
 }
 
 /// A send brought no answer of the replica.
-pub fn send_failed(node: &Node, life: &Life, replica: &UpstreamId, failure: Failure) {
+pub fn send_failed(node: &Node, ctx: &RequestContext, replica: &UpstreamId, failure: Failure) {
     node.metrics.count(failure.as_str());
     node.log.line(
         Weight::Notable,
         format_args!(
             "event=send_failed id={} replica={replica} how={} runs={} after_ms={}",
-            life.call.id,
+            ctx.meta.attempt_id,
             failure.as_str(),
-            life.runs,
-            life.received.elapsed().as_millis(),
+            ctx.runs,
+            ctx.received.elapsed().as_millis(),
         ),
     );
 }
 
 /// The instance gives its own answer.
-pub fn refused(node: &Node, call: &Call, received: Instant, refusal: &Refusal) {
+pub fn refused(node: &Node, meta: &RequestMeta, received: Instant, refusal: &Refusal) {
     let kind = refusal.kind.answer().name;
     node.metrics.count(kind);
     node.log.line(
         Weight::Notable,
         format_args!(
             "event=refused id={} kind={kind} ran={} retry_after_ms={} after_ms={} table={} reason={:?}",
-            call.id,
+            meta.attempt_id,
             refusal.ran.as_str(),
             refusal.retry_after.unwrap_or_default().as_millis(),
             received.elapsed().as_millis(),
@@ -83,13 +83,13 @@
 /// `first` is when the first byte of its body had come, `pause` the longest time between two events.
 pub fn answered(
     node: &Node,
-    life: &Life,
+    ctx: &RequestContext,
     replica: &str,
     status: u16,
     first: Duration,
     pause: Duration,
 ) {
-    let whole = life.received.elapsed();
+    let whole = ctx.received.elapsed();
     node.metrics.observe(Timing::Whole, whole);
     node.metrics.count("answered");
     // A replica's own failure is what its caller complains about.
@@ -102,15 +102,15 @@
         weight,
         format_args!(
             "event=answered id={} replica={replica} status={status} runs={} route={} wait_ms={} first_ms={} pause_ms={} whole_ms={} prompt={} likely={}",
-            life.call.id,
-            life.runs,
-            life.route.name,
-            life.waited.as_millis(),
+            ctx.meta.attempt_id,
+            ctx.runs,
+            ctx.route.name,
+            ctx.waited.as_millis(),
             first.as_millis(),
             pause.as_millis(),
             whole.as_millis(),
-            life.call.prompt_tokens.unwrap_or(0),
-            life.call.likely_tokens.unwrap_or(0),
+            ctx.meta.prompt_tokens.unwrap_or(0),
+            ctx.meta.expected_output_tokens.unwrap_or(0),
         ),
     );
 }
@@ -118,7 +118,7 @@
 /// A stream did not end whole at a replica, or goes on at another one.
 pub fn stream_ended(
     node: &Node,
-    life: &Life,
+    ctx: &RequestContext,
     replica: &str,
     how: &'static str,
     last_event: Option<&str>,
@@ -128,9 +128,9 @@
         Weight::Notable,
         format_args!(
             "event=stream_ended id={} how={how} replica={replica} after_ms={} runs={} last_event={last_event:?}",
-            life.call.id,
-            life.received.elapsed().as_millis(),
-            life.runs,
+            ctx.meta.attempt_id,
+            ctx.received.elapsed().as_millis(),
+            ctx.runs,
         ),
     );
 }
