--- a/crates/entry/src/expiry.rs
+++ b/crates/entry/src/expiry.rs
@@ -9,17 +9,17 @@
 
 /// What ends the time of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Over {
+pub enum Expiry {
     /// The route's time is over.
-    Route,
+    RouteTimeout,
     /// The process ends.
-    Process,
+    Shutdown,
 }
 
 /// Ends when the route's time is over, by what the table says at that moment, or when the process has
 /// just time left to answer: a caller whose connection is closed instead knows neither whether its
 /// request ran nor when to come back.
-pub async fn time_over(node: &Rc<Node>, route: &Route, received: Instant) -> Over {
+pub async fn wait_for_expiry(node: &Rc<Node>, route: &Route, received: Instant) -> Expiry {
     let mut version = node.version.subscribe();
     let mut last_answers = std::pin::pin!(node.last_answers());
     loop {
@@ -28,8 +28,8 @@
             .and_then(|t| t.route(&route.host, &route.prefix).map(|r| r.timeout))
             .unwrap_or(route.timeout);
         tokio::select! {
-            () = sleep_until(received + timeout) => return Over::Route,
-            () = &mut last_answers => return Over::Process,
+            () = sleep_until(received + timeout) => return Expiry::RouteTimeout,
+            () = &mut last_answers => return Expiry::Shutdown,
             _ = version.changed() => {}
         }
     }
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -20,7 +20,7 @@
 
 use crate::events::Scanner;
 use crate::exchange::{self, Answer};
-use crate::expiry::{Over, time_over};
+use crate::expiry::{Expiry, wait_for_expiry};
 use crate::metrics::Timing;
 use crate::node::{Node, Place, Target};
 use crate::pool::Connection;
@@ -163,7 +163,7 @@
     Whole,
     Broken,
     CallerGone,
-    Over(Over),
+    Expired(Expiry),
 }
 
 struct Relay {
@@ -219,10 +219,10 @@
                     self.log("caller_gone", &replica);
                     return;
                 }
-                End::Over(over) => {
+                End::Expired(over) => {
                     let how = match over {
-                        Over::Route => "timed_out",
-                        Over::Process => "cut",
+                        Expiry::RouteTimeout => "timed_out",
+                        Expiry::Shutdown => "cut",
                     };
                     self.log(how, &replica);
                     return;
@@ -234,7 +234,7 @@
             drop(run.body);
             run.place.end(Outcome::Failed);
             let (node, route) = (Rc::clone(&self.node), Rc::clone(&self.ctx.route));
-            let over = time_over(&node, &route, self.ctx.received);
+            let over = wait_for_expiry(&node, &route, self.ctx.received);
             let next = tokio::select! {
                 next = self.resume() => next,
                 _ = over => None,
@@ -255,13 +255,13 @@
         let node = Rc::clone(&self.node);
         let route = Rc::clone(&self.ctx.route);
         let received = self.ctx.received;
-        let mut over = std::pin::pin!(time_over(&node, &route, received));
+        let mut over = std::pin::pin!(wait_for_expiry(&node, &route, received));
         loop {
             let frame = tokio::select! {
                 biased;
                 () = self.tx.closed() => return End::CallerGone,
                 frame = run.body.frame() => frame,
-                over = &mut over => return End::Over(over),
+                over = &mut over => return End::Expired(over),
                 () = self.stuck() => return End::Broken,
             };
             let chunk = match frame {
@@ -279,7 +279,7 @@
                         }
                         node.metrics.observe(Timing::Pass, came.elapsed());
                     }
-                    over = &mut over => return End::Over(over),
+                    over = &mut over => return End::Expired(over),
                 }
             }
         }
@@ -326,11 +326,7 @@
         if !self.ctx.route.kind.repeatable() || self.ctx.runs >= self.ctx.route.attempts {
             return std::future::pending().await;
         }
-        let pause = self
-            .ctx
-            .route
-            .longest_pause
-            .max(Duration::from_millis(200));
+        let pause = self.ctx.route.longest_pause.max(Duration::from_millis(200));
         tokio::time::sleep_until(self.last + pause.mul_f64(STUCK_PAUSES)).await;
     }
 
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -18,7 +18,7 @@
 use crate::adapter::RequestMeta;
 use crate::admission::{charge, pick_service, read_body, resolve};
 use crate::credit::{self, Charged};
-use crate::expiry::{Over, time_over};
+use crate::expiry::{Expiry, wait_for_expiry};
 use crate::metrics::Timing;
 use crate::node::{Node, Stage};
 use crate::refusal::{Kind, Refusal};
@@ -185,8 +185,8 @@
         loop {
             unanswered.replica = None;
             let placed = tokio::select! {
-                placed = node.place(self.job(node)) => placed.map_err(|_| Over::Route),
-                over = time_over(node, &self.route, self.received) => Err(over),
+                placed = node.place(self.job(node)) => placed.map_err(|_| Expiry::RouteTimeout),
+                over = wait_for_expiry(node, &self.route, self.received) => Err(over),
                 () = self.bound_elsewhere(node) => {
                     self.recheck(node)?;
                     continue;
@@ -194,8 +194,8 @@
             };
             let place = match placed {
                 Ok(place) => place,
-                Err(Over::Route) => return Err(self.give_up(node)),
-                Err(Over::Process) => return Err(self.ends_with_process(node)),
+                Err(Expiry::RouteTimeout) => return Err(self.give_up(node)),
+                Err(Expiry::Shutdown) => return Err(self.ends_with_process(node)),
             };
             self.waited = self.received.elapsed();
             node.metrics.observe(Timing::Wait, self.waited);
--- a/crates/entry/src/request/refusing.rs
+++ b/crates/entry/src/request/refusing.rs
@@ -11,7 +11,7 @@
 use crate::adapter::RequestMeta;
 use crate::admission::{COME_BACK_SOON, ends_in_time};
 use crate::exchange::Failure;
-use crate::expiry::Over;
+use crate::expiry::Expiry;
 use crate::node::Node;
 use crate::refusal::{Kind, Ran, Refusal};
 use crate::table::{Organisation, Route, regions};
@@ -94,10 +94,10 @@
             .with_retry_after(come_back())
     }
 
-    pub(super) fn is_over(&self, node: &Node, over: Over) -> Refusal {
+    pub(super) fn is_over(&self, node: &Node, over: Expiry) -> Refusal {
         match over {
-            Over::Route => self.too_late(),
-            Over::Process => self.ends_with_process(node),
+            Expiry::RouteTimeout => self.too_late(),
+            Expiry::Shutdown => self.ends_with_process(node),
         }
     }
 
--- a/crates/entry/src/request/sending.rs
+++ b/crates/entry/src/request/sending.rs
@@ -10,7 +10,7 @@
 use super::{Active, RequestContext};
 use crate::adapter::ForwardInfo;
 use crate::exchange::{self, Answer, Failure};
-use crate::expiry::time_over;
+use crate::expiry::wait_for_expiry;
 use crate::metrics::Timing;
 use crate::node::{Node, Place, Target};
 use crate::refusal::Refusal;
@@ -68,7 +68,7 @@
                 Failure::Broken if began.elapsed() < at_once => Failure::Dropped,
                 e => e,
             }),
-            over = time_over(node, &self.route, self.received) => {
+            over = wait_for_expiry(node, &self.route, self.received) => {
                 place.end(Outcome::Unknown);
                 return Next::Refuse(self.is_over(node, over));
             }
@@ -156,7 +156,7 @@
         } = answer;
         let body = tokio::select! {
             body = exchange::whole(body) => body,
-            over = time_over(node, &self.route, self.received) => {
+            over = wait_for_expiry(node, &self.route, self.received) => {
                 return Next::Refuse(self.is_over(node, over));
             }
         };
