--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -24,7 +24,7 @@
 use crate::metrics::Timing;
 use crate::node::{Node, Place, Target};
 use crate::pool::Connection;
-use crate::request::{Active, RequestContext};
+use crate::request::{ActiveGuard, RequestContext};
 use crate::request_log;
 
 /// Chunks that may wait for a slow caller before the replica is made to wait.
@@ -111,7 +111,7 @@
     target: Rc<Target>,
     place: Place,
     answer: Answer,
-    active: Option<Active>,
+    active: Option<ActiveGuard>,
 ) -> Response<Body> {
     let (tx, rx) = mpsc::channel(CHUNKS);
     let whole = Rc::new(Cell::new(false));
@@ -212,7 +212,9 @@
                     run.place.end(Outcome::Served);
                     let status = run.head.status.as_u16();
                     let (first, pause) = (self.first_after, self.longest_pause);
-                    request_log::answered(&self.node, &self.ctx, &replica, status, first, pause);
+                    request_log::log_answered(
+                        &self.node, &self.ctx, &replica, status, first, pause,
+                    );
                     return;
                 }
                 End::CallerGone => {
@@ -248,7 +250,7 @@
 
     fn log(&self, how: &'static str, replica: &str) {
         let last_event = self.scanner.last_id();
-        request_log::stream_ended(&self.node, &self.ctx, replica, how, last_event);
+        request_log::log_stream_ended(&self.node, &self.ctx, replica, how, last_event);
     }
 
     async fn pass_run(&mut self, run: &mut Run) -> End {
@@ -335,10 +337,10 @@
         self.held.clear();
         self.scanner.forget_unfinished();
         loop {
-            if self.tx.is_closed() || !self.ctx.may_repeat(&self.node) {
+            if self.tx.is_closed() || !self.ctx.try_consume_retry(&self.node) {
                 return None;
             }
-            let (place, target) = self.ctx.place_again(&self.node).await?;
+            let (place, target) = self.ctx.place_for_resume(&self.node).await?;
             self.ctx.tried.push(place.upstream.clone());
             self.ctx.runs += 1;
             let after = self.scanner.last_id().map(str::to_owned);
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -23,7 +23,7 @@
 use crate::node::{Node, Stage};
 use crate::refusal::{Kind, Refusal};
 use crate::relay::Body;
-use crate::request_log::{self, Unanswered};
+use crate::request_log::{self, UnansweredGuard};
 use crate::table::{Organisation, Route, Table};
 
 use refusing::{check_end, check_regions, unavailable};
@@ -67,7 +67,7 @@
 pub async fn serve(node: Rc<Node>, req: Request<Incoming>) -> Response<Body> {
     node.active.set(node.active.get() + 1);
     node.taken.set(node.taken.get() + 1);
-    let active = Active(Rc::clone(&node));
+    let active = ActiveGuard(Rc::clone(&node));
     let received = Instant::now();
     let (head, body) = req.into_parts();
     let meta = node.protocol.parse_request(&head);
@@ -92,9 +92,9 @@
 
 /// Counts a request for as long as it is answered.
 #[derive(Debug)]
-pub struct Active(Rc<Node>);
+pub struct ActiveGuard(Rc<Node>);
 
-impl Drop for Active {
+impl Drop for ActiveGuard {
     fn drop(&mut self) {
         self.0.active.set(self.0.active.get() - 1);
     }
@@ -106,7 +106,7 @@
     head: Parts,
     meta: RequestMeta,
     body: Bytes,
-    active: Active,
+    active: ActiveGuard,
 ) -> Result<Response<Body>, Refusal> {
     let table = wait_for_table(node, &meta).await?;
     let (route, organisation) = resolve(&table, &head, &meta)?;
@@ -157,7 +157,7 @@
 
 /// Makes the answer of a refusal and tells the log of it.
 fn refuse(node: &Node, meta: &RequestMeta, received: Instant, refusal: &Refusal) -> Response<Body> {
-    request_log::refused(node, meta, received, refusal);
+    request_log::log_refused(node, meta, received, refusal);
     let (status, fields) = node
         .protocol
         .refusal_response(Some(&meta.attempt_id), refusal);
@@ -168,8 +168,8 @@
 }
 
 impl RequestContext {
-    async fn run(mut self, node: Rc<Node>, active: Active) -> Result<Response<Body>, Refusal> {
-        let mut unanswered = Unanswered::new(&node, &self.meta.attempt_id, self.received);
+    async fn run(mut self, node: Rc<Node>, active: ActiveGuard) -> Result<Response<Body>, Refusal> {
+        let mut unanswered = UnansweredGuard::new(&node, &self.meta.attempt_id, self.received);
         let result = self.run_watched(&node, active, &mut unanswered).await;
         unanswered.end();
         result
@@ -178,8 +178,8 @@
     async fn run_watched(
         &mut self,
         node: &Rc<Node>,
-        active: Active,
-        unanswered: &mut Unanswered,
+        active: ActiveGuard,
+        unanswered: &mut UnansweredGuard,
     ) -> Result<Response<Body>, Refusal> {
         let mut active = Some(active);
         loop {
@@ -203,7 +203,7 @@
             let Some(target) = self.target(node, &place) else {
                 continue;
             };
-            request_log::sent(node, self, &place);
+            request_log::log_sent(node, self, &place);
             unanswered.replica = Some(place.upstream.clone());
             match self.send(node, &target, place, &mut active).await {
                 Next::Answer(response) => return Ok(*response),
@@ -220,7 +220,7 @@
     }
 
     /// Time that the caller still waits, counting the time that the machine stood still.
-    pub fn left(&self, node: &Node) -> Duration {
+    pub fn time_left(&self, node: &Node) -> Duration {
         let slept = node.clock.suspended().saturating_sub(self.suspended);
         let passed = self.received.elapsed() + slept;
         let deadline = self.meta.timeout.unwrap_or(self.route.timeout);
@@ -229,7 +229,7 @@
 }
 
 /// An answer without content.
-pub fn empty(status: http::StatusCode) -> Response<Full<Bytes>> {
+pub fn empty_response(status: http::StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
--- a/crates/entry/src/request/placing.rs
+++ b/crates/entry/src/request/placing.rs
@@ -61,7 +61,7 @@
 
     /// When its whole answer must have come: its caller leaves then, or the process ends.
     fn ends_by(&self, node: &Node) -> Instant {
-        let deadline = Instant::now() + self.left(node);
+        let deadline = Instant::now() + self.time_left(node);
         node.answers_by
             .get()
             .map_or(deadline, |end| end.min(deadline))
@@ -128,7 +128,7 @@
     }
 
     /// A place for the rest of a stream that broke off, by what holds now.
-    pub async fn place_again(&mut self, node: &Rc<Node>) -> Option<(Place, Rc<Target>)> {
+    pub async fn place_for_resume(&mut self, node: &Rc<Node>) -> Option<(Place, Rc<Target>)> {
         self.follow_table(node);
         let now = Instant::now();
         let mut job = self.job(node);
--- a/crates/entry/src/request/sending.rs
+++ b/crates/entry/src/request/sending.rs
@@ -7,7 +7,7 @@
 use kingcupfield_decisions::dispatch::Outcome;
 use tokio::time::Instant;
 
-use super::{Active, RequestContext};
+use super::{ActiveGuard, RequestContext};
 use crate::adapter::ForwardInfo;
 use crate::exchange::{self, Answer, Failure};
 use crate::expiry::wait_for_expiry;
@@ -43,9 +43,9 @@
         node: &Rc<Node>,
         target: &Rc<Target>,
         place: Place,
-        active: &mut Option<Active>,
+        active: &mut Option<ActiveGuard>,
     ) -> Next {
-        if self.left(node).is_zero() {
+        if self.time_left(node).is_zero() {
             place.end(Outcome::Unknown);
             return Next::Refuse(self.too_late());
         }
@@ -91,17 +91,17 @@
             tokio::time::sleep(RESCUE_CHECK).await;
             let plain = !self.route.kind.is_stream();
             let slow = sent.elapsed() > self.route.objective.mul_f64(PLAIN_RESCUE);
-            if (place.is_silent() || (plain && slow)) && self.may_repeat(node) {
+            if (place.is_silent() || (plain && slow)) && self.try_consume_retry(node) {
                 return;
             }
         }
     }
 
     fn failed(&mut self, node: &Node, place: Place, failure: Failure) -> Next {
-        request_log::send_failed(node, self, &place.upstream, failure);
+        request_log::log_send_failed(node, self, &place.upstream, failure);
         place.end(failure.outcome());
         if failure.may_have_run() {
-            return if failure == Failure::Abandoned || self.may_repeat(node) {
+            return if failure == Failure::Abandoned || self.try_consume_retry(node) {
                 Next::Again
             } else {
                 Next::Refuse(self.broke(failure))
@@ -109,7 +109,7 @@
         }
         self.runs -= 1;
         // A connection that could not be made reached no replica, so it draws on no budget.
-        if failure == Failure::NotSent || self.take_repeat(node) {
+        if failure == Failure::NotSent || self.consume_retry_budget(node) {
             Next::Again
         } else {
             Next::Refuse(self.give_up(node))
@@ -122,7 +122,7 @@
         target: &Rc<Target>,
         place: Place,
         answer: Answer,
-        active: &mut Option<Active>,
+        active: &mut Option<ActiveGuard>,
     ) -> Next {
         if self.route.kind.is_stream() && answer.head.status.is_success() {
             node.metrics.observe(Timing::First, self.received.elapsed());
@@ -170,12 +170,12 @@
         } else {
             Outcome::Served
         });
-        if failed && self.may_repeat(node) {
+        if failed && self.try_consume_retry(node) {
             return Next::Again;
         }
         let first = self.received.elapsed();
         let status = head.status.as_u16();
-        request_log::answered(
+        request_log::log_answered(
             node,
             self,
             &target.published.id,
@@ -208,14 +208,14 @@
     }
 
     /// Whether one more replica may be tried after one that may have run the request.
-    pub fn may_repeat(&self, node: &Node) -> bool {
+    pub fn try_consume_retry(&self, node: &Node) -> bool {
         self.route.kind.repeatable()
             && self.runs < self.route.attempts
-            && self.left(node) > Duration::from_millis(100)
-            && self.take_repeat(node)
+            && self.time_left(node) > Duration::from_millis(100)
+            && self.consume_retry_budget(node)
     }
 
-    pub(super) fn take_repeat(&self, node: &Node) -> bool {
+    pub(super) fn consume_retry_budget(&self, node: &Node) -> bool {
         let instances = node.peers.borrow().known();
         node.repeats
             .borrow_mut()
@@ -231,7 +231,7 @@
     ) -> HeaderMap {
         let info = ForwardInfo {
             replica: &target.published.id,
-            time_left: Some(self.left(node)),
+            time_left: Some(self.time_left(node)),
             organisation: self.organisation.as_ref().map(|o| &*o.name),
             last_event_id,
         };
--- a/crates/entry/src/request_log.rs
+++ b/crates/entry/src/request_log.rs
@@ -19,7 +19,7 @@
 use crate::request::RequestContext;
 
 /// A request was given a place and goes to a replica.
-pub fn sent(node: &Node, ctx: &RequestContext, place: &Place) {
+pub fn log_sent(node: &Node, ctx: &RequestContext, place: &Place) {
     let why = place.why;
     let organisation = ctx.organisation.as_ref().map_or("-", |o| &*o.name);
     node.log.line(
@@ -46,7 +46,7 @@
 }
 
 /// A send brought no answer of the replica.
-pub fn send_failed(node: &Node, ctx: &RequestContext, replica: &UpstreamId, failure: Failure) {
+pub fn log_send_failed(node: &Node, ctx: &RequestContext, replica: &UpstreamId, failure: Failure) {
     node.metrics.count(failure.as_str());
     node.log.line(
         Weight::Notable,
@@ -61,7 +61,7 @@
 }
 
 /// The instance gives its own answer.
-pub fn refused(node: &Node, meta: &RequestMeta, received: Instant, refusal: &Refusal) {
+pub fn log_refused(node: &Node, meta: &RequestMeta, received: Instant, refusal: &Refusal) {
     let kind = refusal.kind.answer().name;
     node.metrics.count(kind);
     node.log.line(
@@ -81,7 +81,7 @@
 /// A replica's answer went out whole.
 ///
 /// `first` is when the first byte of its body had come, `pause` the longest time between two events.
-pub fn answered(
+pub fn log_answered(
     node: &Node,
     ctx: &RequestContext,
     replica: &str,
@@ -116,7 +116,7 @@
 }
 
 /// A stream did not end whole at a replica, or goes on at another one.
-pub fn stream_ended(
+pub fn log_stream_ended(
     node: &Node,
     ctx: &RequestContext,
     replica: &str,
@@ -138,7 +138,7 @@
 /// Notices that a caller closes its connection before it was answered, or that the process ends: the
 /// task that answers it is dropped then, in the middle of whatever it waits for.
 #[derive(Debug)]
-pub struct Unanswered {
+pub struct UnansweredGuard {
     node: Rc<Node>,
     id: String,
     received: Instant,
@@ -147,7 +147,7 @@
     answered: bool,
 }
 
-impl Unanswered {
+impl UnansweredGuard {
     /// Starts to watch.
     pub fn new(node: &Rc<Node>, id: &str, received: Instant) -> Self {
         Self {
@@ -165,7 +165,7 @@
     }
 }
 
-impl Drop for Unanswered {
+impl Drop for UnansweredGuard {
     fn drop(&mut self) {
         if self.answered {
             return;
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -137,7 +137,7 @@
         } else {
             StatusCode::SERVICE_UNAVAILABLE
         };
-        request::empty(status)
+        request::empty_response(status)
     })
     .await;
 }
@@ -147,7 +147,7 @@
     serve_small(node, listener, |node, req| match req.uri().path() {
         SNAPSHOT_PATH => tell_directory(node, req.uri().query().unwrap_or_default()),
         METRICS_PATH => text(node.metrics.text(node)),
-        _ => request::empty(StatusCode::NOT_FOUND),
+        _ => request::empty_response(StatusCode::NOT_FOUND),
     })
     .await;
 }
@@ -163,7 +163,7 @@
     };
     match rmp_serde::to_vec(&snapshot) {
         Ok(bytes) => Response::new(Full::new(bytes.into())),
-        Err(_) => request::empty(StatusCode::INTERNAL_SERVER_ERROR),
+        Err(_) => request::empty_response(StatusCode::INTERNAL_SERVER_ERROR),
     }
 }
 
