--- a/crates/entry/src/events.rs
+++ b/crates/entry/src/events.rs
@@ -5,7 +5,7 @@
 
 /// State of a scan across chunks.
 #[derive(Debug, Default)]
-pub struct Scanner {
+pub struct EventScanner {
     line: Vec<u8>,
     overlong: bool,
     pending_id: Option<String>,
@@ -16,31 +16,31 @@
 
 /// What a chunk held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Found {
+pub struct ScannedChunk {
     /// Events that ended in it.
     pub events: u32,
     /// Bytes up to the end of the last of them; 0 if none ended.
-    pub complete: usize,
+    pub complete_bytes: usize,
 }
 
-impl Scanner {
+impl EventScanner {
     /// Starts before the first event.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Id of the last event that is complete.
-    pub fn last_id(&self) -> Option<&str> {
+    pub fn last_event_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
     /// Whether bytes of an unfinished event have passed.
-    pub fn in_event(&self) -> bool {
+    pub fn in_partial_event(&self) -> bool {
         self.in_event || !self.line.is_empty()
     }
 
     /// Forgets an unfinished event, whose rest will come from another replica as a whole.
-    pub fn forget_unfinished(&mut self) {
+    pub fn discard_partial_event(&mut self) {
         self.line.clear();
         self.overlong = false;
         self.pending_id = None;
@@ -48,7 +48,7 @@
     }
 
     /// Reads the next bytes.
-    pub fn read(&mut self, chunk: &[u8]) -> Found {
+    pub fn read(&mut self, chunk: &[u8]) -> ScannedChunk {
         self.events = 0;
         let mut complete = 0;
         for (at, byte) in chunk.iter().enumerate() {
@@ -62,9 +62,9 @@
                 complete = at + 1;
             }
         }
-        Found {
+        ScannedChunk {
             events: self.events,
-            complete,
+            complete_bytes: complete,
         }
     }
 
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -18,7 +18,7 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use crate::events::Scanner;
+use crate::events::EventScanner;
 use crate::exchange::{self, Answer};
 use crate::expiry::{Expiry, wait_for_expiry};
 use crate::metrics::Timing;
@@ -134,7 +134,7 @@
         ctx,
         tx,
         whole,
-        scanner: Scanner::new(),
+        scanner: EventScanner::new(),
         held: BytesMut::new(),
         last: Instant::now(),
         first: true,
@@ -172,7 +172,7 @@
     tx: mpsc::Sender<Bytes>,
     /// Tells the caller's end that nothing is missing.
     whole: Rc<Cell<bool>>,
-    scanner: Scanner,
+    scanner: EventScanner,
     held: BytesMut,
     last: Instant,
     first: bool,
@@ -249,7 +249,7 @@
     }
 
     fn log(&self, how: &'static str, replica: &str) {
-        let last_event = self.scanner.last_id();
+        let last_event = self.scanner.last_event_id();
         request_log::log_stream_ended(&self.node, &self.ctx, replica, how, last_event);
     }
 
@@ -267,7 +267,7 @@
                 () = self.stuck() => return End::Broken,
             };
             let chunk = match frame {
-                None if self.scanner.in_event() => return End::Broken,
+                None if self.scanner.in_partial_event() => return End::Broken,
                 None => return End::Whole,
                 Some(Err(_)) => return End::Broken,
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
@@ -307,12 +307,12 @@
         if !self.ctx.route.kind.repeatable() {
             return Some(chunk).filter(|c| !c.is_empty());
         }
-        if found.complete == 0 {
+        if found.complete_bytes == 0 {
             self.held.extend_from_slice(&chunk);
             return None;
         }
-        let whole = chunk.slice(..found.complete);
-        let rest = chunk.slice(found.complete..);
+        let whole = chunk.slice(..found.complete_bytes);
+        let rest = chunk.slice(found.complete_bytes..);
         if self.held.is_empty() {
             self.held.extend_from_slice(&rest);
             return Some(whole);
@@ -335,7 +335,7 @@
     /// Runs the rest of the stream at another replica.
     async fn resume(&mut self) -> Option<Run> {
         self.held.clear();
-        self.scanner.forget_unfinished();
+        self.scanner.discard_partial_event();
         loop {
             if self.tx.is_closed() || !self.ctx.try_consume_retry(&self.node) {
                 return None;
@@ -343,7 +343,7 @@
             let (place, target) = self.ctx.place_for_resume(&self.node).await?;
             self.ctx.tried.push(place.upstream.clone());
             self.ctx.runs += 1;
-            let after = self.scanner.last_id().map(str::to_owned);
+            let after = self.scanner.last_event_id().map(str::to_owned);
             let after = after.or_else(|| self.ctx.meta.last_event_id.clone());
             let fields = self
                 .ctx
--- a/crates/entry/tests/events.rs
+++ b/crates/entry/tests/events.rs
@@ -1,6 +1,6 @@
 //! Events found in a passing stream, however it is cut into chunks.
 
-use kingcupfield_entry::events::Scanner;
+use kingcupfield_entry::events::EventScanner;
 use proptest::prelude::*;
 use yare::parameterized;
 
@@ -26,15 +26,15 @@
     id_in_the_data = { Case { chunks: &["id: 1\ndata: id: 9\n\n"], events: 1, last_id: Some("1"), in_event: false } },
 )]
 fn events_are_found(case: Case) {
-    let mut scanner = Scanner::new();
+    let mut scanner = EventScanner::new();
     let events: u32 = case
         .chunks
         .iter()
         .map(|c| scanner.read(c.as_bytes()).events)
         .sum();
     assert_eq!(events, case.events);
-    assert_eq!(scanner.last_id(), case.last_id);
-    assert_eq!(scanner.in_event(), case.in_event);
+    assert_eq!(scanner.last_event_id(), case.last_id);
+    assert_eq!(scanner.in_partial_event(), case.in_event);
 }
 
 proptest! {
@@ -45,28 +45,28 @@
     #[test]
     fn cuts_change_nothing(lines in proptest::collection::vec("(id: [0-9]{1,3}|data: [a-z]{0,9}|)", 0..30), cuts in proptest::collection::vec(0..200_usize, 0..6)) {
         let text = lines.join("\n");
-        let mut whole = Scanner::new();
+        let mut whole = EventScanner::new();
         let expected = whole.read(text.as_bytes()).events;
         let mut cuts: Vec<usize> = cuts.into_iter().map(|c| c.min(text.len())).collect();
         cuts.extend([0, text.len()]);
         cuts.sort_unstable();
-        let mut parts = Scanner::new();
+        let mut parts = EventScanner::new();
         let mut found = 0;
         for pair in cuts.windows(2) {
             let chunk = &text.as_bytes()[pair[0]..pair[1]];
             let part = parts.read(chunk);
             found += part.events;
-            prop_assert!(part.complete == 0 || chunk[part.complete - 1] == b'\n');
+            prop_assert!(part.complete_bytes == 0 || chunk[part.complete_bytes - 1] == b'\n');
         }
         prop_assert_eq!(found, expected);
-        prop_assert_eq!(parts.last_id(), whole.last_id());
+        prop_assert_eq!(parts.last_event_id(), whole.last_event_id());
     }
 
     /// Any bytes are survived.
     #[test]
     fn any_bytes_are_survived(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-        let mut scanner = Scanner::new();
+        let mut scanner = EventScanner::new();
         let found = scanner.read(&bytes);
-        prop_assert!(found.complete <= bytes.len());
+        prop_assert!(found.complete_bytes <= bytes.len());
     }
 }
