--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -343,7 +343,7 @@
     };
     let id: &UpstreamId = &replica.id;
     if !replica.leaving {
-        node.metrics.count_lapsed();
+        node.metrics.count_expired_replica();
     }
     node.log.line(
         Weight::Notable,
--- a/crates/entry/src/lifecycle.rs
+++ b/crates/entry/src/lifecycle.rs
@@ -143,6 +143,6 @@
     let mut ticks = interval(log::COLLECT);
     loop {
         ticks.tick().await;
-        node.metrics.count_dropped(node.log.flush());
+        node.metrics.count_dropped_lines(node.log.flush());
     }
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -18,24 +18,24 @@
 
 /// What is measured in time, from a request's arrival unless it says otherwise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Timing {
+pub enum Phase {
     /// To its place at a replica.
-    Wait,
+    Queued,
     /// To the first byte of its answer.
-    First,
+    FirstByte,
     /// To the end of its answer.
-    Whole,
+    Complete,
     /// From an event's arrival from the replica until the caller's connection has taken it.
-    Pass,
+    Relay,
 }
 
-impl Timing {
+impl Phase {
     fn name(self) -> &'static str {
         match self {
-            Self::Wait => "wait",
-            Self::First => "first",
-            Self::Whole => "whole",
-            Self::Pass => "pass",
+            Self::Queued => "wait",
+            Self::FirstByte => "first",
+            Self::Complete => "whole",
+            Self::Relay => "pass",
         }
     }
 }
@@ -109,29 +109,29 @@
     }
 
     /// Counts an outcome.
-    pub fn count(&self, outcome: &'static str) {
+    pub fn count_outcome(&self, outcome: &'static str) {
         self.outcomes.with_label_values(&[outcome]).inc();
     }
 
     /// Counts log lines that were left out.
-    pub fn count_dropped(&self, lines: u64) {
+    pub fn count_dropped_lines(&self, lines: u64) {
         self.dropped.inc_by(lines);
     }
 
     /// Counts a replica whose entry lapsed.
-    pub fn count_lapsed(&self) {
+    pub fn count_expired_replica(&self) {
         self.lapsed.inc();
     }
 
     /// Notes a time.
-    pub fn observe(&self, timing: Timing, took: Duration) {
+    pub fn observe(&self, timing: Phase, took: Duration) {
         self.timings
             .with_label_values(&[timing.name()])
             .observe(took.as_secs_f64());
     }
 
     /// All measures as text, with how the instance stands now.
-    pub fn text(&self, node: &Node) -> String {
+    pub fn render(&self, node: &Node) -> String {
         self.take(node);
         TextEncoder::new()
             .encode_to_string(&self.registry.gather())
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -21,7 +21,7 @@
 use crate::events::EventScanner;
 use crate::exchange::{self, Answer};
 use crate::expiry::{Expiry, wait_for_expiry};
-use crate::metrics::Timing;
+use crate::metrics::Phase;
 use crate::node::{Node, Place, Target};
 use crate::pool::Connection;
 use crate::request::{ActiveGuard, RequestContext};
@@ -279,7 +279,7 @@
                         if sent.is_err() {
                             return End::CallerGone;
                         }
-                        node.metrics.observe(Timing::Pass, came.elapsed());
+                        node.metrics.observe(Phase::Relay, came.elapsed());
                     }
                     over = &mut over => return End::Expired(over),
                 }
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -19,7 +19,7 @@
 use crate::admission::{charge, pick_service, read_body, resolve};
 use crate::credit::{self, Charged};
 use crate::expiry::{Expiry, wait_for_expiry};
-use crate::metrics::Timing;
+use crate::metrics::Phase;
 use crate::node::{Node, Stage};
 use crate::refusal::{Kind, Refusal};
 use crate::relay::Body;
@@ -198,7 +198,7 @@
                 Err(Expiry::Shutdown) => return Err(self.ends_with_process(node)),
             };
             self.waited = self.received.elapsed();
-            node.metrics.observe(Timing::Wait, self.waited);
+            node.metrics.observe(Phase::Queued, self.waited);
             self.recheck(node)?;
             let Some(target) = self.target(node, &place) else {
                 continue;
--- a/crates/entry/src/request/sending.rs
+++ b/crates/entry/src/request/sending.rs
@@ -11,7 +11,7 @@
 use crate::adapter::ForwardInfo;
 use crate::exchange::{self, Answer, Failure};
 use crate::expiry::wait_for_expiry;
-use crate::metrics::Timing;
+use crate::metrics::Phase;
 use crate::node::{Node, Place, Target};
 use crate::refusal::Refusal;
 use crate::relay::{self, Body};
@@ -125,7 +125,8 @@
         active: &mut Option<ActiveGuard>,
     ) -> Next {
         if self.route.kind.is_stream() && answer.head.status.is_success() {
-            node.metrics.observe(Timing::First, self.received.elapsed());
+            node.metrics
+                .observe(Phase::FirstByte, self.received.elapsed());
             let ctx = self.take();
             let active = active.take();
             let response = relay::start(
--- a/crates/entry/src/request_log.rs
+++ b/crates/entry/src/request_log.rs
@@ -13,7 +13,7 @@
 use crate::adapter::RequestMeta;
 use crate::exchange::Failure;
 use crate::log::Weight;
-use crate::metrics::Timing;
+use crate::metrics::Phase;
 use crate::node::{Node, Place, Stage};
 use crate::refusal::Refusal;
 use crate::request::RequestContext;
@@ -47,7 +47,7 @@
 
 /// A send brought no answer of the replica.
 pub fn log_send_failed(node: &Node, ctx: &RequestContext, replica: &UpstreamId, failure: Failure) {
-    node.metrics.count(failure.as_str());
+    node.metrics.count_outcome(failure.as_str());
     node.log.line(
         Weight::Notable,
         format_args!(
@@ -63,7 +63,7 @@
 /// The instance gives its own answer.
 pub fn log_refused(node: &Node, meta: &RequestMeta, received: Instant, refusal: &Refusal) {
     let kind = refusal.kind.answer().name;
-    node.metrics.count(kind);
+    node.metrics.count_outcome(kind);
     node.log.line(
         Weight::Notable,
         format_args!(
@@ -90,8 +90,8 @@
     pause: Duration,
 ) {
     let whole = ctx.received.elapsed();
-    node.metrics.observe(Timing::Whole, whole);
-    node.metrics.count("answered");
+    node.metrics.observe(Phase::Complete, whole);
+    node.metrics.count_outcome("answered");
     // A replica's own failure is what its caller complains about.
     let weight = if status >= 500 {
         Weight::Notable
@@ -123,7 +123,7 @@
     how: &'static str,
     last_event: Option<&str>,
 ) {
-    node.metrics.count(how);
+    node.metrics.count_outcome(how);
     node.log.line(
         Weight::Notable,
         format_args!(
@@ -175,7 +175,7 @@
             Stage::Ended => "cut",
             _ => "caller_left",
         };
-        self.node.metrics.count(event);
+        self.node.metrics.count_outcome(event);
         let replica = self.replica.as_deref().unwrap_or("-");
         self.node.log.line(
             Weight::Notable,
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -146,7 +146,7 @@
 pub async fn serve_peers(node: Rc<Node>, listener: TcpListener) {
     serve_small(node, listener, |node, req| match req.uri().path() {
         SNAPSHOT_PATH => tell_directory(node, req.uri().query().unwrap_or_default()),
-        METRICS_PATH => text(node.metrics.text(node)),
+        METRICS_PATH => text(node.metrics.render(node)),
         _ => request::empty_response(StatusCode::NOT_FOUND),
     })
     .await;
