--- a/crates/entry/src/credit.rs
+++ b/crates/entry/src/credit.rs
@@ -9,7 +9,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep};
 
-use crate::log::Weight;
+use crate::log::Priority;
 use crate::node::{Node, Stage};
 use crate::peers::PeerMessage;
 use crate::settings::Settings;
@@ -143,7 +143,7 @@
     let mut ledger = node.ledger.borrow_mut();
     if ledger.mints() != roster.mints_since.is_some() {
         node.log.line(
-            Weight::Notable,
+            Priority::High,
             format_args!(
                 "event=credit mints={} zone_size={}",
                 roster.mints_since.is_some(),
--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -15,7 +15,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::adapter::{DirectoryError, Listing, ParsedEntry};
-use crate::log::Weight;
+use crate::log::Priority;
 use crate::node::Node;
 use crate::replica::Published;
 use crate::snapshot;
@@ -94,7 +94,7 @@
         if failures == 1 || failures % 16 == 0 {
             let reason = e.to_string();
             node.log.line(
-                Weight::Notable,
+                Priority::High,
                 format_args!("event=directory_lost failures={failures} reason={reason:?}"),
             );
         }
@@ -149,10 +149,8 @@
                 }
             }
             Err(DirectoryError::HistoryCompacted) => {
-                node.log.line(
-                    Weight::Notable,
-                    format_args!("event=directory_history_gone"),
-                );
+                node.log
+                    .line(Priority::High, format_args!("event=directory_history_gone"));
                 node.relist.set(true);
                 // A store that forgets what it has just listed would be listed in a loop.
                 sleep_until(listed + LIST_AGAIN).await;
@@ -167,7 +165,7 @@
     node.on_store_answer();
     if *failures > 0 {
         node.log.line(
-            Weight::Notable,
+            Priority::High,
             format_args!("event=directory_regained failures={failures}"),
         );
     }
@@ -181,7 +179,7 @@
         .borrow_mut()
         .take_list(listing.revision, listing.entries);
     node.log.line(
-        Weight::Notable,
+        Priority::High,
         format_args!(
             "event=directory_list upto={} entries={entries} changed={}",
             listing.revision,
@@ -235,7 +233,7 @@
     match snapshot::fetch(peer, upto).await {
         Ok(snapshot) => {
             node.log.line(
-                Weight::Notable,
+                Priority::High,
                 format_args!(
                     "event=directory_from_peer peer={peer} upto={} before={upto}",
                     snapshot.upto
@@ -247,7 +245,7 @@
             take_snapshot(node, snapshot.upto, snapshot.entries);
         }
         Err(e) => node.log.line(
-            Weight::Notable,
+            Priority::High,
             format_args!(
                 "event=peer_unreachable peer={peer} reason={:?}",
                 e.to_string()
@@ -346,7 +344,7 @@
         node.metrics.count_expired_replica();
     }
     node.log.line(
-        Weight::Notable,
+        Priority::High,
         format_args!("event=replica_gone replica={id} store_trouble={trouble}"),
     );
     if trouble && !replica.leaving {
@@ -370,11 +368,11 @@
             }
             ParsedEntry::DrainedZone(zone) => self.emptied = Some(zone),
             ParsedEntry::InvalidReplica(reason) => node.log.line(
-                Weight::Notable,
+                Priority::High,
                 format_args!("event=replica_unreadable key={key:?} reason={reason:?}"),
             ),
             ParsedEntry::InvalidTable(reason) => node.log.line(
-                Weight::Notable,
+                Priority::High,
                 format_args!("event=table_unreadable reason={reason:?}"),
             ),
             ParsedEntry::Other => {}
@@ -385,7 +383,7 @@
 fn tell_replica(node: &Node, replica: &Published) {
     let cold_ms = replica.cold_for().as_millis();
     node.log.line(
-        Weight::Notable,
+        Priority::High,
         format_args!(
             "event=replica replica={} service={} address={} zone={} born={} leaving={} cold_ms={cold_ms}",
             replica.id,
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -16,7 +16,7 @@
 
 use crate::credit;
 use crate::hearing;
-use crate::log::{self, Weight};
+use crate::log::{self, Priority};
 use crate::node::Node;
 use crate::outbox::{self, Gathered};
 use crate::peers::{Digest, Peer, PeerMessage, Reach};
@@ -222,7 +222,7 @@
         let lost = self.relays.see(now, self.own.to_bits(), &heard, sent_at);
         for relay in lost.into_iter().map(Ipv4Addr::from_bits) {
             node.log.line(
-                Weight::Notable,
+                Priority::High,
                 format_args!("event=relay_passed_over peer={relay}"),
             );
         }
@@ -363,7 +363,7 @@
         };
         if matches!(telling, Telling::Full | Telling::Greeting) {
             digest.steps = own_steps(node);
-            digest.time_ms = u64::try_from(log::now_ms()).ok();
+            digest.time_ms = u64::try_from(log::unix_time_ms()).ok();
         }
         if telling == Telling::Greeting {
             digest.greeting = true;
--- a/crates/entry/src/hearing.rs
+++ b/crates/entry/src/hearing.rs
@@ -10,7 +10,7 @@
 
 use crate::credit;
 use crate::directory;
-use crate::log::{self, Weight};
+use crate::log::{self, Priority};
 use crate::node::Node;
 use crate::peers::{Digest, PeerMessage, Reach};
 
@@ -34,7 +34,7 @@
             Ok(PeerMessage::Relayed(digests)) => on_relayed(&node, sender, digests),
             Ok(PeerMessage::Credit(message)) => credit::receive(&node, *from.ip(), message),
             Err(e) => node.log.line(
-                Weight::Notable,
+                Priority::High,
                 format_args!("event=peer_message_bad from={from} reason={e:?}"),
             ),
         }
@@ -78,10 +78,8 @@
     let heard = node.peers.borrow_mut().on_digest(now, from, digest);
     tell_silent(node, &heard.silent);
     if heard.is_new {
-        node.log.line(
-            Weight::Notable,
-            format_args!("event=peer_heard peer={from}"),
-        );
+        node.log
+            .line(Priority::High, format_args!("event=peer_heard peer={from}"));
     }
     if let Some(time_ms) = time_ms {
         take_clock(node, from, time_ms);
@@ -116,7 +114,7 @@
 fn tell_silent(node: &Node, silent: &[Ipv4Addr]) {
     for peer in silent {
         node.log.line(
-            Weight::Notable,
+            Priority::High,
             format_args!("event=peer_silent peer={peer}"),
         );
     }
@@ -124,11 +122,11 @@
 
 /// Tells how another instance's time of day differs, which those need who read several logs.
 fn take_clock(node: &Node, from: Ipv4Addr, time_ms: u64) {
-    let own = u64::try_from(log::now_ms()).unwrap_or(u64::MAX);
+    let own = u64::try_from(log::unix_time_ms()).unwrap_or(u64::MAX);
     let ahead_ms = time_ms.cast_signed().saturating_sub(own.cast_signed());
     if node.peers.borrow_mut().on_clock(from, ahead_ms) {
         node.log.line(
-            Weight::Notable,
+            Priority::High,
             format_args!("event=peer_clock peer={from} ahead_ms={ahead_ms}"),
         );
     }
--- a/crates/entry/src/lifecycle.rs
+++ b/crates/entry/src/lifecycle.rs
@@ -10,7 +10,7 @@
 use tokio::time::{Instant, interval, sleep};
 
 use crate::adapter::{DirectoryClient, ProtocolAdapter};
-use crate::log::{self, Weight};
+use crate::log::{self, Priority};
 use crate::node::{Node, Stage};
 use crate::settings::Settings;
 use crate::shutdown::Stop;
@@ -41,7 +41,7 @@
     // Requests and streams that are dropped now say so in the log.
     drop(local);
     node.log
-        .line(Weight::Notable, format_args!("event=ended taken={taken}"));
+        .line(Priority::High, format_args!("event=ended taken={taken}"));
     node.log.close();
     Ok(())
 }
@@ -61,7 +61,7 @@
     let datagrams = UdpSocket::bind((cfg.address(), cfg.peer_port)).await?;
     let node = Node::new(cfg, protocol, directory_client);
     node.log.line(
-        Weight::Notable,
+        Priority::High,
         format_args!(
             "event=start instance={} listen={} ready_listen={} peer_listen={}",
             node.settings().instance,
@@ -131,7 +131,7 @@
         }
         if let Some(slept) = node.clock.woke() {
             node.log.line(
-                Weight::Notable,
+                Priority::High,
                 format_args!("event=woke suspended_ms={}", slept.as_millis()),
             );
             node.reread.notify_one();
@@ -140,7 +140,7 @@
 }
 
 async fn flush_log(node: Rc<Node>) {
-    let mut ticks = interval(log::COLLECT);
+    let mut ticks = interval(log::FLUSH_INTERVAL);
     loop {
         ticks.tick().await;
         node.metrics.count_dropped_lines(node.log.flush());
--- a/crates/entry/src/log.rs
+++ b/crates/entry/src/log.rs
@@ -20,7 +20,7 @@
 const NOTABLE_A_SECOND: u32 = 200;
 
 /// Lines are collected for this long, so that the writing thread wakes rarely.
-pub const COLLECT: Duration = Duration::from_millis(250);
+pub const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Batches that may wait for a reader that stands still.
 const BATCHES: usize = 8;
@@ -30,11 +30,11 @@
 
 /// How much a line matters when there are too many.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Weight {
+pub enum Priority {
     /// An ordinary outcome.
-    Ordinary,
+    Low,
     /// A failure, a refusal or a change of what the instance believes.
-    Notable,
+    High,
 }
 
 #[derive(Debug)]
@@ -85,13 +85,13 @@
     }
 
     /// Writes one event.
-    pub fn line(&self, weight: Weight, pairs: fmt::Arguments<'_>) {
+    pub fn line(&self, priority: Priority, pairs: fmt::Arguments<'_>) {
         let mut state = self.state.borrow_mut();
-        if !state.admits(weight) {
+        if !state.admits(priority) {
             state.dropped += 1;
             return;
         }
-        let _ = writeln!(state.buf, "time_ms={} {pairs}", now_ms());
+        let _ = writeln!(state.buf, "time_ms={} {pairs}", unix_time_ms());
     }
 
     /// Hands the collected lines to the writing thread; returns how many were left out since the
@@ -103,7 +103,7 @@
             let _ = writeln!(
                 state.buf,
                 "time_ms={} event=log_dropped lines={dropped}",
-                now_ms()
+                unix_time_ms()
             );
         }
         if state.buf.is_empty() {
@@ -136,7 +136,7 @@
 }
 
 /// Time of day in milliseconds; it may differ between machines.
-pub fn now_ms() -> u128 {
+pub fn unix_time_ms() -> u128 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -144,15 +144,15 @@
 }
 
 impl State {
-    fn admits(&mut self, weight: Weight) -> bool {
+    fn admits(&mut self, priority: Priority) -> bool {
         if self.second.elapsed() >= Duration::from_secs(1) {
             self.second = Instant::now();
             self.ordinary = 0;
             self.notable = 0;
         }
-        let (used, most) = match weight {
-            Weight::Ordinary => (&mut self.ordinary, ORDINARY_A_SECOND),
-            Weight::Notable => (&mut self.notable, NOTABLE_A_SECOND),
+        let (used, most) = match priority {
+            Priority::Low => (&mut self.ordinary, ORDINARY_A_SECOND),
+            Priority::High => (&mut self.notable, NOTABLE_A_SECOND),
         };
         *used += 1;
         *used <= most
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -22,7 +22,7 @@
 use crate::clock::Clock;
 use crate::credit;
 use crate::directory::Reader;
-use crate::log::{Log, Weight};
+use crate::log::{Log, Priority};
 use crate::metrics::Metrics;
 use crate::outbox::Outbox;
 use crate::peers::Peers;
@@ -259,7 +259,7 @@
         }
         let version = table.version;
         self.log.line(
-            Weight::Notable,
+            Priority::High,
             format_args!("event=table version={version} before={held}"),
         );
         *self.table.borrow_mut() = Some(table);
--- a/crates/entry/src/node/replicas.rs
+++ b/crates/entry/src/node/replicas.rs
@@ -11,7 +11,7 @@
 
 use super::Node;
 use crate::gossip;
-use crate::log::Weight;
+use crate::log::Priority;
 use crate::pool::Pool;
 use crate::replica::Published;
 use crate::table::ColdStart;
@@ -47,7 +47,7 @@
         ] {
             for zone in zones {
                 self.log
-                    .line(Weight::Notable, format_args!("event={event} zone={zone}"));
+                    .line(Priority::High, format_args!("event={event} zone={zone}"));
             }
         }
     }
--- a/crates/entry/src/reload.rs
+++ b/crates/entry/src/reload.rs
@@ -10,7 +10,7 @@
 use tokio::signal::unix::Signal;
 use tokio::time::interval;
 
-use crate::log::Weight;
+use crate::log::Priority;
 use crate::node::Node;
 use crate::settings::Settings;
 
@@ -45,7 +45,7 @@
         Err(e) => {
             let reason = e.to_string();
             node.log.line(
-                Weight::Notable,
+                Priority::High,
                 format_args!("event=reload changed=false reason={reason:?}"),
             );
             return;
@@ -57,7 +57,7 @@
         .partition(|field| Settings::ADJUSTABLE.contains(field));
     node.adjust(&cfg);
     node.log.line(
-        Weight::Notable,
+        Priority::High,
         format_args!(
             "event=reload changed={} in_force={} at_next_start={}",
             !changed.is_empty(),
--- a/crates/entry/src/request_log.rs
+++ b/crates/entry/src/request_log.rs
@@ -12,7 +12,7 @@
 
 use crate::adapter::RequestMeta;
 use crate::exchange::Failure;
-use crate::log::Weight;
+use crate::log::Priority;
 use crate::metrics::Phase;
 use crate::node::{Node, Place, Stage};
 use crate::refusal::Refusal;
@@ -23,7 +23,7 @@
     let why = place.why;
     let organisation = ctx.organisation.as_ref().map_or("-", |o| &*o.name);
     node.log.line(
-        Weight::Ordinary,
+        Priority::Low,
         format_args!(
             "event=sent id={} replica={} service={} route={} organisation={organisation} table={} wait_ms={} try={} cost_ms={:.0} with_room={} own={} elsewhere={} elsewhere_age_ms={} cold={} credit_ms={} keeper={}",
             ctx.meta.attempt_id,
@@ -49,7 +49,7 @@
 pub fn log_send_failed(node: &Node, ctx: &RequestContext, replica: &UpstreamId, failure: Failure) {
     node.metrics.count_outcome(failure.as_str());
     node.log.line(
-        Weight::Notable,
+        Priority::High,
         format_args!(
             "event=send_failed id={} replica={replica} how={} runs={} after_ms={}",
             ctx.meta.attempt_id,
@@ -65,7 +65,7 @@
     let kind = refusal.kind.answer().name;
     node.metrics.count_outcome(kind);
     node.log.line(
-        Weight::Notable,
+        Priority::High,
         format_args!(
             "event=refused id={} kind={kind} ran={} retry_after_ms={} after_ms={} table={} reason={:?}",
             meta.attempt_id,
@@ -93,13 +93,13 @@
     node.metrics.observe(Phase::Complete, whole);
     node.metrics.count_outcome("answered");
     // A replica's own failure is what its caller complains about.
-    let weight = if status >= 500 {
-        Weight::Notable
+    let priority = if status >= 500 {
+        Priority::High
     } else {
-        Weight::Ordinary
+        Priority::Low
     };
     node.log.line(
-        weight,
+        priority,
         format_args!(
             "event=answered id={} replica={replica} status={status} runs={} route={} wait_ms={} first_ms={} pause_ms={} whole_ms={} prompt={} likely={}",
             ctx.meta.attempt_id,
@@ -125,7 +125,7 @@
 ) {
     node.metrics.count_outcome(how);
     node.log.line(
-        Weight::Notable,
+        Priority::High,
         format_args!(
             "event=stream_ended id={} how={how} replica={replica} after_ms={} runs={} last_event={last_event:?}",
             ctx.meta.attempt_id,
@@ -178,7 +178,7 @@
         self.node.metrics.count_outcome(event);
         let replica = self.replica.as_deref().unwrap_or("-");
         self.node.log.line(
-            Weight::Notable,
+            Priority::High,
             format_args!(
                 "event={event} id={} replica={replica} after_ms={}",
                 self.id,
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 
 use crate::accept_queue::Queue;
-use crate::log::Weight;
+use crate::log::Priority;
 use crate::node::{Node, Stage};
 use crate::request;
 use crate::snapshot::{SNAPSHOT_PATH, Snapshot};
@@ -77,10 +77,8 @@
     });
     if let Err(e) = result {
         // The rest of the queue is reset; its callers may ask another instance.
-        node.log.line(
-            Weight::Notable,
-            format_args!("event=queue_cut reason={e:?}"),
-        );
+        node.log
+            .line(Priority::High, format_args!("event=queue_cut reason={e:?}"));
     }
 }
 
--- a/crates/entry/src/shutdown.rs
+++ b/crates/entry/src/shutdown.rs
@@ -14,7 +14,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-use crate::log::Weight;
+use crate::log::Priority;
 use crate::node::{Node, Stage};
 
 /// How long connections stay open after the order to stop: the balancer notices after two of its
@@ -143,7 +143,7 @@
 /// Tells the log of a stage, with what the process has of its callers.
 fn tell(node: &Node, event: std::fmt::Arguments<'_>) {
     node.log.line(
-        Weight::Notable,
+        Priority::High,
         format_args!(
             "{event} active={} connections={} taken={}",
             node.active.get(),
