--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -141,7 +141,7 @@
     ) -> Rc<Self> {
         let now = Instant::now();
         let mut ledger = Ledger::new(cfg.address().to_bits(), rand::random());
-        ledger.set_bounds(cfg.limit_window(), cfg.tolerance());
+        ledger.set_bounds(cfg.limit_window(), cfg.credit_tolerance());
         Rc::new(Self {
             protocol,
             directory_client,
@@ -152,7 +152,7 @@
             verdicts: RefCell::new(Vec::new()),
             credit_waits: Notify::new(),
             peer_socket: OnceCell::new(),
-            repeats: RefCell::new(Repeats::new(cfg.repeat_bounds())),
+            repeats: RefCell::new(Repeats::new(cfg.retry_bounds())),
             known: RefCell::new(Known::new()),
             peers: RefCell::new(
                 Peers::new(now, cfg.address(), cfg.has_other_contacts())
@@ -194,10 +194,10 @@
     /// Takes from newer settings what takes effect while the process runs.
     pub fn adjust(&self, newer: &Settings) {
         let mut cfg = Settings::clone(&self.settings());
-        cfg.adjust(newer);
-        self.repeats.borrow_mut().set_bounds(cfg.repeat_bounds());
+        cfg.apply_reloadable(newer);
+        self.repeats.borrow_mut().set_bounds(cfg.retry_bounds());
         let mut ledger = self.ledger.borrow_mut();
-        ledger.set_bounds(cfg.limit_window(), cfg.tolerance());
+        ledger.set_bounds(cfg.limit_window(), cfg.credit_tolerance());
         drop(ledger);
         *self.cfg.borrow_mut() = Rc::new(cfg);
     }
--- a/crates/entry/src/node/replicas.rs
+++ b/crates/entry/src/node/replicas.rs
@@ -161,7 +161,7 @@
             usable: !published.leaving && !self.emptied.borrow().has(&published.zone),
             home: published.zone == cfg.availability_zone,
             cold_until: self.cold_until(published, cold),
-            bearable: cold.map(|cold| cfg.bearable(cold.per_s)),
+            bearable: cold.map(|cold| cfg.cold_rate(cold.per_s)),
         }
     }
 
--- a/crates/entry/src/reload.rs
+++ b/crates/entry/src/reload.rs
@@ -54,7 +54,7 @@
     let changed = node.settings().differences(&cfg);
     let (now, at_start): (Vec<&str>, Vec<&str>) = changed
         .iter()
-        .partition(|field| Settings::ADJUSTABLE.contains(field));
+        .partition(|field| Settings::RELOADABLE.contains(field));
     node.adjust(&cfg);
     node.log.line(
         Priority::High,
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -63,18 +63,18 @@
     pub limit_window_s: f64,
     /// By how much an organisation may pass its limit in a span.
     #[serde(default)]
-    pub limit_tolerance: ToleranceSettings,
+    pub limit_tolerance: LimitToleranceSettings,
     /// Bounds on requests that are sent to one more replica.
-    pub repeats: RepeatSettings,
+    pub repeats: RetrySettings,
     /// By how much cold replicas may get more than they bear.
     #[serde(default)]
-    pub cold_tolerance: ColdTolerance,
+    pub cold_tolerance: ColdToleranceSettings,
 }
 
 /// Tolerance of limits, as the operator gives it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ToleranceSettings {
+pub struct LimitToleranceSettings {
     /// As a part of what a limit allows in the window.
     pub part: f64,
     /// Beside that, in the unit of the limit.
@@ -84,14 +84,14 @@
 /// Tolerance of requests to cold replicas, as the operator gives it.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ColdTolerance {
+pub struct ColdToleranceSettings {
     /// Requests in a second, as a multiple of what a cold replica bears.
     pub times: f64,
     /// Requests beside that.
     pub extra: f64,
 }
 
-impl Default for ColdTolerance {
+impl Default for ColdToleranceSettings {
     /// Nothing beyond what a replica bears.
     fn default() -> Self {
         Self {
@@ -104,7 +104,7 @@
 /// Bounds on repeats, as the operator gives them.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RepeatSettings {
+pub struct RetrySettings {
     /// Repeats for each request.
     pub ratio: f64,
     /// Seconds over which both are counted.
@@ -115,7 +115,7 @@
 
 impl Settings {
     /// Fields that take effect while the process runs.
-    pub const ADJUSTABLE: [&'static str; 6] = [
+    pub const RELOADABLE: [&'static str; 6] = [
         "contacts",
         "grace_s",
         "limit_window_s",
@@ -171,7 +171,7 @@
     }
 
     /// Takes from `other` what takes effect while the process runs.
-    pub fn adjust(&mut self, other: &Self) {
+    pub fn apply_reloadable(&mut self, other: &Self) {
         self.contacts.clone_from(&other.contacts);
         self.grace_s = other.grace_s;
         self.limit_window_s = other.limit_window_s;
@@ -221,7 +221,7 @@
     }
 
     /// By how much a limit may be passed.
-    pub fn tolerance(&self) -> Tolerance {
+    pub fn credit_tolerance(&self) -> Tolerance {
         Tolerance {
             part: self.limit_tolerance.part,
             fixed: self.limit_tolerance.fixed,
@@ -229,7 +229,7 @@
     }
 
     /// Bounds on repeats.
-    pub fn repeat_bounds(&self) -> RepeatBounds {
+    pub fn retry_bounds(&self) -> RepeatBounds {
         RepeatBounds {
             ratio: self.repeats.ratio,
             window: Duration::from_secs_f64(self.repeats.window_s),
@@ -238,7 +238,7 @@
     }
 
     /// What cold replicas of a service bear.
-    pub fn bearable(&self, per_s: f64) -> Bearable {
+    pub fn cold_rate(&self, per_s: f64) -> Bearable {
         Bearable {
             per_s,
             tolerated: per_s * self.cold_tolerance.times + self.cold_tolerance.extra,
