--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -16,7 +16,7 @@
 use crate::adapter::RequestMeta;
 use crate::credit::{self, Charged, Uncharged};
 use crate::node::{Node, Stage};
-use crate::refusal::{Kind, Refusal};
+use crate::refusal::{Refusal, RefusalKind};
 use crate::table::{Organisation, Route, Table};
 
 /// Advice where the instance knows no table yet or ends: another one answers the next try.
@@ -43,9 +43,12 @@
     match collected {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
-            Err(Refusal::new(Kind::TooLarge))
+            Err(Refusal::new(RefusalKind::TooLarge))
+        }
+        _ => {
+            Err(Refusal::new(RefusalKind::BadRequest)
+                .with_message("the body did not come in whole"))
         }
-        _ => Err(Refusal::new(Kind::BadRequest).with_message("the body did not come in whole")),
     }
 }
 
@@ -84,7 +87,7 @@
         .unwrap_or_default();
     let route = table.route(host, head.uri.path()).ok_or_else(|| {
         let reason = format!("no route for {host:?} {:?}", head.uri.path());
-        Refusal::new(Kind::NotFound).with_message(reason)
+        Refusal::new(RefusalKind::NotFound).with_message(reason)
     })?;
     let organisation = meta.api_key.as_deref().and_then(|k| table.organisation(k));
     if table.keyed() && !route.public && organisation.is_none() {
@@ -92,7 +95,7 @@
             Some(_) => "the table has no such key",
             None => "no key",
         };
-        return Err(Refusal::new(Kind::Unauthorized).with_message(reason));
+        return Err(Refusal::new(RefusalKind::Unauthorized).with_message(reason));
     }
     Ok((Rc::clone(route), organisation.cloned()))
 }
@@ -158,7 +161,7 @@
         waited.as_millis(),
     );
     let Verdict::Denied { wait_ms, stock } = verdict else {
-        return Refusal::new(Kind::Unavailable)
+        return Refusal::new(RefusalKind::Unavailable)
             .with_message(format!("{wanted}, no answer"))
             .with_retry_after(COME_BACK_SOON);
     };
@@ -186,7 +189,7 @@
 /// Refuses a request that would pass after `seconds`.
 fn limited(seconds: f64, reason: String) -> Refusal {
     let after = seconds.clamp(0.2, 10.0) * rand::rng().random_range(1.0..1.3);
-    Refusal::new(Kind::Limited)
+    Refusal::new(RefusalKind::Limited)
         .with_message(reason)
         .with_retry_after(Duration::from_secs_f64(after))
 }
--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -8,7 +8,7 @@
 /// What went wrong for a caller. The list is closed: every refusal has one of these kinds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum RefusalKind {
     /// The request cannot be understood.
     BadRequest,
     /// No key, or a key that the table does not hold.
@@ -62,9 +62,9 @@
 
 /// How one kind is answered.
 #[derive(Debug)]
-pub struct Answer {
+pub struct ErrorResponse {
     /// The kind.
-    pub kind: Kind,
+    pub kind: RefusalKind,
     /// HTTP status.
     pub status: StatusCode,
     /// Name in the error body, logs and metrics.
@@ -81,90 +81,90 @@
 /// change of membership or of the list is known everywhere.
 const SOON: Duration = Duration::from_secs(1);
 
-/// The table from kind to answer, in the order of [`Kind`].
-pub const ANSWERS: [Answer; 13] = [
-    answer(
-        Kind::BadRequest,
+/// The table from kind to answer, in the order of [`RefusalKind`].
+pub const ERROR_RESPONSES: [ErrorResponse; 13] = [
+    response(
+        RefusalKind::BadRequest,
         StatusCode::BAD_REQUEST,
         "bad_request",
         "the request cannot be understood",
         Ran::No,
     ),
-    answer(
-        Kind::Unauthorized,
+    response(
+        RefusalKind::Unauthorized,
         StatusCode::UNAUTHORIZED,
         "unauthorized",
         "no valid key in Authorization: Bearer KEY",
         Ran::No,
     ),
-    answer(
-        Kind::Forbidden,
+    response(
+        RefusalKind::Forbidden,
         StatusCode::FORBIDDEN,
         "forbidden",
         "the organisation may not do this",
         Ran::No,
     ),
-    answer(
-        Kind::NotFound,
+    response(
+        RefusalKind::NotFound,
         StatusCode::NOT_FOUND,
         "not_found",
         "no such path, model, service or request",
         Ran::No,
     ),
-    answer(
-        Kind::KeyConflict,
+    response(
+        RefusalKind::KeyConflict,
         StatusCode::CONFLICT,
         "key_conflict",
         "the idempotency key cannot be used for this call",
         Ran::No,
     ),
-    answer(
-        Kind::TooLarge,
+    response(
+        RefusalKind::TooLarge,
         StatusCode::PAYLOAD_TOO_LARGE,
         "too_large",
         "the body is larger than the limit",
         Ran::No,
     ),
-    answer(
-        Kind::KeyRequired,
+    response(
+        RefusalKind::KeyRequired,
         StatusCode::PRECONDITION_REQUIRED,
         "key_required",
         "this call needs an Idempotency-Key from POST /v1/idempotency-keys",
         Ran::No,
     ),
-    refusal(
-        Kind::Limited,
+    retryable_response(
+        RefusalKind::Limited,
         StatusCode::TOO_MANY_REQUESTS,
         "limited",
         "the organisation's limit is used up",
     ),
-    refusal(
-        Kind::Shed,
+    retryable_response(
+        RefusalKind::Shed,
         StatusCode::SERVICE_UNAVAILABLE,
         "shed",
         "capacity is short for this tier",
     ),
-    refusal(
-        Kind::Unavailable,
+    retryable_response(
+        RefusalKind::Unavailable,
         StatusCode::SERVICE_UNAVAILABLE,
         "unavailable",
         "the instance cannot serve this now",
     ),
-    refusal(
-        Kind::Deadline,
+    retryable_response(
+        RefusalKind::Deadline,
         StatusCode::GATEWAY_TIMEOUT,
         "deadline",
         "the deadline cannot be met",
     ),
-    answer(
-        Kind::UpstreamBroke,
+    response(
+        RefusalKind::UpstreamBroke,
         StatusCode::BAD_GATEWAY,
         "upstream_broke",
         "the upstream broke after the request was dispatched",
         Ran::Yes,
     ),
-    answer(
-        Kind::Unknown,
+    response(
+        RefusalKind::Unknown,
         StatusCode::BAD_GATEWAY,
         "unknown",
         "whether the call ran cannot be known",
@@ -172,14 +172,14 @@
     ),
 ];
 
-const fn answer(
-    kind: Kind,
+const fn response(
+    kind: RefusalKind,
     status: StatusCode,
     name: &'static str,
     message: &'static str,
     ran: Ran,
-) -> Answer {
-    Answer {
+) -> ErrorResponse {
+    ErrorResponse {
         kind,
         status,
         name,
@@ -189,40 +189,40 @@
     }
 }
 
-/// Like [`answer`], for refusals of which the caller may try again.
-const fn refusal(
-    kind: Kind,
+/// Like [`response`], for refusals of which the caller may try again.
+const fn retryable_response(
+    kind: RefusalKind,
     status: StatusCode,
     name: &'static str,
     message: &'static str,
-) -> Answer {
-    Answer {
+) -> ErrorResponse {
+    ErrorResponse {
         retry_after: Some(SOON),
-        ..answer(kind, status, name, message, Ran::No)
+        ..response(kind, status, name, message, Ran::No)
     }
 }
 
-impl Kind {
+impl RefusalKind {
     /// The kind with this name in error bodies.
     pub fn from_name(name: &str) -> Option<Self> {
-        ANSWERS
+        ERROR_RESPONSES
             .iter()
             .find(|row| row.name == name)
             .map(|row| row.kind)
     }
 
-    /// The row of [`ANSWERS`] for this kind.
-    pub fn answer(self) -> &'static Answer {
-        &ANSWERS[self as usize]
+    /// The row of [`ERROR_RESPONSES`] for this kind.
+    pub fn error_response(self) -> &'static ErrorResponse {
+        &ERROR_RESPONSES[self as usize]
     }
 }
 
 /// Why a request was not answered by an upstream.
 #[derive(Debug, Clone, thiserror::Error)]
-#[error("{}: {message}", kind.answer().name)]
+#[error("{}: {message}", kind.error_response().name)]
 pub struct Refusal {
     /// The kind, which decides the status.
-    pub kind: Kind,
+    pub kind: RefusalKind,
     /// What the caller reads.
     pub message: String,
     /// Whether the upstream ran the request.
@@ -233,8 +233,8 @@
 
 impl Refusal {
     /// Makes a refusal with the message and the `ran` of the table.
-    pub fn new(kind: Kind) -> Self {
-        let row = kind.answer();
+    pub fn new(kind: RefusalKind) -> Self {
+        let row = kind.error_response();
         Self {
             kind,
             message: row.message.to_owned(),
@@ -267,13 +267,13 @@
 
 #[cfg(test)]
 mod tests {
-    use super::ANSWERS;
+    use super::ERROR_RESPONSES;
 
     #[test]
     fn each_kind_stands_at_its_own_row() {
-        for (i, row) in ANSWERS.iter().enumerate() {
+        for (i, row) in ERROR_RESPONSES.iter().enumerate() {
             assert_eq!(row.kind as usize, i, "{}", row.name);
-            assert_eq!(row.kind.answer().name, row.name);
+            assert_eq!(row.kind.error_response().name, row.name);
         }
     }
 }
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -21,7 +21,7 @@
 use crate::expiry::{Expiry, wait_for_expiry};
 use crate::metrics::Phase;
 use crate::node::{Node, Stage};
-use crate::refusal::{Kind, Refusal};
+use crate::refusal::{Refusal, RefusalKind};
 use crate::relay::Body;
 use crate::request_log::{self, UnansweredGuard};
 use crate::table::{Organisation, Route, Table};
@@ -111,7 +111,7 @@
     let table = wait_for_table(node, &meta).await?;
     let (route, organisation) = resolve(&table, &head, &meta)?;
     if meta.attempt_id.is_empty() {
-        return Err(Refusal::new(Kind::BadRequest).with_message("the request has no id"));
+        return Err(Refusal::new(RefusalKind::BadRequest).with_message("the request has no id"));
     }
     let service =
         pick_service(&route).ok_or_else(|| unavailable("the route leads to no service"))?;
--- a/crates/entry/src/request/refusing.rs
+++ b/crates/entry/src/request/refusing.rs
@@ -13,7 +13,7 @@
 use crate::exchange::Failure;
 use crate::expiry::Expiry;
 use crate::node::Node;
-use crate::refusal::{Kind, Ran, Refusal};
+use crate::refusal::{Ran, Refusal, RefusalKind};
 use crate::table::{Organisation, Route, regions};
 
 /// Advice on when to come back: bursts last two to five seconds. Callers take a third of the time
@@ -35,7 +35,7 @@
         organisation.map_or("-", |o| &*o.name),
         organisation.map_or_else(Regions::all, |o| o.regions.clone()),
     );
-    Err(Refusal::new(Kind::Shed)
+    Err(Refusal::new(RefusalKind::Shed)
         .with_message(reason)
         .with_retry_after(come_back()))
 }
@@ -59,7 +59,7 @@
 
 /// Another instance, or this one a moment later, can serve the request.
 pub(super) fn unavailable(reason: &str) -> Refusal {
-    Refusal::new(Kind::Unavailable)
+    Refusal::new(RefusalKind::Unavailable)
         .with_message(reason)
         .with_retry_after(COME_BACK_SOON)
 }
@@ -68,7 +68,7 @@
     /// The final answer to a request that got no place in time.
     pub(super) fn give_up(&self, node: &Node) -> Refusal {
         if self.runs > 0 {
-            return Refusal::new(Kind::UpstreamBroke);
+            return Refusal::new(RefusalKind::UpstreamBroke);
         }
         self.uncharge(node);
         let regions = self.regions();
@@ -89,7 +89,7 @@
             standing.waiting,
             node.emptied.borrow().all().join(","),
         );
-        Refusal::new(Kind::Shed)
+        Refusal::new(RefusalKind::Shed)
             .with_message(reason)
             .with_retry_after(come_back())
     }
@@ -104,7 +104,7 @@
     /// The process ends before the request could. Another instance can answer what was not sent.
     pub(super) fn ends_with_process(&self, node: &Node) -> Refusal {
         if self.runs > 0 {
-            return Refusal::new(Kind::Deadline)
+            return Refusal::new(RefusalKind::Deadline)
                 .with_ran(Ran::Unknown)
                 .with_message("this instance ends before the replica has answered");
         }
@@ -122,7 +122,7 @@
                 .map_or_else(|| "-".to_owned(), |d| d.as_millis().to_string()),
             self.received.elapsed().as_millis(),
         );
-        Refusal::new(Kind::Deadline)
+        Refusal::new(RefusalKind::Deadline)
             .with_ran(ran)
             .with_message(reason)
     }
@@ -136,7 +136,7 @@
         } else {
             "no time or no budget for another run"
         };
-        Refusal::new(Kind::UpstreamBroke)
+        Refusal::new(RefusalKind::UpstreamBroke)
             .with_ran(Ran::Unknown)
             .with_message(format!("{}; {why}", failure.as_str()))
     }
--- a/crates/entry/src/request_log.rs
+++ b/crates/entry/src/request_log.rs
@@ -62,7 +62,7 @@
 
 /// The instance gives its own answer.
 pub fn log_refused(node: &Node, meta: &RequestMeta, received: Instant, refusal: &Refusal) {
-    let kind = refusal.kind.answer().name;
+    let kind = refusal.kind.error_response().name;
     node.metrics.count_outcome(kind);
     node.log.line(
         Priority::High,
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -2,7 +2,7 @@
 
 use kingcupfield_decisions::id::Tokens;
 
-use crate::error::{Kind, Refusal};
+use crate::error::{Refusal, RefusalKind};
 use crate::limits::Admission;
 use crate::request::Meta;
 use crate::shared::Shared;
@@ -14,12 +14,12 @@
         .limits
         .admit_attempt(&meta.organisation, meta.attempt)
         .map_err(|e| {
-            let refusal = Refusal::new(Kind::Limited)
+            let refusal = Refusal::new(RefusalKind::Limited)
                 .with_message("the organisation's retry budget is spent");
             refusal.with_retry_after(e.retry_after)
         })?;
     shared
         .limits
         .enter(&meta.organisation, tokens)
-        .map_err(|e| Refusal::new(Kind::Limited).with_retry_after(e.retry_after))
+        .map_err(|e| Refusal::new(RefusalKind::Limited).with_retry_after(e.retry_after))
 }
--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -5,7 +5,7 @@
 use tokio::time::sleep_until;
 
 use crate::admission::admit;
-use crate::error::{Kind, Refusal};
+use crate::error::{Refusal, RefusalKind};
 use crate::limits::Admission;
 use crate::reply::Head;
 use crate::request::{Received, Request, Waiting};
@@ -85,7 +85,8 @@
             Sent::NotSent(unsent) => Unsent { waiting, head } = *unsent,
         }
     }
-    let refusal = Refusal::new(Kind::Unavailable).with_message("no upstream could be connected");
+    let refusal =
+        Refusal::new(RefusalKind::Unavailable).with_message("no upstream could be connected");
     refuse(waiting, head, refusal);
 }
 
@@ -107,7 +108,7 @@
             Ok(grant) => Waited::Granted(grant),
             Err(refusal) => Waited::Refused(refusal),
         },
-        () = sleep_until(meta.deadline) => Waited::Refused(Refusal::new(Kind::Deadline)),
+        () = sleep_until(meta.deadline) => Waited::Refused(Refusal::new(RefusalKind::Deadline)),
         () = head.closed() => Waited::CallerGone,
     }
 }
--- a/src/caller.rs
+++ b/src/caller.rs
@@ -8,7 +8,7 @@
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-use crate::error::{Kind, Refusal};
+use crate::error::{Refusal, RefusalKind};
 use crate::fleet::Snapshot;
 
 /// Header that names the tier.
@@ -66,11 +66,11 @@
         .get(AUTHORIZATION)
         .and_then(|v| v.to_str().ok())
         .and_then(|v| v.strip_prefix("Bearer "))
-        .ok_or_else(|| Refusal::new(Kind::Unauthorized))?;
+        .ok_or_else(|| Refusal::new(RefusalKind::Unauthorized))?;
     let hash = hex::encode(Sha256::digest(key.trim().as_bytes()));
     snapshot
         .organisation_by_key(&hash)
-        .ok_or_else(|| Refusal::new(Kind::Unauthorized))
+        .ok_or_else(|| Refusal::new(RefusalKind::Unauthorized))
 }
 
 /// Compares two hashes in hexadecimal in constant time.
@@ -84,18 +84,19 @@
     organisation: &Organisation,
 ) -> Result<&'a Tier, Refusal> {
     let highest = snapshot.tier(&organisation.max_tier).ok_or_else(|| {
-        Refusal::new(Kind::Forbidden).with_message("the organisation's tier is not in the table")
+        Refusal::new(RefusalKind::Forbidden)
+            .with_message("the organisation's tier is not in the table")
     })?;
     let Some(name) = headers.get(TIER) else {
         return Ok(highest);
     };
     let name = name.to_str().unwrap_or_default();
-    let wanted = snapshot
-        .tier(name)
-        .ok_or_else(|| Refusal::new(Kind::BadRequest).with_message("Kingcup-Tier: no such tier"))?;
+    let wanted = snapshot.tier(name).ok_or_else(|| {
+        Refusal::new(RefusalKind::BadRequest).with_message("Kingcup-Tier: no such tier")
+    })?;
     if wanted.rank < highest.rank {
         let message = format!("the organisation may use tier {} and below", highest.tier);
-        return Err(Refusal::new(Kind::Forbidden).with_message(message));
+        return Err(Refusal::new(RefusalKind::Forbidden).with_message(message));
     }
     Ok(wanted)
 }
@@ -110,7 +111,7 @@
         .and_then(|v| v.trim().parse().ok())
         .filter(|n| *n > 0);
     number.map(Some).ok_or_else(|| {
-        Refusal::new(Kind::BadRequest)
+        Refusal::new(RefusalKind::BadRequest)
             .with_message(format!("{name}: a whole number above 0 is needed"))
     })
 }
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -12,7 +12,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::error::{Error, Kind, Ran, Refusal, Result};
+use crate::error::{Error, Ran, Refusal, RefusalKind, Result};
 use crate::fleet::Fleet;
 use crate::message::PROTOCOL;
 use crate::peers::{PeerToken, connect};
@@ -89,7 +89,7 @@
     /// Takes a refusal apart.
     pub fn new(refusal: &Refusal) -> Self {
         Self {
-            kind: refusal.kind.answer().name.to_owned(),
+            kind: refusal.kind.error_response().name.to_owned(),
             message: refusal.message.clone(),
             retry_after: refusal.retry_after,
         }
@@ -97,7 +97,7 @@
 
     /// The refusal; an unknown kind of a newer instance becomes "unavailable".
     pub fn into_refusal(self) -> Refusal {
-        let kind = Kind::from_name(&self.kind).unwrap_or(Kind::Unavailable);
+        let kind = RefusalKind::from_name(&self.kind).unwrap_or(RefusalKind::Unavailable);
         let mut refusal = Refusal::new(kind)
             .with_message(self.message)
             .with_ran(Ran::No);
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -20,7 +20,7 @@
 
 use crate::attempt::{self, HeadSender, Job, Sent, Unsent};
 use crate::caller::Caller;
-use crate::error::{Kind, Ran, Refusal};
+use crate::error::{Ran, Refusal, RefusalKind};
 use crate::limits::Admission;
 use crate::prompt::Prompt;
 use crate::record::Step;
@@ -67,7 +67,7 @@
             tokio::spawn(async move { attempt::run(&shared, &completion, request, tx).await });
             match rx.await {
                 Ok(head) => reply::respond(&id, head),
-                Err(_) => reply::refused(&id, &Refusal::new(Kind::Unknown)),
+                Err(_) => reply::refused(&id, &Refusal::new(RefusalKind::Unknown)),
             }
         }
     }
@@ -84,14 +84,14 @@
     let snapshot = shared.fleet.snapshot();
     let caller = Caller::from_headers(headers, &snapshot)?;
     let mut value: Value = serde_json::from_slice(body).map_err(|e| {
-        Refusal::new(Kind::BadRequest).with_message(format!("the body is not JSON: {e}"))
+        Refusal::new(RefusalKind::BadRequest).with_message(format!("the body is not JSON: {e}"))
     })?;
     let prompt = Prompt::parse(&value)?;
     let service = snapshot
         .service(&prompt.model)
         .filter(|s| s.kind == ServiceKind::Model)
         .ok_or_else(|| {
-            Refusal::new(Kind::NotFound).with_message(format!("no model {:?}", prompt.model))
+            Refusal::new(RefusalKind::NotFound).with_message(format!("no model {:?}", prompt.model))
         })?;
     let meta = Meta::new(id, &caller, service.service.clone(), received);
     value["stream"] = json!(true);
@@ -389,21 +389,21 @@
 }
 
 fn late() -> Refusal {
-    Refusal::new(Kind::Deadline)
+    Refusal::new(RefusalKind::Deadline)
         .with_message("the deadline passed while it ran")
         .with_ran(Ran::Yes)
 }
 
 fn broke(broken: &Broken) -> Refusal {
-    Refusal::new(Kind::UpstreamBroke).with_message(broken.reason.clone())
+    Refusal::new(RefusalKind::UpstreamBroke).with_message(broken.reason.clone())
 }
 
 /// An engine that answers with an error has seen the request: it counts as run.
 async fn upstream_error(status: StatusCode, body: Incoming) -> Refusal {
     let kind = if status.is_client_error() {
-        Kind::BadRequest
+        RefusalKind::BadRequest
     } else {
-        Kind::UpstreamBroke
+        RefusalKind::UpstreamBroke
     };
     let text = Limited::new(body, ERROR_LIMIT)
         .collect()
--- a/src/error.rs
+++ b/src/error.rs
@@ -3,7 +3,7 @@
 use std::net::AddrParseError;
 use std::path::PathBuf;
 
-pub use kingcupfield_entry::refusal::{ANSWERS, Answer, Kind, Ran, Refusal};
+pub use kingcupfield_entry::refusal::{ERROR_RESPONSES, ErrorResponse, Ran, Refusal, RefusalKind};
 
 /// Result of the library's operations.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/src/gateway.rs
+++ b/src/gateway.rs
@@ -17,7 +17,7 @@
 
 use crate::caller::authenticate;
 use crate::completion;
-use crate::error::{Kind, Refusal};
+use crate::error::{Refusal, RefusalKind};
 use crate::issue;
 use crate::plain::{self, PlainCall};
 use crate::reply::{Head, refused, respond};
@@ -151,7 +151,7 @@
     if let Some(answer) = status_elsewhere(&shared, &id, &headers).await {
         return answer;
     }
-    let refusal = Refusal::new(Kind::NotFound)
+    let refusal = Refusal::new(RefusalKind::NotFound)
         .with_message("no such request of this organisation is remembered");
     refused(&shared.next_request(), &refusal)
 }
@@ -173,7 +173,7 @@
 
 async fn not_found(State(shared): State<Shared>, method: Method, uri: Uri) -> Response {
     let message = format!("no {method} {}", uri.path());
-    let refusal = Refusal::new(Kind::NotFound).with_message(message);
+    let refusal = Refusal::new(RefusalKind::NotFound).with_message(message);
     refused(&shared.next_request(), &refusal)
 }
 
@@ -191,15 +191,16 @@
     let read = Limited::new(&mut body, BODY_LIMIT).collect();
     match tokio::time::timeout(BODY_TIMEOUT, read).await {
         Err(_) => {
-            Err(Refusal::new(Kind::BadRequest).with_message("the body did not arrive in time"))
+            Err(Refusal::new(RefusalKind::BadRequest)
+                .with_message("the body did not arrive in time"))
         }
         Ok(Ok(read)) => Ok(read.to_bytes()),
         Ok(Err(e)) if e.is::<LengthLimitError>() => {
             discard(&mut body).await;
             let message = format!("the body is larger than {BODY_LIMIT} bytes");
-            Err(Refusal::new(Kind::TooLarge).with_message(message))
+            Err(Refusal::new(RefusalKind::TooLarge).with_message(message))
         }
-        Ok(Err(e)) => Err(Refusal::new(Kind::BadRequest).with_message(format!("body: {e}"))),
+        Ok(Err(e)) => Err(Refusal::new(RefusalKind::BadRequest).with_message(format!("body: {e}"))),
     }
 }
 
--- a/src/issue.rs
+++ b/src/issue.rs
@@ -8,7 +8,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::calls::{KeyQuestion, KeyReply};
-use crate::error::{Kind, Refusal};
+use crate::error::{Refusal, RefusalKind};
 use crate::keyed::ask_witness;
 use crate::keys::Legacy;
 use crate::logging::value;
@@ -40,7 +40,7 @@
 pub fn issue_here(shared: &Shared, organisation: &OrganisationId) -> Result<String, Refusal> {
     let view = shared.members.view();
     let issued = shared.keys.issue(organisation, &shared.zone, &view);
-    issued.map_err(|e| Refusal::new(Kind::Unavailable).with_message(e.to_string()))
+    issued.map_err(|e| Refusal::new(RefusalKind::Unavailable).with_message(e.to_string()))
 }
 
 /// Hands the keys of a leaving instance to a successor, then tells the witnesses.
--- a/src/keyed.rs
+++ b/src/keyed.rs
@@ -17,7 +17,7 @@
 
 use crate::caller::Caller;
 use crate::calls::{KeyQuestion, KeyReply, KeyedCall, KeyedRefusal};
-use crate::error::{Kind, Ran, Refusal};
+use crate::error::{Ran, Refusal, RefusalKind};
 use crate::issue::heirs;
 use crate::keyed_run;
 use crate::plain::PlainCall;
@@ -66,9 +66,9 @@
     let organisation = &caller.organisation.organisation;
     shared.keys.decode(text, organisation).map_err(|e| {
         let kind = match e {
-            KeyError::OtherOrganisation | KeyError::Forged => Kind::Forbidden,
+            KeyError::OtherOrganisation | KeyError::Forged => RefusalKind::Forbidden,
             KeyError::TooLong | KeyError::Malformed | KeyError::Cut | KeyError::ShortSecret => {
-                Kind::BadRequest
+                RefusalKind::BadRequest
             }
         };
         Refusal::new(kind).with_message(format!("Idempotency-Key: {e}"))
@@ -198,7 +198,7 @@
 
     fn refused(&self) -> Head {
         let refusal = self.refusal.clone().map(KeyedRefusal::into_refusal);
-        Head::Refused(refusal.unwrap_or_else(|| Refusal::new(Kind::Unavailable)))
+        Head::Refused(refusal.unwrap_or_else(|| Refusal::new(RefusalKind::Unavailable)))
     }
 
     async fn look_up(&self, to: &InstanceId, key: &Key) -> Option<FromIssuer> {
@@ -270,7 +270,7 @@
 
 fn still_running() -> Refusal {
     let message = "the deadline passed while the call was under way; ask again with the same key";
-    Refusal::new(Kind::Unknown).with_message(message)
+    Refusal::new(RefusalKind::Unknown).with_message(message)
 }
 
 fn head_of(outcome: Outcome) -> Head {
@@ -285,7 +285,7 @@
         } => {
             let message = format!("it ran once at {upstream}; its answer is no longer kept");
             Head::Refused(
-                Refusal::new(Kind::KeyConflict)
+                Refusal::new(RefusalKind::KeyConflict)
                     .with_message(message)
                     .with_ran(Ran::Yes),
             )
@@ -295,14 +295,14 @@
             let place = upstream.map_or("an upstream".to_owned(), |u| format!("upstream {u}"));
             let message =
                 format!("it may have run at {place}; it will not run again under this key");
-            Head::Refused(Refusal::new(Kind::Unknown).with_message(message))
+            Head::Refused(Refusal::new(RefusalKind::Unknown).with_message(message))
         }
     }
 }
 
 fn not_run(why: NotRun) -> Refusal {
     match why {
-        NotRun::Late => Refusal::new(Kind::Deadline),
+        NotRun::Late => Refusal::new(RefusalKind::Deadline),
         NotRun::Expired => conflict("the key has expired; get a new one"),
         NotRun::Mismatch => conflict("the key was used for another call"),
         NotRun::Closed => {
@@ -320,11 +320,11 @@
 }
 
 fn conflict(message: &str) -> Refusal {
-    Refusal::new(Kind::KeyConflict).with_message(message)
+    Refusal::new(RefusalKind::KeyConflict).with_message(message)
 }
 
 fn unavailable(message: &str) -> Refusal {
-    Refusal::new(Kind::Unavailable).with_message(message)
+    Refusal::new(RefusalKind::Unavailable).with_message(message)
 }
 
 fn replay(answer: Answer) -> Response {
--- a/src/keyed_run.rs
+++ b/src/keyed_run.rs
@@ -19,7 +19,7 @@
 use crate::admission::admit;
 use crate::calls::{KeyReply, KeyedCall, KeyedRefusal};
 use crate::connector::ExchangeError;
-use crate::error::{Kind, Refusal};
+use crate::error::{Refusal, RefusalKind};
 use crate::keyed::ask_witness;
 use crate::keys::Met;
 use crate::limits::Admission;
@@ -152,7 +152,7 @@
         let meta = Arc::clone(waiting.meta());
         let need = Need::plain(self.keyed.body.len() as u64);
         let granted = timeout_at(self.deadline, self.shared.slots.acquire(&meta, need)).await;
-        match granted.unwrap_or_else(|_| Err(Refusal::new(Kind::Deadline))) {
+        match granted.unwrap_or_else(|_| Err(Refusal::new(RefusalKind::Deadline))) {
             Ok(grant) => Ok((waiting, grant, admission)),
             Err(refusal) => Err(waiting.refuse(refusal).into_refusal()),
         }
@@ -180,7 +180,7 @@
     fn give_up(&self, waiting: Request<Waiting>, why: NotRun) -> KeyReply {
         let outcome = self.shared.keys.give_up(&self.key.id(), why);
         let refusal =
-            Refusal::new(Kind::Unavailable).with_message(format!("key given up: {why:?}"));
+            Refusal::new(RefusalKind::Unavailable).with_message(format!("key given up: {why:?}"));
         waiting.refuse(refusal);
         KeyReply::Issuer(FromIssuer::Outcome(outcome.unwrap_or(Outcome::NotRun(why))))
     }
@@ -219,7 +219,7 @@
             dispatched.broke(e.to_string());
             return self.shared.keys.finish(&self.key.id(), None);
         };
-        let refusal = Refusal::new(Kind::Unavailable).with_message(e.to_string());
+        let refusal = Refusal::new(RefusalKind::Unavailable).with_message(e.to_string());
         dispatched.not_sent(proof).refuse(refusal);
         self.shared.keys.not_sent(&self.key.id())
     }
--- a/src/peer_server.rs
+++ b/src/peer_server.rs
@@ -14,7 +14,7 @@
 use tower_http::validate_request::{ValidateRequest, ValidateRequestHeaderLayer};
 
 use crate::calls::{KEY, KeyQuestion, KeyReply, KeyRequest};
-use crate::error::{Error, Kind, Refusal, Result};
+use crate::error::{Error, Refusal, RefusalKind, Result};
 use crate::inbox::Inbox;
 use crate::issue::issue_here;
 use crate::keyed_run;
@@ -174,7 +174,7 @@
         KeyQuestion::Call(keyed) => {
             let key = shared.keys.decode(&keyed.key, &keyed.organisation);
             let key =
-                key.map_err(|e| Refusal::new(Kind::BadRequest).with_message(e.to_string()))?;
+                key.map_err(|e| Refusal::new(RefusalKind::BadRequest).with_message(e.to_string()))?;
             keyed_run::run(shared, &key, &keyed).await
         }
         KeyQuestion::LookUp(key) => KeyReply::Issuer(shared.keys.look_up(&key)),
@@ -199,7 +199,7 @@
 }
 
 fn given_up(e: KeysError) -> Refusal {
-    Refusal::new(Kind::Unavailable).with_message(e.to_string())
+    Refusal::new(RefusalKind::Unavailable).with_message(e.to_string())
 }
 
 fn check_protocol(method: &str, protocol: u32) -> std::result::Result<(), ErrorObjectOwned> {
--- a/src/plain.rs
+++ b/src/plain.rs
@@ -20,7 +20,7 @@
 use crate::attempt::{self, HeadSender, Job, Sent, Unsent};
 use crate::caller::{ATTEMPT, Caller, TIER, TIMEOUT_MS};
 use crate::connector::ExchangeError;
-use crate::error::{Kind, Ran, Refusal};
+use crate::error::{Ran, Refusal, RefusalKind};
 use crate::keyed;
 use crate::limits::Admission;
 use crate::reply::{self, Head};
@@ -84,7 +84,7 @@
     tokio::spawn(async move { attempt::run(&shared, &run, request, tx).await });
     match rx.await {
         Ok(head) => reply::respond(&id, head),
-        Err(_) => reply::refused(&id, &Refusal::new(Kind::Unknown)),
+        Err(_) => reply::refused(&id, &Refusal::new(RefusalKind::Unknown)),
     }
 }
 
@@ -101,11 +101,12 @@
         .service(&call.service)
         .filter(|s| s.kind == ServiceKind::Plain)
         .ok_or_else(|| {
-            Refusal::new(Kind::NotFound).with_message(format!("no service {:?}", call.service))
+            Refusal::new(RefusalKind::NotFound)
+                .with_message(format!("no service {:?}", call.service))
         })?;
     let keyed = call.headers.contains_key(IDEMPOTENCY_KEY);
     if service.is_non_idempotent(call.method.as_str(), &normal_path(&call.path)) && !keyed {
-        return Err(Refusal::new(Kind::KeyRequired));
+        return Err(Refusal::new(RefusalKind::KeyRequired));
     }
     Ok(Admissible {
         caller,
@@ -188,7 +189,7 @@
                     let waiting = dispatched.not_sent(proof);
                     return Sent::NotSent(Box::new(Unsent { waiting, head }));
                 }
-                let refusal = Refusal::new(Kind::UpstreamBroke)
+                let refusal = Refusal::new(RefusalKind::UpstreamBroke)
                     .with_message(e.to_string())
                     .with_ran(Ran::Unknown);
                 dispatched.broke(e.to_string());
--- a/src/prompt.rs
+++ b/src/prompt.rs
@@ -4,7 +4,7 @@
 use serde_json::Value;
 use xxhash_rust::xxh3::Xxh3;
 
-use crate::error::{Kind, Refusal};
+use crate::error::{Refusal, RefusalKind};
 
 /// Words of one prefix block; engines cache prompts in blocks of 16 tokens.
 pub const BLOCK: usize = 16;
@@ -133,5 +133,5 @@
 }
 
 fn bad(message: &str) -> Refusal {
-    Refusal::new(Kind::BadRequest).with_message(message)
+    Refusal::new(RefusalKind::BadRequest).with_message(message)
 }
--- a/src/record.rs
+++ b/src/record.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-use crate::error::{Kind, Ran};
+use crate::error::{Ran, RefusalKind};
 
 /// Requests remembered by one instance: at 15 requests a second (5,100 over 330 instances) about
 /// two minutes, at most 1 KiB each.
@@ -65,7 +65,7 @@
     /// It was refused.
     Refused {
         /// The kind.
-        kind: Kind,
+        kind: RefusalKind,
         /// What the caller read.
         message: String,
     },
--- a/src/reply.rs
+++ b/src/reply.rs
@@ -41,7 +41,7 @@
 
 /// Makes the response for a refusal.
 pub fn refused(id: &RequestId, refusal: &Refusal) -> Response {
-    let row = refusal.kind.answer();
+    let row = refusal.kind.error_response();
     let body = json!({"error": {
         "kind": row.name,
         "message": refusal.message,
--- a/src/request.rs
+++ b/src/request.rs
@@ -10,10 +10,10 @@
 //! A dispatched request cannot be refused:
 //!
 //! ```compile_fail,E0599
-//! use kingcupfield::error::{Kind, Refusal};
+//! use kingcupfield::error::{RefusalKind, Refusal};
 //! use kingcupfield::request::{Dispatched, Request};
 //! fn refuse_after_dispatch(request: Request<Dispatched>) {
-//!     let _ = request.refuse(Refusal::new(Kind::Shed));
+//!     let _ = request.refuse(Refusal::new(RefusalKind::Shed));
 //! }
 //! ```
 //!
@@ -173,7 +173,7 @@
         };
         self.records
             .turn(&self.meta.request, step, Outcome::Refused, refusal.ran);
-        self.count(refusal.kind.answer().name);
+        self.count(refusal.kind.error_response().name);
         self.into_state(Refused { refusal })
     }
 }
--- a/src/scheduler/placing.rs
+++ b/src/scheduler/placing.rs
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 use super::{Decision, GivenUp, Need, PLAIN_WORK, Scheduler, Waiter};
-use crate::error::{Kind, Refusal};
+use crate::error::{Refusal, RefusalKind};
 use crate::fleet::Snapshot;
 use crate::members::View;
 use crate::record::Step;
@@ -28,19 +28,19 @@
         if !self.pool_mut(&meta.service).member.allowed(now, rank) {
             let after = self.retry_after(now, &meta.service, Duration::ZERO);
             decision
-                .send(Err(Refusal::new(Kind::Shed).with_retry_after(after)))
+                .send(Err(Refusal::new(RefusalKind::Shed).with_retry_after(after)))
                 .ok();
             return;
         }
         let request = meta.request.clone();
         let Err(at) = self.waiter_at(&request) else {
-            decision.send(Err(Refusal::new(Kind::Unknown))).ok();
+            decision.send(Err(Refusal::new(RefusalKind::Unknown))).ok();
             return;
         };
         if !self.pool_mut(&meta.service).member.wait(&request, rank) {
             let after = self.retry_after(now, &meta.service, Duration::ZERO);
             decision
-                .send(Err(Refusal::new(Kind::Shed).with_retry_after(after)))
+                .send(Err(Refusal::new(RefusalKind::Shed).with_retry_after(after)))
                 .ok();
             return;
         }
--- a/src/scheduler/refusing.rs
+++ b/src/scheduler/refusing.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use super::{GivenUp, Scheduler};
-use crate::error::{Kind, Refusal};
+use crate::error::{Refusal, RefusalKind};
 
 impl Scheduler {
     /// The caller went away or its deadline passed while the request waited.
@@ -95,9 +95,9 @@
         let sends = self.holder.withdraw(request);
         self.send_asks(sends);
         let kind = match given_up.why {
-            Rejection::Late => Kind::Deadline,
-            Rejection::Leaving | Rejection::Lapsed => Kind::Unavailable,
-            Rejection::Shed | Rejection::Full => Kind::Shed,
+            Rejection::Late => RefusalKind::Deadline,
+            Rejection::Leaving | Rejection::Lapsed => RefusalKind::Unavailable,
+            Rejection::Shed | Rejection::Full => RefusalKind::Shed,
         };
         let after = self.retry_after(now, &waiter.meta.service, given_up.wait);
         let refusal = Refusal::new(kind).with_retry_after(after);
--- a/src/slots.rs
+++ b/src/slots.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
-use crate::error::{Kind, Refusal};
+use crate::error::{Refusal, RefusalKind};
 use crate::fleet::Fleet;
 use crate::members::Members;
 use crate::message::PeerMessage;
@@ -172,7 +172,8 @@
             decision,
         };
         if self.tx.try_send(message).is_err() {
-            let refusal = Refusal::new(Kind::Unavailable).with_message("the instance is full");
+            let refusal =
+                Refusal::new(RefusalKind::Unavailable).with_message("the instance is full");
             return Err(refusal.with_retry_after(BUSY_RETRY));
         }
         let mut cancel = CancelOnDrop {
@@ -185,7 +186,7 @@
             upstream,
             address,
             at,
-        } = decided.unwrap_or_else(|_| Err(Refusal::new(Kind::Unavailable)))?;
+        } = decided.unwrap_or_else(|_| Err(Refusal::new(RefusalKind::Unavailable)))?;
         // Until told otherwise the request ended by no fault of the replica.
         let outcome = Outcome {
             whole: true,
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kingcupfield::error::{Kind, Refusal};
+use kingcupfield::error::{Refusal, RefusalKind};
 use kingcupfield::fleet::{Fleet, Snapshot};
 use kingcupfield::members::{View, ZoneLive};
 use kingcupfield::metrics::Metrics;
@@ -343,7 +343,7 @@
         .try_recv()
         .expect("decided")
         .expect_err("nobody is left");
-    assert_eq!(refusal.kind, Kind::Unavailable);
+    assert_eq!(refusal.kind, RefusalKind::Unavailable);
 }
 
 /// The last replica tells its owner that it leaves before the list or any peer says so. A request
@@ -372,7 +372,7 @@
             .try_recv()
             .expect("decided")
             .expect_err("nobody is left");
-        assert_eq!(refusal.kind, Kind::Unavailable, "instance {at}");
+        assert_eq!(refusal.kind, RefusalKind::Unavailable, "instance {at}");
     }
 }
 
@@ -407,10 +407,10 @@
     let (_, mut urgent) = net.acquire(0, 0, Duration::from_millis(700));
     net.run(Duration::from_secs(1));
     let refusal = urgent.try_recv().expect("decided").expect_err("refused");
-    assert_eq!(refusal.kind, Kind::Deadline);
+    assert_eq!(refusal.kind, RefusalKind::Deadline);
     for (request, decided) in &mut bulk {
         let refusal = decided.try_recv().expect("decided").expect_err("refused");
-        assert_eq!(refusal.kind, Kind::Shed, "{request}");
+        assert_eq!(refusal.kind, RefusalKind::Shed, "{request}");
     }
 }
 
@@ -459,5 +459,5 @@
         .try_recv()
         .expect("a decision")
         .expect_err("refused");
-    assert_eq!(refusal.kind, Kind::Unavailable);
+    assert_eq!(refusal.kind, RefusalKind::Unavailable);
 }
