--- a/crates/entry/src/accept_queue.rs
+++ b/crates/entry/src/accept_queue.rs
@@ -10,9 +10,9 @@
 
 /// The queue of a listener that accepts nothing else any more; dropping it closes the listener.
 #[derive(Debug)]
-pub struct Queue(std::net::TcpListener);
+pub struct AcceptQueue(std::net::TcpListener);
 
-impl Queue {
+impl AcceptQueue {
     /// Takes the listener from the runtime.
     pub fn new(listener: TcpListener) -> Result<Self> {
         listener.into_std().map(Self)
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -15,7 +15,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-use crate::accept_queue::Queue;
+use crate::accept_queue::AcceptQueue;
 use crate::log::Priority;
 use crate::node::{Node, Stage};
 use crate::request;
@@ -69,7 +69,7 @@
 /// Takes the connections that wait in the listener's queue, and closes the listener: a connection
 /// that is closed with it is reset, and its caller may have sent a request already.
 fn take_queued(node: &Rc<Node>, listener: TcpListener) {
-    let result = Queue::new(listener).and_then(|queue| {
+    let result = AcceptQueue::new(listener).and_then(|queue| {
         while let Some(stream) = queue.next()? {
             take(node, stream);
         }
--- a/src/server.rs
+++ b/src/server.rs
@@ -12,7 +12,7 @@
 use hyper::body::Incoming;
 use hyper_util::rt::{TokioExecutor, TokioIo, TokioTimer};
 use hyper_util::server::conn::auto::Builder;
-use kingcupfield_entry::accept_queue::Queue;
+use kingcupfield_entry::accept_queue::AcceptQueue;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 use tokio::time::sleep;
@@ -114,7 +114,7 @@
         permits: &Arc<Semaphore>,
         stop: &watch::Receiver<bool>,
     ) -> io::Result<()> {
-        let queue = Queue::new(self.listener)?;
+        let queue = AcceptQueue::new(self.listener)?;
         for _ in 0..MAX_CONNECTIONS {
             let permit = permits.clone().acquire_owned().await;
             let permit = permit.expect("never closed");
