--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -40,7 +40,7 @@
 /// Whether the upstream ran the request, as sent in `Kingcup-Ran`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ran {
+pub enum RunStatus {
     /// It was dispatched.
     Yes,
     /// It was not and never will be.
@@ -49,7 +49,7 @@
     Unknown,
 }
 
-impl Ran {
+impl RunStatus {
     /// Value of the header `Kingcup-Ran`.
     pub fn as_str(self) -> &'static str {
         match self {
@@ -72,7 +72,7 @@
     /// What a caller reads when there is nothing more exact to say.
     pub message: &'static str,
     /// Whether the upstream ran the request.
-    pub ran: Ran,
+    pub ran: RunStatus,
     /// When the caller should come back, where nothing more exact is known.
     pub retry_after: Option<Duration>,
 }
@@ -88,49 +88,49 @@
         StatusCode::BAD_REQUEST,
         "bad_request",
         "the request cannot be understood",
-        Ran::No,
+        RunStatus::No,
     ),
     response(
         RefusalKind::Unauthorized,
         StatusCode::UNAUTHORIZED,
         "unauthorized",
         "no valid key in Authorization: Bearer KEY",
-        Ran::No,
+        RunStatus::No,
     ),
     response(
         RefusalKind::Forbidden,
         StatusCode::FORBIDDEN,
         "forbidden",
         "the organisation may not do this",
-        Ran::No,
+        RunStatus::No,
     ),
     response(
         RefusalKind::NotFound,
         StatusCode::NOT_FOUND,
         "not_found",
         "no such path, model, service or request",
-        Ran::No,
+        RunStatus::No,
     ),
     response(
         RefusalKind::KeyConflict,
         StatusCode::CONFLICT,
         "key_conflict",
         "the idempotency key cannot be used for this call",
-        Ran::No,
+        RunStatus::No,
     ),
     response(
         RefusalKind::TooLarge,
         StatusCode::PAYLOAD_TOO_LARGE,
         "too_large",
         "the body is larger than the limit",
-        Ran::No,
+        RunStatus::No,
     ),
     response(
         RefusalKind::KeyRequired,
         StatusCode::PRECONDITION_REQUIRED,
         "key_required",
         "this call needs an Idempotency-Key from POST /v1/idempotency-keys",
-        Ran::No,
+        RunStatus::No,
     ),
     retryable_response(
         RefusalKind::Limited,
@@ -161,14 +161,14 @@
         StatusCode::BAD_GATEWAY,
         "upstream_broke",
         "the upstream broke after the request was dispatched",
-        Ran::Yes,
+        RunStatus::Yes,
     ),
     response(
         RefusalKind::Unknown,
         StatusCode::BAD_GATEWAY,
         "unknown",
         "whether the call ran cannot be known",
-        Ran::Unknown,
+        RunStatus::Unknown,
     ),
 ];
 
@@ -177,7 +177,7 @@
     status: StatusCode,
     name: &'static str,
     message: &'static str,
-    ran: Ran,
+    ran: RunStatus,
 ) -> ErrorResponse {
     ErrorResponse {
         kind,
@@ -198,7 +198,7 @@
 ) -> ErrorResponse {
     ErrorResponse {
         retry_after: Some(SOON),
-        ..response(kind, status, name, message, Ran::No)
+        ..response(kind, status, name, message, RunStatus::No)
     }
 }
 
@@ -226,7 +226,7 @@
     /// What the caller reads.
     pub message: String,
     /// Whether the upstream ran the request.
-    pub ran: Ran,
+    pub ran: RunStatus,
     /// When the caller should come back, if it should.
     pub retry_after: Option<Duration>,
 }
@@ -259,7 +259,7 @@
     }
 
     /// Replaces what is known about whether the upstream ran it.
-    pub fn with_ran(mut self, ran: Ran) -> Self {
+    pub fn with_ran(mut self, ran: RunStatus) -> Self {
         self.ran = ran;
         self
     }
--- a/crates/entry/src/request/refusing.rs
+++ b/crates/entry/src/request/refusing.rs
@@ -13,7 +13,7 @@
 use crate::exchange::Failure;
 use crate::expiry::Expiry;
 use crate::node::Node;
-use crate::refusal::{Ran, Refusal, RefusalKind};
+use crate::refusal::{Refusal, RefusalKind, RunStatus};
 use crate::table::{Organisation, Route, regions};
 
 /// Advice on when to come back: bursts last two to five seconds. Callers take a third of the time
@@ -105,7 +105,7 @@
     pub(super) fn ends_with_process(&self, node: &Node) -> Refusal {
         if self.runs > 0 {
             return Refusal::new(RefusalKind::Deadline)
-                .with_ran(Ran::Unknown)
+                .with_ran(RunStatus::Unknown)
                 .with_message("this instance ends before the replica has answered");
         }
         self.uncharge(node);
@@ -113,7 +113,11 @@
     }
 
     pub(super) fn too_late(&self) -> Refusal {
-        let ran = if self.runs > 0 { Ran::Unknown } else { Ran::No };
+        let ran = if self.runs > 0 {
+            RunStatus::Unknown
+        } else {
+            RunStatus::No
+        };
         let reason = format!(
             "the route's {} ms or the caller's {} are over after {} ms",
             self.route.timeout.as_millis(),
@@ -137,7 +141,7 @@
             "no time or no budget for another run"
         };
         Refusal::new(RefusalKind::UpstreamBroke)
-            .with_ran(Ran::Unknown)
+            .with_ran(RunStatus::Unknown)
             .with_message(format!("{}; {why}", failure.as_str()))
     }
 }
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -12,7 +12,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::error::{Error, Ran, Refusal, RefusalKind, Result};
+use crate::error::{Error, Refusal, RefusalKind, Result, RunStatus};
 use crate::fleet::Fleet;
 use crate::message::PROTOCOL;
 use crate::peers::{PeerToken, connect};
@@ -100,7 +100,7 @@
         let kind = RefusalKind::from_name(&self.kind).unwrap_or(RefusalKind::Unavailable);
         let mut refusal = Refusal::new(kind)
             .with_message(self.message)
-            .with_ran(Ran::No);
+            .with_ran(RunStatus::No);
         refusal.retry_after = self.retry_after;
         refusal
     }
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -20,7 +20,7 @@
 
 use crate::attempt::{self, HeadSender, Job, Sent, Unsent};
 use crate::caller::Caller;
-use crate::error::{Ran, Refusal, RefusalKind};
+use crate::error::{Refusal, RefusalKind, RunStatus};
 use crate::limits::Admission;
 use crate::prompt::Prompt;
 use crate::record::Step;
@@ -391,7 +391,7 @@
 fn late() -> Refusal {
     Refusal::new(RefusalKind::Deadline)
         .with_message("the deadline passed while it ran")
-        .with_ran(Ran::Yes)
+        .with_ran(RunStatus::Yes)
 }
 
 fn broke(broken: &Broken) -> Refusal {
@@ -414,5 +414,7 @@
         "the upstream answered {status}: {}",
         String::from_utf8_lossy(&text)
     );
-    Refusal::new(kind).with_message(message).with_ran(Ran::Yes)
+    Refusal::new(kind)
+        .with_message(message)
+        .with_ran(RunStatus::Yes)
 }
--- a/src/error.rs
+++ b/src/error.rs
@@ -3,7 +3,9 @@
 use std::net::AddrParseError;
 use std::path::PathBuf;
 
-pub use kingcupfield_entry::refusal::{ERROR_RESPONSES, ErrorResponse, Ran, Refusal, RefusalKind};
+pub use kingcupfield_entry::refusal::{
+    ERROR_RESPONSES, ErrorResponse, Refusal, RefusalKind, RunStatus,
+};
 
 /// Result of the library's operations.
 pub type Result<T> = std::result::Result<T, Error>;
--- a/src/keyed.rs
+++ b/src/keyed.rs
@@ -17,7 +17,7 @@
 
 use crate::caller::Caller;
 use crate::calls::{KeyQuestion, KeyReply, KeyedCall, KeyedRefusal};
-use crate::error::{Ran, Refusal, RefusalKind};
+use crate::error::{Refusal, RefusalKind, RunStatus};
 use crate::issue::heirs;
 use crate::keyed_run;
 use crate::plain::PlainCall;
@@ -287,7 +287,7 @@
             Head::Refused(
                 Refusal::new(RefusalKind::KeyConflict)
                     .with_message(message)
-                    .with_ran(Ran::Yes),
+                    .with_ran(RunStatus::Yes),
             )
         }
         Outcome::NotRun(why) => Head::Refused(not_run(why)),
--- a/src/plain.rs
+++ b/src/plain.rs
@@ -20,7 +20,7 @@
 use crate::attempt::{self, HeadSender, Job, Sent, Unsent};
 use crate::caller::{ATTEMPT, Caller, TIER, TIMEOUT_MS};
 use crate::connector::ExchangeError;
-use crate::error::{Ran, Refusal, RefusalKind};
+use crate::error::{Refusal, RefusalKind, RunStatus};
 use crate::keyed;
 use crate::limits::Admission;
 use crate::reply::{self, Head};
@@ -191,7 +191,7 @@
                 }
                 let refusal = Refusal::new(RefusalKind::UpstreamBroke)
                     .with_message(e.to_string())
-                    .with_ran(Ran::Unknown);
+                    .with_ran(RunStatus::Unknown);
                 dispatched.broke(e.to_string());
                 head.send(Head::Refused(refusal)).ok();
                 Sent::Done
--- a/src/record.rs
+++ b/src/record.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use tokio::time::Instant;
 
-use crate::error::{Ran, RefusalKind};
+use crate::error::{RefusalKind, RunStatus};
 
 /// Requests remembered by one instance: at 15 requests a second (5,100 over 330 instances) about
 /// two minutes, at most 1 KiB each.
@@ -122,7 +122,7 @@
     /// Where it stands.
     pub outcome: Outcome,
     /// Whether the upstream ran it.
-    pub ran: Ran,
+    pub ran: RunStatus,
     /// Its life.
     pub events: Vec<Event>,
     /// Events beyond the bound.
@@ -162,7 +162,7 @@
             tier,
             service,
             outcome: Outcome::Waiting,
-            ran: Ran::No,
+            ran: RunStatus::No,
             events: vec![event],
             events_dropped: 0,
             received: Some(now),
@@ -180,7 +180,7 @@
     }
 
     /// Adds a step and sets where the request stands.
-    pub fn turn(&self, request: &RequestId, step: Step, outcome: Outcome, ran: Ran) {
+    pub fn turn(&self, request: &RequestId, step: Step, outcome: Outcome, ran: RunStatus) {
         self.with(request, |r| {
             r.push(step);
             r.outcome = outcome;
--- a/src/reply.rs
+++ b/src/reply.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 
 use crate::answer::CollectedText;
-use crate::error::{Ran, Refusal};
+use crate::error::{Refusal, RunStatus};
 use crate::prompt::Prompt;
 
 /// Header with the id of the request.
@@ -33,9 +33,9 @@
 pub fn respond(id: &RequestId, head: Head) -> Response {
     match head {
         Head::Refused(refusal) => refused(id, &refusal),
-        Head::Json(body) => with_headers(json_response(&body), id, Ran::Yes),
-        Head::Made(body) => with_headers(json_response(&body), id, Ran::No),
-        Head::Stream(rsp) => with_headers(rsp, id, Ran::Yes),
+        Head::Json(body) => with_headers(json_response(&body), id, RunStatus::Yes),
+        Head::Made(body) => with_headers(json_response(&body), id, RunStatus::No),
+        Head::Stream(rsp) => with_headers(rsp, id, RunStatus::Yes),
     }
 }
 
@@ -93,7 +93,7 @@
     })
 }
 
-fn with_headers(mut rsp: Response, id: &RequestId, ran: Ran) -> Response {
+fn with_headers(mut rsp: Response, id: &RequestId, ran: RunStatus) -> Response {
     if let Ok(value) = HeaderValue::from_str(id) {
         rsp.headers_mut().insert(REQUEST_ID, value);
     }
--- a/src/request.rs
+++ b/src/request.rs
@@ -35,7 +35,7 @@
 
 use crate::caller::Caller;
 use crate::connector::ExchangeError;
-use crate::error::{Ran, Refusal};
+use crate::error::{Refusal, RunStatus};
 use crate::metrics::Metrics;
 use crate::record::{Outcome, Records, Step};
 
@@ -213,7 +213,7 @@
             upstream: upstream.clone(),
         };
         self.records
-            .turn(&self.meta.request, step, Outcome::Running, Ran::Yes);
+            .turn(&self.meta.request, step, Outcome::Running, RunStatus::Yes);
         Metrics::observe(
             &self.metrics.queue,
             &self.meta.tier,
@@ -236,7 +236,7 @@
             &self.meta.request,
             Step::CallerGone,
             Outcome::Cancelled,
-            Ran::No,
+            RunStatus::No,
         );
         self.count("cancelled");
     }
@@ -251,7 +251,7 @@
             reason: proof.reason,
         };
         self.records
-            .turn(&self.meta.request, step, Outcome::Waiting, Ran::No);
+            .turn(&self.meta.request, step, Outcome::Waiting, RunStatus::No);
         self.into_state(Waiting)
     }
 
@@ -272,7 +272,7 @@
             &self.meta.request,
             Step::Answered,
             Outcome::Answered,
-            Ran::Yes,
+            RunStatus::Yes,
         );
         self.count(if late { "late" } else { "answered" });
         self.into_state(Answered)
@@ -287,7 +287,7 @@
             reason: reason.into(),
         };
         self.records
-            .turn(&self.meta.request, step, Outcome::Broken, Ran::Yes);
+            .turn(&self.meta.request, step, Outcome::Broken, RunStatus::Yes);
         self.count("broken");
         self.into_state(Answered)
     }
@@ -298,7 +298,7 @@
             &self.meta.request,
             Step::DeadlinePassed,
             Outcome::Late,
-            Ran::Yes,
+            RunStatus::Yes,
         );
         self.count("late");
         self.into_state(Answered)
@@ -310,7 +310,7 @@
             &self.meta.request,
             Step::CallerGone,
             Outcome::Cancelled,
-            Ran::Yes,
+            RunStatus::Yes,
         );
         self.count("cancelled");
         self.into_state(Answered)
