--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -20,7 +20,7 @@
 use crate::table::{Organisation, Route, Table};
 
 /// Advice where the instance knows no table yet or ends: another one answers the next try.
-pub const COME_BACK_SOON: Duration = Duration::from_millis(300);
+pub const SHORT_RETRY_AFTER: Duration = Duration::from_millis(300);
 
 /// Time of a token at a slow replica that is full, and of everything else of a request.
 const SLOW_TOKEN: Duration = Duration::from_millis(30);
@@ -58,7 +58,7 @@
 /// shortly before the end would be cut off; another instance can serve it whole. While the instance
 /// leaves, the pace that is learned of the replicas decides; once it closes, nothing may be cut, so
 /// a slow replica must be able to end it too.
-pub fn ends_in_time(node: &Node, service: &ServiceId, meta: &RequestMeta) -> bool {
+pub fn completes_before_shutdown(node: &Node, service: &ServiceId, meta: &RequestMeta) -> bool {
     let Some(end) = node.answers_by.get() else {
         return true;
     };
@@ -163,7 +163,7 @@
     let Verdict::Denied { wait_ms, stock } = verdict else {
         return Refusal::new(RefusalKind::Unavailable)
             .with_message(format!("{wanted}, no answer"))
-            .with_retry_after(COME_BACK_SOON);
+            .with_retry_after(SHORT_RETRY_AFTER);
     };
     let pace = node.ledger.borrow().pace(short_name(&organisation.name));
     let depth = pace.map_or(0.0, |p| p.depth());
--- a/crates/entry/src/expiry.rs
+++ b/crates/entry/src/expiry.rs
@@ -1,4 +1,4 @@
-//! How long a request may take here.
+//! Expiry of a request: the route's timeout or the shutdown of the process.
 
 use std::rc::Rc;
 
@@ -7,18 +7,18 @@
 use crate::node::Node;
 use crate::table::Route;
 
-/// What ends the time of a request.
+/// Limit at which the time of a request expires.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Expiry {
-    /// The route's time is over.
+    /// The route's timeout, counted from the receipt of the request.
     RouteTimeout,
-    /// The process ends.
+    /// The time at which a process that shuts down sends its last responses.
     Shutdown,
 }
 
-/// Ends when the route's time is over, by what the table says at that moment, or when the process has
-/// just time left to answer: a caller whose connection is closed instead knows neither whether its
-/// request ran nor when to come back.
+/// Completes when the route's timeout in the table in force has passed, or when a process that shuts
+/// down has just enough time left to respond. If its connection were closed instead, the caller would
+/// know neither whether its request ran nor when to retry.
 pub async fn wait_for_expiry(node: &Rc<Node>, route: &Route, received: Instant) -> Expiry {
     let mut version = node.version.subscribe();
     let mut last_answers = std::pin::pin!(node.last_answers());
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -1,4 +1,4 @@
-//! The life of one request: received, admitted, placed, sent, answered.
+//! Lifecycle of one request: it is received, admitted, assigned a slot, sent and answered.
 
 mod placing;
 mod refusing;
@@ -26,44 +26,46 @@
 use crate::request_log::{self, UnansweredGuard};
 use crate::table::{Organisation, Route, Table};
 
-use refusing::{check_end, check_regions, unavailable};
-use sending::Next;
+use refusing::{check_regions, check_time_to_shutdown, unavailable};
+use sending::NextStep;
 
-/// Longest time that a request waits for the first table: a start reads it in two tenths of a second,
-/// where the store or a peer answers. Also as a part of the caller's time.
-const FOR_TABLE: Duration = Duration::from_millis(600);
-const FOR_TABLE_PART: f64 = 0.25;
+/// Longest time a request waits for the first table after a start. The table is read within two
+/// tenths of a second if the store or a peer responds.
+const MAX_TABLE_WAIT: Duration = Duration::from_millis(600);
 
-/// One request and what was decided of it.
+/// Upper bound on the wait for the first table, as a fraction of the caller's timeout.
+const MAX_TABLE_WAIT_FRACTION: f64 = 0.25;
+
+/// State of one request while the instance handles it.
 #[derive(Debug)]
 pub struct RequestContext {
-    /// The caller's attempt.
+    /// Metadata parsed from the head of the request.
     pub meta: RequestMeta,
-    /// Head of the request.
+    /// Head of the request as received.
     pub head: Parts,
-    /// Its body.
+    /// Complete body of the request.
     pub body: Bytes,
-    /// When it had come in.
+    /// Time at which the head of the request was received.
     pub received: Instant,
-    /// Time for which the machine had been suspended by then.
+    /// Total time for which the machine had been suspended when the request was admitted.
     pub suspended: Duration,
-    /// The route in force when it was admitted.
+    /// Route of the request, updated from the table in force each time the request is rechecked.
     pub route: Rc<Route>,
-    /// Who sent it.
+    /// Organisation that owns the caller's API key.
     pub organisation: Option<Rc<Organisation>>,
-    /// The service that it goes to.
+    /// Service that the request is dispatched to.
     pub service: ServiceId,
-    /// Replicas that were tried.
+    /// Replicas that the request was sent to, in order.
     pub tried: Vec<UpstreamId>,
-    /// Replicas that may have run it.
+    /// Number of replicas that may have run the request.
     pub runs: u32,
-    /// How long it waited for its last place.
+    /// Time from `received` to the assignment of the last slot.
     pub waited: Duration,
-    /// What it was charged.
+    /// Credit that was charged to the organisation.
     pub charge: Charged,
 }
 
-/// Answers one request of a caller.
+/// Handles one request of a caller, from its head to the head of the response.
 pub async fn serve(node: Rc<Node>, req: Request<Incoming>) -> Response<Body> {
     node.active.set(node.active.get() + 1);
     node.taken.set(node.taken.get() + 1);
@@ -73,15 +75,15 @@
     let meta = node.protocol.parse_request(&head);
     let body = tokio::select! {
         body = read_body(&node, body) => body,
-        () = node.last_answers() => Err(unavailable("this instance ends before the body came in")),
+        () = node.last_answers() => Err(unavailable("this instance shuts down before the body is complete")),
     };
     let result = match body {
-        Ok(body) => admitted(&node, received, head, meta.clone(), body, active).await,
+        Ok(body) => admit_and_run(&node, received, head, meta.clone(), body, active).await,
         Err(refusal) => Err(refusal),
     };
     let mut response = match result {
         Ok(response) => response,
-        Err(refusal) => refuse(&node, &meta, received, &refusal),
+        Err(refusal) => refusal_response(&node, &meta, received, &refusal),
     };
     if node.stage() != Stage::Serving {
         let close = HeaderValue::from_static("close");
@@ -90,7 +92,7 @@
     response
 }
 
-/// Counts a request for as long as it is answered.
+/// Counts a request as active until it is dropped.
 #[derive(Debug)]
 pub struct ActiveGuard(Rc<Node>);
 
@@ -100,7 +102,8 @@
     }
 }
 
-async fn admitted(
+/// Checks a complete request against the table and the organisation's limit, then runs it.
+async fn admit_and_run(
     node: &Rc<Node>,
     received: Instant,
     head: Parts,
@@ -111,11 +114,13 @@
     let table = wait_for_table(node, &meta).await?;
     let (route, organisation) = resolve(&table, &head, &meta)?;
     if meta.attempt_id.is_empty() {
-        return Err(Refusal::new(RefusalKind::BadRequest).with_message("the request has no id"));
+        return Err(
+            Refusal::new(RefusalKind::BadRequest).with_message("the request has no attempt id")
+        );
     }
-    let service =
-        pick_service(&route).ok_or_else(|| unavailable("the route leads to no service"))?;
-    check_end(node, &service, &meta)?;
+    let service = pick_service(&route)
+        .ok_or_else(|| unavailable(&format!("route {} has no service", route.name)))?;
+    check_time_to_shutdown(node, &service, &meta)?;
     check_regions(&route, organisation.as_deref())?;
     let charge = charge(node, organisation.as_deref(), &route, &service, &meta).await?;
     node.repeats
@@ -138,44 +143,54 @@
     ctx.run(Rc::clone(node), active).await
 }
 
-/// The table; a request that comes while the instance starts waits a moment for it.
+/// Returns the table in force, or waits for the first one while the instance starts.
 async fn wait_for_table(node: &Node, meta: &RequestMeta) -> Result<Rc<Table>, Refusal> {
     let mut version = node.version.subscribe();
-    let patience = meta.timeout.unwrap_or(FOR_TABLE).mul_f64(FOR_TABLE_PART);
-    let mut over = std::pin::pin!(tokio::time::sleep(FOR_TABLE.min(patience)));
+    let max_wait = meta
+        .timeout
+        .unwrap_or(MAX_TABLE_WAIT)
+        .mul_f64(MAX_TABLE_WAIT_FRACTION);
+    let mut wait_expired = std::pin::pin!(tokio::time::sleep(MAX_TABLE_WAIT.min(max_wait)));
     loop {
         if let Some(table) = node.table() {
             return Ok(table);
         }
         tokio::select! {
             _ = version.changed() => {}
-            () = &mut over => return Err(unavailable("no table is known yet")),
-            () = node.last_answers() => return Err(unavailable("this instance ends and knows no table")),
+            () = &mut wait_expired => return Err(unavailable("no table received yet")),
+            () = node.last_answers() => return Err(unavailable("this instance shuts down and has received no table")),
         }
     }
 }
 
-/// Makes the answer of a refusal and tells the log of it.
-fn refuse(node: &Node, meta: &RequestMeta, received: Instant, refusal: &Refusal) -> Response<Body> {
+/// Builds the response for a refusal and logs it.
+fn refusal_response(
+    node: &Node,
+    meta: &RequestMeta,
+    received: Instant,
+    refusal: &Refusal,
+) -> Response<Body> {
     request_log::log_refused(node, meta, received, refusal);
-    let (status, fields) = node
+    let (status, headers) = node
         .protocol
         .refusal_response(Some(&meta.attempt_id), refusal);
     let mut response = Response::new(Body::whole(Bytes::new()));
     *response.status_mut() = status;
-    *response.headers_mut() = fields;
+    *response.headers_mut() = headers;
     response
 }
 
 impl RequestContext {
+    /// Runs the request and logs it if the task is dropped before a response exists.
     async fn run(mut self, node: Rc<Node>, active: ActiveGuard) -> Result<Response<Body>, Refusal> {
         let mut unanswered = UnansweredGuard::new(&node, &self.meta.attempt_id, self.received);
-        let result = self.run_watched(&node, active, &mut unanswered).await;
+        let result = self.dispatch(&node, active, &mut unanswered).await;
         unanswered.end();
         result
     }
 
-    async fn run_watched(
+    /// Waits for a slot and sends the request, once per retry, until a response or refusal exists.
+    async fn dispatch(
         &mut self,
         node: &Rc<Node>,
         active: ActiveGuard,
@@ -186,16 +201,16 @@
             unanswered.replica = None;
             let placed = tokio::select! {
                 placed = node.place(self.job(node)) => placed.map_err(|_| Expiry::RouteTimeout),
-                over = wait_for_expiry(node, &self.route, self.received) => Err(over),
-                () = self.bound_elsewhere(node) => {
+                expiry = wait_for_expiry(node, &self.route, self.received) => Err(expiry),
+                () = self.regions_changed(node) => {
                     self.recheck(node)?;
                     continue;
                 }
             };
             let place = match placed {
                 Ok(place) => place,
-                Err(Expiry::RouteTimeout) => return Err(self.give_up(node)),
-                Err(Expiry::Shutdown) => return Err(self.ends_with_process(node)),
+                Err(Expiry::RouteTimeout) => return Err(self.no_slot_refusal(node)),
+                Err(Expiry::Shutdown) => return Err(self.shutdown_refusal(node)),
             };
             self.waited = self.received.elapsed();
             node.metrics.observe(Phase::Queued, self.waited);
@@ -206,29 +221,31 @@
             request_log::log_sent(node, self, &place);
             unanswered.replica = Some(place.upstream.clone());
             match self.send(node, &target, place, &mut active).await {
-                Next::Answer(response) => return Ok(*response),
-                Next::Refuse(refusal) => return Err(refusal),
-                Next::Again => {}
+                NextStep::Respond(response) => return Ok(*response),
+                NextStep::Refuse(refusal) => return Err(refusal),
+                NextStep::Retry => {}
             }
         }
     }
 
-    fn uncharge(&self, node: &Node) {
+    /// Refunds the credit of a request that no replica has run.
+    fn refund(&self, node: &Node) {
         if let Some(organisation) = &self.organisation {
             credit::give_back(node, organisation, &self.charge);
         }
     }
 
-    /// Time that the caller still waits, counting the time that the machine stood still.
+    /// Time until the caller's timeout or the route's, whichever is shorter. Time for which the
+    /// machine was suspended counts as elapsed.
     pub fn time_left(&self, node: &Node) -> Duration {
-        let slept = node.clock.suspended().saturating_sub(self.suspended);
-        let passed = self.received.elapsed() + slept;
-        let deadline = self.meta.timeout.unwrap_or(self.route.timeout);
-        deadline.min(self.route.timeout).saturating_sub(passed)
+        let suspended = node.clock.suspended().saturating_sub(self.suspended);
+        let elapsed = self.received.elapsed() + suspended;
+        let timeout = self.meta.timeout.unwrap_or(self.route.timeout);
+        timeout.min(self.route.timeout).saturating_sub(elapsed)
     }
 }
 
-/// An answer without content.
+/// Builds a response without a body.
 pub fn empty_response(status: http::StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
--- a/crates/entry/src/request/placing.rs
+++ b/crates/entry/src/request/placing.rs
@@ -1,4 +1,4 @@
-//! What a request that waits for a place may get, by the table in force.
+//! Requirements of a request that waits for a slot, derived from the table in force.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,83 +9,89 @@
 use tokio::time::Instant;
 
 use super::RequestContext;
-use super::refusing::{check_end, check_regions, unavailable};
+use super::refusing::{check_regions, check_time_to_shutdown, unavailable};
 use crate::admission::resolve;
 use crate::node::{Node, Place, Target};
 use crate::refusal::Refusal;
 use crate::table::regions;
 
-/// Callers leave a stream, also before its first event, after two seconds, four times the objective
-/// or eight times the longest pause, whichever is longest.
-const PATIENCE: Duration = Duration::from_secs(2);
+/// Shortest time after which callers abandon a stream that sends nothing, also before its first
+/// event. They abandon it after this time, four latency objectives or eight times the longest
+/// permitted pause between events, whichever is longest.
+const MIN_STREAM_PATIENCE: Duration = Duration::from_secs(2);
 
-const PATIENCE_OBJECTIVES: f64 = 4.0;
+/// Multiple of the latency objective after which callers abandon a silent stream.
+const STREAM_PATIENCE_OBJECTIVES: f64 = 4.0;
 
-const PATIENCE_PAUSES: f64 = 8.0;
+/// Multiple of the longest permitted pause after which callers abandon a silent stream.
+const STREAM_PATIENCE_PAUSES: f64 = 8.0;
 
-/// A request that got no place is given up at this part of its caller's patience: the other half is
-/// left for the one time that a caller comes back, when the burst has passed, and less waits in vain
-/// meanwhile.
-const GIVE_UP_AT: f64 = 0.5;
+/// Fraction of the caller's patience after which a request without a slot is refused. The other half
+/// remains for the caller's single retry, which comes when the burst has passed, and fewer requests
+/// wait without success in the meantime.
+const MAX_QUEUE_WAIT_FRACTION: f64 = 0.5;
 
-/// The rest of a stream that broke off is given up while its caller still waits, so that the end of
-/// the stream arrives.
-const BEFORE_PATIENCE_ENDS: f64 = 0.8;
+/// Fraction of the caller's patience after which the wait for a slot for the rest of a broken stream
+/// ends. It is below 1 so that the end of the stream reaches the caller while it still waits.
+const MAX_RESUME_WAIT_FRACTION: f64 = 0.8;
 
 impl RequestContext {
-    /// The replica of a place, unless it has gone or the request may no longer be served there.
+    /// Returns the replica of an assigned slot, or `None` if the replica is gone or the request may
+    /// no longer be served in its region.
     pub(super) fn target(&self, node: &Node, place: &Place) -> Option<Rc<Target>> {
         let target = node.target(&place.upstream)?;
         let region = node.region_of(&target.published.zone);
         self.regions().allows(&region).then_some(target)
     }
 
-    /// Where it may be served.
+    /// Regions in which the request may be served.
     pub(super) fn regions(&self) -> Regions {
         regions(&self.route, self.organisation.as_deref())
     }
 
-    /// Ends when a newer table binds the request to other regions than those it waits for.
-    pub(super) async fn bound_elsewhere(&self, node: &Node) {
+    /// Completes when a newer table allows other regions than those the request is queued for.
+    pub(super) async fn regions_changed(&self, node: &Node) {
         let mut version = node.version.subscribe();
         while version.changed().await.is_ok() {
             let table = node.table();
-            let found = table.and_then(|t| resolve(&t, &self.head, &self.meta).ok());
-            let now = found.map(|(route, organisation)| regions(&route, organisation.as_deref()));
-            if now.is_some_and(|now| now != self.regions()) {
+            let resolved = table.and_then(|t| resolve(&t, &self.head, &self.meta).ok());
+            let allowed =
+                resolved.map(|(route, organisation)| regions(&route, organisation.as_deref()));
+            if allowed.is_some_and(|allowed| allowed != self.regions()) {
                 return;
             }
         }
         std::future::pending::<()>().await;
     }
 
-    /// When its whole answer must have come: its caller leaves then, or the process ends.
-    fn ends_by(&self, node: &Node) -> Instant {
+    /// Latest time for the complete response: the request's timeout or the process's last responses.
+    fn response_deadline(&self, node: &Node) -> Instant {
         let deadline = Instant::now() + self.time_left(node);
         node.answers_by
             .get()
-            .map_or(deadline, |end| end.min(deadline))
+            .map_or(deadline, |shutdown| shutdown.min(deadline))
     }
 
+    /// Describes the request to the dispatcher, which orders it and selects a replica.
     pub(super) fn job(&self, node: &Node) -> Job {
         let stream = self.route.kind.is_stream();
         let objective = self.route.objective;
         let patience = if stream {
-            PATIENCE
-                .max(objective.mul_f64(PATIENCE_OBJECTIVES))
-                .max(self.route.longest_pause.mul_f64(PATIENCE_PAUSES))
+            MIN_STREAM_PATIENCE
+                .max(objective.mul_f64(STREAM_PATIENCE_OBJECTIVES))
+                .max(self.route.longest_pause.mul_f64(STREAM_PATIENCE_PAUSES))
         } else {
             self.route.timeout
         };
-        let waits = patience.min(self.meta.timeout.unwrap_or(patience));
+        let patience = patience.min(self.meta.timeout.unwrap_or(patience));
         let own_rank = self.organisation.as_ref().and_then(|o| o.rank);
         Job {
             id: node.new_job(),
             rank: (own_rank.unwrap_or(self.route.rank), self.route.rank),
             received: self.received,
             due: self.received + objective,
-            deadline: self.ends_by(node),
-            give_up: self.received + waits.mul_f64(GIVE_UP_AT),
+            deadline: self.response_deadline(node),
+            give_up: self.received + patience.mul_f64(MAX_QUEUE_WAIT_FRACTION),
             service: self.service.clone(),
             regions: self.regions(),
             prompt: f64::from(self.meta.prompt_tokens.unwrap_or(0)),
@@ -100,17 +106,21 @@
         }
     }
 
-    /// A request that waited is sent by what holds now: its key or route may be gone, and the process
-    /// may end before the request could.
+    /// Checks a request that has waited against the table in force: its API key or route may have
+    /// been removed, or too little time may be left before the process ends. A request that no
+    /// replica has run is refunded if the check fails.
     pub(super) fn recheck(&mut self, node: &Node) -> Result<(), Refusal> {
-        let result = self.check_again(node);
+        let result = self.apply_table(node);
         if result.is_err() && self.runs == 0 {
-            self.uncharge(node);
+            self.refund(node);
         }
         result
     }
 
-    fn check_again(&mut self, node: &Node) -> Result<(), Refusal> {
+    /// Takes over the route and organisation from the table in force. Regions, service and remaining
+    /// time are checked only before the first send: a request that may have run is not refused as
+    /// one that has not.
+    fn apply_table(&mut self, node: &Node) -> Result<(), Refusal> {
         let Some(table) = node.table() else {
             return Ok(());
         };
@@ -118,32 +128,35 @@
         if self.runs == 0 {
             check_regions(&route, organisation.as_deref())?;
             if !route.targets.iter().any(|(s, _)| *s == self.service) {
-                return Err(unavailable("the route leads to other services now"));
+                return Err(unavailable(&format!(
+                    "route {} no longer leads to service {}",
+                    route.name, self.service
+                )));
             }
-            check_end(node, &self.service, &self.meta)?;
+            check_time_to_shutdown(node, &self.service, &self.meta)?;
         }
         self.route = route;
         self.organisation = organisation;
         Ok(())
     }
 
-    /// A place for the rest of a stream that broke off, by what holds now.
+    /// Waits for a slot for the rest of a stream that broke off, under the table in force.
     pub async fn place_for_resume(&mut self, node: &Rc<Node>) -> Option<(Place, Rc<Target>)> {
-        self.follow_table(node);
+        self.refresh_route(node);
         let now = Instant::now();
         let mut job = self.job(node);
         job.rank = (0, 0);
         job.due = now + self.route.longest_pause;
-        job.give_up = now + PATIENCE.mul_f64(BEFORE_PATIENCE_ENDS);
+        job.give_up = now + MIN_STREAM_PATIENCE.mul_f64(MAX_RESUME_WAIT_FRACTION);
         let place = node.place(job).await.ok()?;
-        self.follow_table(node);
+        self.refresh_route(node);
         let target = self.target(node, &place)?;
         Some((place, target))
     }
 
-    /// Goes by the newest table. A stream whose route or key is no longer there ends by the rules
-    /// under which it began.
-    fn follow_table(&mut self, node: &Node) {
-        let _ = self.check_again(node);
+    /// Applies the table in force. A stream whose route or API key was removed keeps the rules under
+    /// which it began.
+    fn refresh_route(&mut self, node: &Node) {
+        let _ = self.apply_table(node);
     }
 }
--- a/crates/entry/src/request/refusing.rs
+++ b/crates/entry/src/request/refusing.rs
@@ -1,4 +1,4 @@
-//! The refusals of a request: why it gets no answer of a replica, and when its caller had better come back.
+//! Refusals of a request: the reason, and when the caller should retry.
 
 use std::time::Duration;
 
@@ -9,18 +9,18 @@
 
 use super::RequestContext;
 use crate::adapter::RequestMeta;
-use crate::admission::{COME_BACK_SOON, ends_in_time};
+use crate::admission::{SHORT_RETRY_AFTER, completes_before_shutdown};
 use crate::exchange::Failure;
 use crate::expiry::Expiry;
 use crate::node::Node;
 use crate::refusal::{Refusal, RefusalKind, RunStatus};
 use crate::table::{Organisation, Route, regions};
 
-/// Advice on when to come back: bursts last two to five seconds. Callers take a third of the time
-/// that they have left at most.
-const COME_BACK_S: std::ops::Range<f64> = 2.0..5.0;
+/// Retry delay in seconds after a refusal for lack of capacity: bursts last two to five seconds.
+/// Callers wait at most a third of the time that they have left.
+const RETRY_AFTER_S: std::ops::Range<f64> = 2.0..5.0;
 
-/// Refuses a request that may be served nowhere, as its route and its organisation name different regions.
+/// Refuses a request whose route and organisation have no allowed region in common.
 pub(super) fn check_regions(
     route: &Route,
     organisation: Option<&Organisation>,
@@ -37,47 +37,49 @@
     );
     Err(Refusal::new(RefusalKind::Shed)
         .with_message(reason)
-        .with_retry_after(come_back()))
+        .with_retry_after(random_retry_delay()))
 }
 
-/// Advice on when to come back after a refusal for want of room.
-pub(super) fn come_back() -> Duration {
-    Duration::from_secs_f64(rand::rng().random_range(COME_BACK_S))
+/// Picks a random retry delay for a refusal for lack of capacity.
+pub(super) fn random_retry_delay() -> Duration {
+    Duration::from_secs_f64(rand::rng().random_range(RETRY_AFTER_S))
 }
 
-/// Refuses a request that could not end before the process does.
-pub(super) fn check_end(
+/// Refuses a request that can't complete before the process ends.
+pub(super) fn check_time_to_shutdown(
     node: &Node,
     service: &ServiceId,
     meta: &RequestMeta,
 ) -> Result<(), Refusal> {
-    if ends_in_time(node, service, meta) {
+    if completes_before_shutdown(node, service, meta) {
         return Ok(());
     }
-    Err(unavailable("this instance ends before the request could"))
+    Err(unavailable(
+        "this instance shuts down before the request could complete",
+    ))
 }
 
-/// Another instance, or this one a moment later, can serve the request.
+/// Builds a refusal for a request that another instance, or this one shortly after, can serve.
 pub(super) fn unavailable(reason: &str) -> Refusal {
     Refusal::new(RefusalKind::Unavailable)
         .with_message(reason)
-        .with_retry_after(COME_BACK_SOON)
+        .with_retry_after(SHORT_RETRY_AFTER)
 }
 
 impl RequestContext {
-    /// The final answer to a request that got no place in time.
-    pub(super) fn give_up(&self, node: &Node) -> Refusal {
+    /// Builds the final refusal of a request that was assigned no slot in time.
+    pub(super) fn no_slot_refusal(&self, node: &Node) -> Refusal {
         if self.runs > 0 {
             return Refusal::new(RefusalKind::UpstreamBroke);
         }
-        self.uncharge(node);
+        self.refund(node);
         let regions = self.regions();
         let standing = node
             .dispatch
             .borrow()
             .standing(Instant::now(), &self.service, &regions);
         let reason = format!(
-            "no room for {} in {} ms in regions {regions}, asked in {}: {} replicas usable, {} of them elsewhere, {} cold, {} left alone, {} full, {} requests waiting, emptied zones [{}]",
+            "no room for {} in {} ms in regions {regions}, received in region {}: {} replicas usable, of these {} in other regions, {} cold, {} in backoff, {} full; {} requests waiting, emptied zones [{}]",
             self.service,
             self.received.elapsed().as_millis(),
             node.settings().region,
@@ -91,35 +93,38 @@
         );
         Refusal::new(RefusalKind::Shed)
             .with_message(reason)
-            .with_retry_after(come_back())
+            .with_retry_after(random_retry_delay())
     }
 
-    pub(super) fn is_over(&self, node: &Node, over: Expiry) -> Refusal {
-        match over {
-            Expiry::RouteTimeout => self.too_late(),
-            Expiry::Shutdown => self.ends_with_process(node),
+    /// Builds the refusal of a request whose time has expired.
+    pub(super) fn expiry_refusal(&self, node: &Node, expiry: Expiry) -> Refusal {
+        match expiry {
+            Expiry::RouteTimeout => self.timeout_refusal(),
+            Expiry::Shutdown => self.shutdown_refusal(node),
         }
     }
 
-    /// The process ends before the request could. Another instance can answer what was not sent.
-    pub(super) fn ends_with_process(&self, node: &Node) -> Refusal {
+    /// Builds the refusal of a request that the end of the process cuts short. Another instance can
+    /// serve it if it was not sent to a replica.
+    pub(super) fn shutdown_refusal(&self, node: &Node) -> Refusal {
         if self.runs > 0 {
             return Refusal::new(RefusalKind::Deadline)
                 .with_ran(RunStatus::Unknown)
                 .with_message("this instance ends before the replica has answered");
         }
-        self.uncharge(node);
+        self.refund(node);
         unavailable("this instance ends before the request had a place")
     }
 
-    pub(super) fn too_late(&self) -> Refusal {
+    /// Builds the refusal of a request whose route's or caller's timeout has expired.
+    pub(super) fn timeout_refusal(&self) -> Refusal {
         let ran = if self.runs > 0 {
             RunStatus::Unknown
         } else {
             RunStatus::No
         };
         let reason = format!(
-            "the route's {} ms or the caller's {} are over after {} ms",
+            "route timeout of {} ms or caller timeout of {} ms expired after {} ms",
             self.route.timeout.as_millis(),
             self.meta
                 .timeout
@@ -131,17 +136,17 @@
             .with_message(reason)
     }
 
-    /// The replica may have run the request, and no other one may try.
-    pub(super) fn broke(&self, failure: Failure) -> Refusal {
-        let why = if !self.route.kind.repeatable() {
+    /// Builds the refusal of a request that a replica may have run and that may not be retried.
+    pub(super) fn no_retry_refusal(&self, failure: Failure) -> Refusal {
+        let reason = if !self.route.kind.repeatable() {
             "the route allows one run"
         } else if self.runs >= self.route.attempts {
-            "all runs of the route are used"
+            "the route's attempts are used up"
         } else {
-            "no time or no budget for another run"
+            "no time or retry budget for another attempt"
         };
         Refusal::new(RefusalKind::UpstreamBroke)
             .with_ran(RunStatus::Unknown)
-            .with_message(format!("{}; {why}", failure.as_str()))
+            .with_message(format!("{}; {reason}", failure.as_str()))
     }
 }
--- a/crates/entry/src/request/sending.rs
+++ b/crates/entry/src/request/sending.rs
@@ -1,4 +1,4 @@
-//! One send of a request: to a replica, through its failures, to its answer.
+//! One attempt of a request: sends it to a replica and handles its failure or response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,41 +17,45 @@
 use crate::relay::{self, Body};
 use crate::request_log;
 
-/// How often a request that may be repeated looks whether its replica still brings anything to
-/// anybody; a seventh of the shortest objective of the users' streams.
-const RESCUE_CHECK: Duration = Duration::from_millis(150);
+/// Interval at which a retryable request checks whether its replica still sends data to any caller: a
+/// seventh of the shortest latency objective of the users' streams.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// A connection that ends this soon after a request was written, beside the time to open it and to
-/// hear of its end, is that of a replica which runs nothing: it fails each request at once, looks idle and draws more. Usual
-/// first answers take 60 ms and more.
-const AT_ONCE: Duration = Duration::from_millis(25);
+/// If a connection ends this soon after the request was written, not counting the time to open it and
+/// to notice its end, its replica runs nothing. Such a replica fails each request at once, looks idle
+/// and attracts more requests. Usual first responses take 60 ms and more.
+const IMMEDIATE_FAILURE: Duration = Duration::from_millis(25);
 
-/// A request of a plain service that may be repeated waits for this part of its objective before
-/// another replica is tried: the rest is enough for a usual answer.
-const PLAIN_RESCUE: f64 = 0.6;
+/// Fraction of the latency objective after which a retryable request without a streamed response is
+/// sent to another replica: the rest is enough for a usual response.
+const PLAIN_RETRY_FRACTION: f64 = 0.6;
 
-/// What to do after one send.
-pub(super) enum Next {
-    Answer(Box<Response<Body>>),
-    Again,
+/// Least time left for which another attempt is made.
+const MIN_RETRY_TIME: Duration = Duration::from_millis(100);
+
+/// What to do after one attempt.
+pub(super) enum NextStep {
+    Respond(Box<Response<Body>>),
+    Retry,
     Refuse(Refusal),
 }
 
 impl RequestContext {
+    /// Sends the request to the replica of its slot and waits for the response.
     pub(super) async fn send(
         &mut self,
         node: &Rc<Node>,
         target: &Rc<Target>,
         place: Place,
         active: &mut Option<ActiveGuard>,
-    ) -> Next {
+    ) -> NextStep {
         if self.time_left(node).is_zero() {
             place.end(Outcome::Unknown);
-            return Next::Refuse(self.too_late());
+            return NextStep::Refuse(self.timeout_refusal());
         }
-        let at_once = AT_ONCE + node.travel(&target.published.zone) * 2;
-        let began = Instant::now();
-        let fields = self.forward_headers(node, target, None);
+        let immediate = IMMEDIATE_FAILURE + node.travel(&target.published.zone) * 2;
+        let sent_at = Instant::now();
+        let headers = self.forward_headers(node, target, None);
         self.tried.push(place.upstream.clone());
         self.runs += 1;
         let sent = exchange::send(
@@ -59,75 +63,79 @@
             &*node.protocol,
             &self.meta.attempt_id,
             &self.head,
-            fields,
+            headers,
             self.body.clone(),
             self.route.kind.repeatable(),
         );
         let sent = tokio::select! {
             sent = sent => sent.map_err(|e| match e {
-                Failure::Broken if began.elapsed() < at_once => Failure::Dropped,
+                Failure::Broken if sent_at.elapsed() < immediate => Failure::Dropped,
                 e => e,
             }),
-            over = wait_for_expiry(node, &self.route, self.received) => {
+            expiry = wait_for_expiry(node, &self.route, self.received) => {
                 place.end(Outcome::Unknown);
-                return Next::Refuse(self.is_over(node, over));
+                return NextStep::Refuse(self.expiry_refusal(node, expiry));
             }
-            () = self.rescue(node, &place) => Err(Failure::Abandoned),
+            () = self.wait_for_retry(node, &place) => Err(Failure::Abandoned),
         };
         match sent {
-            Ok(answer) => self.answered(node, target, place, answer, active).await,
-            Err(failure) => self.failed(node, place, failure),
+            Ok(answer) => self.on_response(node, target, place, answer, active).await,
+            Err(failure) => self.on_failure(node, place, failure),
         }
     }
 
-    /// Ends when the request had better be sent to another replica, with a repeat taken for it; never
-    /// if it may not. A request that is given up with nothing in its place helps nobody.
-    async fn rescue(&self, node: &Node, place: &Place) {
+    /// Completes when the request should be sent to another replica, after it has consumed one retry
+    /// of the budget; never completes if no retry is allowed, because an attempt is abandoned only in
+    /// favour of another one.
+    async fn wait_for_retry(&self, node: &Node, place: &Place) {
         if !self.route.kind.repeatable() || self.runs >= self.route.attempts {
             return std::future::pending().await;
         }
         let sent = Instant::now();
         loop {
-            tokio::time::sleep(RESCUE_CHECK).await;
+            tokio::time::sleep(STALL_CHECK_INTERVAL).await;
             let plain = !self.route.kind.is_stream();
-            let slow = sent.elapsed() > self.route.objective.mul_f64(PLAIN_RESCUE);
+            let slow = sent.elapsed() > self.route.objective.mul_f64(PLAIN_RETRY_FRACTION);
             if (place.is_silent() || (plain && slow)) && self.try_consume_retry(node) {
                 return;
             }
         }
     }
 
-    fn failed(&mut self, node: &Node, place: Place, failure: Failure) -> Next {
+    /// Handles an attempt without a response: decides between a retry and a refusal.
+    fn on_failure(&mut self, node: &Node, place: Place, failure: Failure) -> NextStep {
         request_log::log_send_failed(node, self, &place.upstream, failure);
         place.end(failure.outcome());
         if failure.may_have_run() {
             return if failure == Failure::Abandoned || self.try_consume_retry(node) {
-                Next::Again
+                NextStep::Retry
             } else {
-                Next::Refuse(self.broke(failure))
+                NextStep::Refuse(self.no_retry_refusal(failure))
             };
         }
         self.runs -= 1;
-        // A connection that could not be made reached no replica, so it draws on no budget.
+        // A connection that could not be opened reached no replica, so no retry budget is consumed.
         if failure == Failure::NotSent || self.consume_retry_budget(node) {
-            Next::Again
+            NextStep::Retry
         } else {
-            Next::Refuse(self.give_up(node))
+            NextStep::Refuse(self.no_slot_refusal(node))
         }
     }
 
-    async fn answered(
+    /// Handles the head of a response: a successful stream is relayed, anything else is read to its
+    /// end first.
+    async fn on_response(
         &mut self,
         node: &Rc<Node>,
         target: &Rc<Target>,
         place: Place,
         answer: Answer,
         active: &mut Option<ActiveGuard>,
-    ) -> Next {
+    ) -> NextStep {
         if self.route.kind.is_stream() && answer.head.status.is_success() {
             node.metrics
                 .observe(Phase::FirstByte, self.received.elapsed());
-            let ctx = self.take();
+            let ctx = self.take_for_relay();
             let active = active.take();
             let response = relay::start(
                 Rc::clone(node),
@@ -137,19 +145,19 @@
                 answer,
                 active,
             );
-            return Next::Answer(Box::new(response));
+            return NextStep::Respond(Box::new(response));
         }
-        self.answered_whole(node, target, place, answer).await
+        self.respond_buffered(node, target, place, answer).await
     }
 
-    /// Passes an answer on that is held until all of it is there.
-    async fn answered_whole(
+    /// Buffers a response until it is complete and returns it to the caller.
+    async fn respond_buffered(
         &mut self,
         node: &Rc<Node>,
         target: &Rc<Target>,
         place: Place,
         answer: Answer,
-    ) -> Next {
+    ) -> NextStep {
         let Answer {
             head,
             body,
@@ -157,12 +165,12 @@
         } = answer;
         let body = tokio::select! {
             body = exchange::whole(body) => body,
-            over = wait_for_expiry(node, &self.route, self.received) => {
-                return Next::Refuse(self.is_over(node, over));
+            expiry = wait_for_expiry(node, &self.route, self.received) => {
+                return NextStep::Refuse(self.expiry_refusal(node, expiry));
             }
         };
         let Ok(body) = body else {
-            return self.failed(node, place, Failure::Broken);
+            return self.on_failure(node, place, Failure::Broken);
         };
         target.pool.keep(Instant::now(), connection, &head.headers);
         let failed = head.status.is_server_error();
@@ -172,7 +180,7 @@
             Outcome::Served
         });
         if failed && self.try_consume_retry(node) {
-            return Next::Again;
+            return NextStep::Retry;
         }
         let first = self.received.elapsed();
         let status = head.status.as_u16();
@@ -187,11 +195,11 @@
         let mut response = Response::new(Body::whole(body));
         *response.status_mut() = head.status;
         *response.headers_mut() = node.protocol.response_headers(&head);
-        Next::Answer(Box::new(response))
+        NextStep::Respond(Box::new(response))
     }
 
-    /// Moves this request's life into a relay.
-    fn take(&mut self) -> RequestContext {
+    /// Moves the context of this request into a relay.
+    fn take_for_relay(&mut self) -> RequestContext {
         RequestContext {
             meta: std::mem::take(&mut self.meta),
             head: self.head.clone(),
@@ -208,14 +216,16 @@
         }
     }
 
-    /// Whether one more replica may be tried after one that may have run the request.
+    /// Returns whether another replica may be tried after one that may have run the request, and
+    /// consumes one retry of the budget if so.
     pub fn try_consume_retry(&self, node: &Node) -> bool {
         self.route.kind.repeatable()
             && self.runs < self.route.attempts
-            && self.time_left(node) > Duration::from_millis(100)
+            && self.time_left(node) > MIN_RETRY_TIME
             && self.consume_retry_budget(node)
     }
 
+    /// Consumes one retry of the service's budget; returns false if none is left.
     pub(super) fn consume_retry_budget(&self, node: &Node) -> bool {
         let instances = node.peers.borrow().known();
         node.repeats
@@ -223,7 +233,7 @@
             .take(Instant::now(), &self.service, instances)
     }
 
-    /// Head fields for the replica.
+    /// Builds the headers with which the request is forwarded to a replica.
     pub fn forward_headers(
         &self,
         node: &Node,
