--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a request is taken at all: its size, route, key, and its organisation's limit.
+//! Admission of a request: its body size, route, API key and its organisation's limit.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -19,61 +19,68 @@
 use crate::refusal::{Refusal, RefusalKind};
 use crate::table::{Organisation, Route, Table};
 
-/// Advice where the instance knows no table yet or ends: another one answers the next try.
+/// Retry delay given while the instance has no table yet or shuts down: another instance handles the
+/// retry.
 pub const SHORT_RETRY_AFTER: Duration = Duration::from_millis(300);
 
-/// Time of a token at a slow replica that is full, and of everything else of a request.
-const SLOW_TOKEN: Duration = Duration::from_millis(30);
-const SLOW_REST: Duration = Duration::from_secs(1);
+/// Time per output token at a slow replica with all slots in use.
+const SLOW_TOKEN_TIME: Duration = Duration::from_millis(30);
 
-/// Time of everything but reading and generating.
-const REST: Duration = Duration::from_millis(500);
+/// Time of a request at a slow replica apart from its output tokens.
+const SLOW_BASE_TIME: Duration = Duration::from_secs(1);
 
-/// A request waits for this part of its objective for credit of its organisation, at most.
-const FOR_CREDIT: f64 = 0.5;
-const MOST_FOR_CREDIT: Duration = Duration::from_millis(600);
+/// Time of a request apart from processing the prompt and generating tokens.
+const OVERHEAD_TIME: Duration = Duration::from_millis(500);
 
-/// Longest time for the body of a request to come in.
-const BODY: Duration = Duration::from_secs(10);
+/// Longest wait for credit, as a fraction of the route's latency objective.
+const MAX_CREDIT_WAIT_FRACTION: f64 = 0.5;
 
-/// Reads the body of a request.
+/// Longest wait for credit.
+const MAX_CREDIT_WAIT: Duration = Duration::from_millis(600);
+
+/// Longest time from the head of a request to the end of its body.
+const BODY_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Size limit in bytes of a request body while no table has been received.
+const DEFAULT_MAX_BODY_BYTES: usize = 1 << 20;
+
+/// Reads the body of a request, within the size limit of the table and [`BODY_TIMEOUT`].
 pub async fn read_body(node: &Node, body: Incoming) -> Result<Bytes, Refusal> {
-    let most = node.table().map_or(1 << 20, |t| t.limits.body_bytes);
-    let collected = tokio::time::timeout(BODY, Limited::new(body, most).collect()).await;
+    let table = node.table();
+    let max_bytes = table.map_or(DEFAULT_MAX_BODY_BYTES, |t| t.limits.body_bytes);
+    let limited = Limited::new(body, max_bytes);
+    let collected = tokio::time::timeout(BODY_TIMEOUT, limited.collect()).await;
     match collected {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
             Err(Refusal::new(RefusalKind::TooLarge))
         }
-        _ => {
-            Err(Refusal::new(RefusalKind::BadRequest)
-                .with_message("the body did not come in whole"))
-        }
+        _ => Err(Refusal::new(RefusalKind::BadRequest).with_message("the body is incomplete")),
     }
 }
 
-/// Whether the request can end before the process does.
+/// Returns whether the request can complete before the process ends.
 ///
-/// The balancer goes on sending where few instances of a zone are ready. A stream that is begun
-/// shortly before the end would be cut off; another instance can serve it whole. While the instance
-/// leaves, the pace that is learned of the replicas decides; once it closes, nothing may be cut, so
-/// a slow replica must be able to end it too.
+/// The load balancer keeps sending requests to a stopping instance where few instances of a zone are
+/// ready. A stream that starts shortly before the end would be cut off, while another instance can
+/// serve it completely. In the stage `Leaving` the estimate uses the measured speed of the replicas.
+/// From `Closing` on no response may be cut off, so even a slow replica must be able to complete it.
 pub fn completes_before_shutdown(node: &Node, service: &ServiceId, meta: &RequestMeta) -> bool {
-    let Some(end) = node.answers_by.get() else {
+    let Some(deadline) = node.answers_by.get() else {
         return true;
     };
-    let left = end.saturating_duration_since(Instant::now());
-    let slow = SLOW_REST + SLOW_TOKEN * meta.max_output_tokens.unwrap_or(0);
-    if node.stage() >= Stage::Closing && slow >= left {
+    let left = deadline.saturating_duration_since(Instant::now());
+    let slow_time = SLOW_BASE_TIME + SLOW_TOKEN_TIME * meta.max_output_tokens.unwrap_or(0);
+    if node.stage() >= Stage::Closing && slow_time >= left {
         return false;
     }
-    let left = left.saturating_sub(REST);
+    let left = left.saturating_sub(OVERHEAD_TIME);
     let prompt = f64::from(meta.prompt_tokens.unwrap_or(0));
     let dispatch = node.dispatch.borrow();
     dispatch.could_end(left, service, prompt, meta.estimated_output_tokens())
 }
 
-/// Finds the route and the organisation of a request in the table.
+/// Finds the route of a request by host and path, and the organisation that owns its API key.
 pub fn resolve(
     table: &Table,
     head: &Parts,
@@ -92,31 +99,31 @@
     let organisation = meta.api_key.as_deref().and_then(|k| table.organisation(k));
     if table.keyed() && !route.public && organisation.is_none() {
         let reason = match meta.api_key {
-            Some(_) => "the table has no such key",
-            None => "no key",
+            Some(_) => "the API key is not in the table",
+            None => "no API key",
         };
         return Err(Refusal::new(RefusalKind::Unauthorized).with_message(reason));
     }
     Ok((Rc::clone(route), organisation.cloned()))
 }
 
-/// Picks one of the services of a route, by their weights.
+/// Picks one of the services of a route at random, in proportion to their weights.
 pub fn pick_service(route: &Route) -> Option<ServiceId> {
     let total: u32 = route.targets.iter().map(|(_, weight)| weight).sum();
     if total == 0 {
         return route.targets.first().map(|(service, _)| service.clone());
     }
-    let mut at = rand::rng().random_range(0..total);
+    let mut remaining = rand::rng().random_range(0..total);
     for (service, weight) in &route.targets {
-        if at < *weight {
+        if remaining < *weight {
             return Some(service.clone());
         }
-        at -= weight;
+        remaining -= weight;
     }
     None
 }
 
-/// Takes a request's cost from its organisation's limit.
+/// Charges the cost of a request against its organisation's limit; waits for credit if necessary.
 pub async fn charge(
     node: &Node,
     organisation: Option<&Organisation>,
@@ -132,15 +139,18 @@
     };
     let charge = Charge {
         cost: cost(organisation, meta),
-        class: class(node, route, service, meta),
-        patience: route.objective.mul_f64(FOR_CREDIT).min(MOST_FOR_CREDIT),
+        class: priority_class(node, route, service, meta),
+        patience: route
+            .objective
+            .mul_f64(MAX_CREDIT_WAIT_FRACTION)
+            .min(MAX_CREDIT_WAIT),
     };
-    let taken = credit::take(node, organisation, limit, charge).await;
-    taken.map_err(|uncharged| refuse(node, organisation, route, charge, uncharged))
+    let charged = credit::take(node, organisation, limit, charge).await;
+    charged.map_err(|uncharged| credit_refusal(node, organisation, route, charge, uncharged))
 }
 
-/// The refusal of a request that got no credit.
-fn refuse(
+/// Builds the refusal of a request that was granted no credit.
+fn credit_refusal(
     node: &Node,
     organisation: &Organisation,
     route: &Route,
@@ -152,8 +162,8 @@
         waited,
         keeper,
     } = uncharged;
-    let wanted = format!(
-        "limit of {}: {:.0} wanted in tier {}, class {}; keeper {keeper}, waited {} ms",
+    let request = format!(
+        "limit of {}: {:.0} requested in tier {}, class {}; coordinator {keeper}, waited {} ms",
         organisation.name,
         charge.cost,
         route.rank,
@@ -162,19 +172,19 @@
     );
     let Verdict::Denied { wait_ms, stock } = verdict else {
         return Refusal::new(RefusalKind::Unavailable)
-            .with_message(format!("{wanted}, no answer"))
+            .with_message(format!("{request}, no response"))
             .with_retry_after(SHORT_RETRY_AFTER);
     };
     let pace = node.ledger.borrow().pace(short_name(&organisation.name));
     let depth = pace.map_or(0.0, |p| p.depth());
     let size = node.peers.borrow().zone_size();
     let reason = format!(
-        "{wanted}, {stock:.0} of at most {depth:.0} there, {size} instances known in the zone",
+        "{request}, {stock:.0} of at most {depth:.0} available, {size} known instances in the zone",
     );
     limited(f64::from(wait_ms) / 1000.0, reason)
 }
 
-/// What a request takes of its organisation's limit.
+/// Returns the cost of a request in the unit of its organisation's limit: tokens, or 1 per request.
 fn cost(organisation: &Organisation, meta: &RequestMeta) -> f64 {
     if !organisation.in_tokens {
         return 1.0;
@@ -186,16 +196,18 @@
     f64::from(tokens)
 }
 
-/// Refuses a request that would pass after `seconds`.
-fn limited(seconds: f64, reason: String) -> Refusal {
-    let after = seconds.clamp(0.2, 10.0) * rand::rng().random_range(1.0..1.3);
+/// Refuses a request for which credit is expected after `wait_s` seconds. Random jitter on the retry
+/// delay keeps callers from retrying all at once.
+fn limited(wait_s: f64, reason: String) -> Refusal {
+    let retry_after_s = wait_s.clamp(0.2, 10.0) * rand::rng().random_range(1.0..1.3);
     Refusal::new(RefusalKind::Limited)
         .with_message(reason)
-        .with_retry_after(Duration::from_secs_f64(after))
+        .with_retry_after(Duration::from_secs_f64(retry_after_s))
 }
 
-/// Place of a request in the order of service, in halves of a tier, before it waits.
-fn class(node: &Node, route: &Route, service: &ServiceId, meta: &RequestMeta) -> u32 {
+/// Returns the priority class of a request on arrival, in half tiers: twice the rank of its tier plus
+/// its demotion for size.
+fn priority_class(node: &Node, route: &Route, service: &ServiceId, meta: &RequestMeta) -> u32 {
     let prompt = f64::from(meta.prompt_tokens.unwrap_or(0));
     let setback = node
         .dispatch
