--- a/crates/entry/src/request_log.rs
+++ b/crates/entry/src/request_log.rs
@@ -1,8 +1,8 @@
-//! What the log tells of a request: one line for each decision on it, with its id, what decided it
-//! and how old that was.
+//! Log lines and metrics of a request: one line per decision, with the request's id, the values that
+//! the decision was based on and their age.
 //!
-//! Lines of failures carry their cause themselves, because the lines of what went well before are
-//! the first that are left out under load.
+//! A line about a failure contains its cause, because lines about successful steps are the first to
+//! be dropped under load.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 use crate::refusal::Refusal;
 use crate::request::RequestContext;
 
-/// A request was given a place and goes to a replica.
+/// Logs that a request was assigned a slot and is sent to a replica.
 pub fn log_sent(node: &Node, ctx: &RequestContext, place: &Place) {
     let why = place.why;
     let organisation = ctx.organisation.as_ref().map_or("-", |o| &*o.name);
@@ -45,7 +45,7 @@
     );
 }
 
-/// A send brought no answer of the replica.
+/// Logs an attempt that ended without a response from the replica.
 pub fn log_send_failed(node: &Node, ctx: &RequestContext, replica: &UpstreamId, failure: Failure) {
     node.metrics.count_outcome(failure.as_str());
     node.log.line(
@@ -60,7 +60,7 @@
     );
 }
 
-/// The instance gives its own answer.
+/// Logs a refusal: the instance responds itself.
 pub fn log_refused(node: &Node, meta: &RequestMeta, received: Instant, refusal: &Refusal) {
     let kind = refusal.kind.error_response().name;
     node.metrics.count_outcome(kind);
@@ -78,9 +78,10 @@
     );
 }
 
-/// A replica's answer went out whole.
+/// Logs a response that was sent to the caller completely.
 ///
-/// `first` is when the first byte of its body had come, `pause` the longest time between two events.
+/// `first` is the time from the receipt of the request to the first byte of the response body,
+/// `pause` the longest time between two events.
 pub fn log_answered(
     node: &Node,
     ctx: &RequestContext,
@@ -89,10 +90,10 @@
     first: Duration,
     pause: Duration,
 ) {
-    let whole = ctx.received.elapsed();
-    node.metrics.observe(Phase::Complete, whole);
+    let total = ctx.received.elapsed();
+    node.metrics.observe(Phase::Complete, total);
     node.metrics.count_outcome("answered");
-    // A replica's own failure is what its caller complains about.
+    // Callers report the failures of replicas, so their lines must not be dropped.
     let priority = if status >= 500 {
         Priority::High
     } else {
@@ -108,14 +109,16 @@
             ctx.waited.as_millis(),
             first.as_millis(),
             pause.as_millis(),
-            whole.as_millis(),
+            total.as_millis(),
             ctx.meta.prompt_tokens.unwrap_or(0),
             ctx.meta.expected_output_tokens.unwrap_or(0),
         ),
     );
 }
 
-/// A stream did not end whole at a replica, or goes on at another one.
+/// Logs a stream that ended before it was complete, or that was resumed at another replica.
+///
+/// `how` is the outcome, `last_event` the id of the last complete event.
 pub fn log_stream_ended(
     node: &Node,
     ctx: &RequestContext,
@@ -135,42 +138,42 @@
     );
 }
 
-/// Notices that a caller closes its connection before it was answered, or that the process ends: the
-/// task that answers it is dropped then, in the middle of whatever it waits for.
+/// Logs a request whose task is dropped before it has a response: the caller closed its connection, or
+/// the process ended.
 #[derive(Debug)]
 pub struct UnansweredGuard {
     node: Rc<Node>,
     id: String,
     received: Instant,
-    /// Where the request stands, if it was sent.
+    /// Replica that the request was last sent to, if any.
     pub replica: Option<UpstreamId>,
-    answered: bool,
+    completed: bool,
 }
 
 impl UnansweredGuard {
-    /// Starts to watch.
+    /// Creates a guard that logs the request when it is dropped, unless [`Self::end`] was called.
     pub fn new(node: &Rc<Node>, id: &str, received: Instant) -> Self {
         Self {
             node: Rc::clone(node),
             id: id.to_owned(),
             received,
             replica: None,
-            answered: false,
+            completed: false,
         }
     }
 
-    /// The request has its answer.
+    /// Ends the guard without a log line: the request has a response.
     pub fn end(mut self) {
-        self.answered = true;
+        self.completed = true;
     }
 }
 
 impl Drop for UnansweredGuard {
     fn drop(&mut self) {
-        if self.answered {
+        if self.completed {
             return;
         }
-        // The tasks of a process that ends are dropped as well, and their callers have not left.
+        // Tasks are also dropped when the process ends; their callers are still connected then.
         let event = match self.node.stage() {
             Stage::Ended => "cut",
             _ => "caller_left",
