--- a/crates/entry/src/events.rs
+++ b/crates/entry/src/events.rs
@@ -1,9 +1,12 @@
-//! Finds the ends and ids of events in a passing byte stream, without reading what they hold.
+//! Finds the ends and ids of server-sent events in a byte stream, without parsing their data.
 
-/// Longest event id that is remembered; longer ones can't be resumed after.
-const MAX_ID: usize = 64;
+/// Longest event id in bytes that is recorded; a stream can't be resumed after a longer one.
+const MAX_ID_BYTES: usize = 64;
 
-/// State of a scan across chunks.
+/// Bytes of a line before the event id: "id:" and the usual space.
+const ID_FIELD_BYTES: usize = 4;
+
+/// Incremental scanner of an event stream that arrives in chunks.
 #[derive(Debug, Default)]
 pub struct EventScanner {
     line: Vec<u8>,
@@ -14,32 +17,32 @@
     events: u32,
 }
 
-/// What a chunk held.
+/// Result of scanning one chunk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ScannedChunk {
-    /// Events that ended in it.
+    /// Number of events that ended in the chunk.
     pub events: u32,
-    /// Bytes up to the end of the last of them; 0 if none ended.
+    /// Bytes of the chunk up to the end of the last complete event; 0 if none ended.
     pub complete_bytes: usize,
 }
 
 impl EventScanner {
-    /// Starts before the first event.
+    /// Creates a scanner at the start of a stream.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Id of the last event that is complete.
+    /// Id of the last complete event, if it had one.
     pub fn last_event_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
 
-    /// Whether bytes of an unfinished event have passed.
+    /// Whether the bytes scanned so far end within an event.
     pub fn in_partial_event(&self) -> bool {
         self.in_event || !self.line.is_empty()
     }
 
-    /// Forgets an unfinished event, whose rest will come from another replica as a whole.
+    /// Discards an incomplete event; another replica will send it again from its start.
     pub fn discard_partial_event(&mut self) {
         self.line.clear();
         self.overlong = false;
@@ -47,11 +50,11 @@
         self.in_event = false;
     }
 
-    /// Reads the next bytes.
+    /// Scans the next chunk of the stream.
     pub fn read(&mut self, chunk: &[u8]) -> ScannedChunk {
         self.events = 0;
         let mut complete = 0;
-        for (at, byte) in chunk.iter().enumerate() {
+        for (index, byte) in chunk.iter().enumerate() {
             if *byte != b'\n' {
                 self.push(*byte);
                 continue;
@@ -59,7 +62,7 @@
             let before = self.events;
             self.end_line();
             if self.events > before {
-                complete = at + 1;
+                complete = index + 1;
             }
         }
         ScannedChunk {
@@ -69,7 +72,7 @@
     }
 
     fn push(&mut self, byte: u8) {
-        if self.line.len() < MAX_ID + 4 {
+        if self.line.len() < MAX_ID_BYTES + ID_FIELD_BYTES {
             self.line.push(byte);
         } else {
             self.overlong = true;
