--- a/crates/entry/src/accept_queue.rs
+++ b/crates/entry/src/accept_queue.rs
@@ -1,26 +1,27 @@
-//! Connections that wait in a listener's queue when it is closed.
+//! Drains the accept queue of a listener before it is closed.
 //!
-//! The system resets what is still in the queue, though its callers are connected and may have sent
-//! their requests. So it is taken first, and asked of the system itself: the runtime may not have heard
-//! yet of what has connected.
+//! The operating system resets connections that are still in the queue when the listener closes,
+//! although their callers are connected and may have sent requests. The queue is therefore emptied
+//! first, by direct calls to `accept`: the async runtime may not have been notified yet of the newest
+//! connections.
 
 use std::io::{ErrorKind, Result};
 
 use tokio::net::{TcpListener, TcpStream};
 
-/// The queue of a listener that accepts nothing else any more; dropping it closes the listener.
+/// Accept queue of a listener that the runtime no longer polls; dropping it closes the listener.
 #[derive(Debug)]
 pub struct AcceptQueue(std::net::TcpListener);
 
 impl AcceptQueue {
-    /// Takes the listener from the runtime.
+    /// Removes the listener from the runtime.
     pub fn new(listener: TcpListener) -> Result<Self> {
         listener.into_std().map(Self)
     }
 
-    /// The next connection that waits, or `None` if none does.
+    /// Accepts the next queued connection; returns `None` if the queue is empty.
     ///
-    /// An error, as for want of descriptors, would come again for the rest of the queue.
+    /// An error such as a lack of file descriptors would recur for the rest of the queue.
     pub fn next(&self) -> Result<Option<TcpStream>> {
         loop {
             return match self.0.accept() {
@@ -28,7 +29,7 @@
                     stream.set_nonblocking(true)?;
                     TcpStream::from_std(stream).map(Some)
                 }
-                // Its caller has gone; the next one may wait.
+                // The caller has disconnected; the queue may hold further connections.
                 Err(e) if e.kind() == ErrorKind::ConnectionAborted => continue,
                 Err(e) if e.kind() == ErrorKind::WouldBlock => Ok(None),
                 Err(e) => Err(e),
