--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -1,51 +1,51 @@
-//! The closed list of error kinds and the table from kind to answer.
+//! The closed list of error kinds, and the HTTP response to each.
 
 use std::time::Duration;
 
 use http::StatusCode;
 use serde::Serialize;
 
-/// What went wrong for a caller. The list is closed: every refusal has one of these kinds.
+/// Kind of error that a caller receives. The list is closed: every refusal has one of these kinds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalKind {
-    /// The request cannot be understood.
+    /// The request is malformed.
     BadRequest,
-    /// No key, or a key that the table does not hold.
+    /// The request has no API key, or one that is not in the table.
     Unauthorized,
-    /// The organisation may not do this.
+    /// The organisation is not permitted to make this call.
     Forbidden,
     /// No such path, model, service or request.
     NotFound,
     /// The idempotency key was closed or belongs to another call.
     KeyConflict,
-    /// The body or a header is larger than the limit.
+    /// The body or a header exceeds the size limit.
     TooLarge,
-    /// A non-idempotent call came without an idempotency key.
+    /// A non-idempotent call has no idempotency key.
     KeyRequired,
-    /// The organisation's own limit is used up.
+    /// The organisation's limit is exhausted.
     Limited,
-    /// Capacity is short and the tier is refused.
+    /// Capacity is short, and requests of this tier are refused.
     Shed,
-    /// The instance cannot serve now: starting, leaving, full or without upstreams.
+    /// The instance can't serve now: it starts, shuts down, is full or has no upstreams.
     Unavailable,
-    /// The deadline cannot be met, or passed before dispatch.
+    /// The deadline can't be met, or passed before dispatch.
     Deadline,
-    /// The upstream broke after dispatch.
+    /// The upstream failed after the request was dispatched.
     UpstreamBroke,
-    /// Whether the call ran cannot be known.
+    /// It is not known whether the upstream ran the call.
     Unknown,
 }
 
-/// Whether the upstream ran the request, as sent in `Kingcup-Ran`.
+/// Whether the upstream ran the request, as sent in the header `Kingcup-Ran`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunStatus {
-    /// It was dispatched.
+    /// The request was dispatched.
     Yes,
-    /// It was not and never will be.
+    /// The request was not dispatched and never will be.
     No,
-    /// It may have been.
+    /// The request may have been dispatched.
     Unknown,
 }
 
@@ -60,28 +60,28 @@
     }
 }
 
-/// How one kind is answered.
+/// HTTP response to one kind of error.
 #[derive(Debug)]
 pub struct ErrorResponse {
-    /// The kind.
+    /// Kind of error.
     pub kind: RefusalKind,
     /// HTTP status.
     pub status: StatusCode,
     /// Name in the error body, logs and metrics.
     pub name: &'static str,
-    /// What a caller reads when there is nothing more exact to say.
+    /// Default message of the error body.
     pub message: &'static str,
-    /// Whether the upstream ran the request.
+    /// Whether the upstream ran the request, unless the refusal says otherwise.
     pub ran: RunStatus,
-    /// When the caller should come back, where nothing more exact is known.
+    /// Default retry delay; `None` if the caller should not retry.
     pub retry_after: Option<Duration>,
 }
 
-/// When a caller should come back that was refused for want of capacity: a second, in which a
-/// change of membership or of the list is known everywhere.
-const SOON: Duration = Duration::from_secs(1);
+/// Default retry delay after a refusal for lack of capacity. A change of membership or of the
+/// upstream list reaches every instance within this time.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The table from kind to answer, in the order of [`RefusalKind`].
+/// Response to each kind of error, in the order of [`RefusalKind`].
 pub const ERROR_RESPONSES: [ErrorResponse; 13] = [
     response(
         RefusalKind::BadRequest,
@@ -189,7 +189,7 @@
     }
 }
 
-/// Like [`response`], for refusals of which the caller may try again.
+/// Like [`response`], with a retry delay: the request did not run and the caller may retry.
 const fn retryable_response(
     kind: RefusalKind,
     status: StatusCode,
@@ -197,13 +197,13 @@
     message: &'static str,
 ) -> ErrorResponse {
     ErrorResponse {
-        retry_after: Some(SOON),
+        retry_after: Some(DEFAULT_RETRY_AFTER),
         ..response(kind, status, name, message, RunStatus::No)
     }
 }
 
 impl RefusalKind {
-    /// The kind with this name in error bodies.
+    /// Returns the kind with this name in error bodies.
     pub fn from_name(name: &str) -> Option<Self> {
         ERROR_RESPONSES
             .iter()
@@ -211,7 +211,7 @@
             .map(|row| row.kind)
     }
 
-    /// The row of [`ERROR_RESPONSES`] for this kind.
+    /// Returns the entry of [`ERROR_RESPONSES`] for this kind.
     pub fn error_response(self) -> &'static ErrorResponse {
         &ERROR_RESPONSES[self as usize]
     }
@@ -221,29 +221,29 @@
 #[derive(Debug, Clone, thiserror::Error)]
 #[error("{}: {message}", kind.error_response().name)]
 pub struct Refusal {
-    /// The kind, which decides the status.
+    /// Kind of error, which determines the HTTP status.
     pub kind: RefusalKind,
-    /// What the caller reads.
+    /// Message for the caller and the log.
     pub message: String,
     /// Whether the upstream ran the request.
     pub ran: RunStatus,
-    /// When the caller should come back, if it should.
+    /// Delay after which the caller should retry; `None` if it should not.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// Makes a refusal with the message and the `ran` of the table.
+    /// Creates a refusal with the default message and run status of its kind, without a retry delay.
     pub fn new(kind: RefusalKind) -> Self {
-        let row = kind.error_response();
+        let response = kind.error_response();
         Self {
             kind,
-            message: row.message.to_owned(),
-            ran: row.ran,
+            message: response.message.to_owned(),
+            ran: response.ran,
             retry_after: None,
         }
     }
 
-    /// Replaces the message by a more exact one.
+    /// Replaces the message by a more specific one.
     pub fn with_message<M>(mut self, message: M) -> Self
     where
         M: Into<String>,
@@ -252,13 +252,13 @@
         self
     }
 
-    /// Tells the caller when to come back.
-    pub fn with_retry_after(mut self, after: Duration) -> Self {
-        self.retry_after = Some(after);
+    /// Sets the delay after which the caller should retry.
+    pub fn with_retry_after(mut self, delay: Duration) -> Self {
+        self.retry_after = Some(delay);
         self
     }
 
-    /// Replaces what is known about whether the upstream ran it.
+    /// Sets whether the upstream ran the request.
     pub fn with_ran(mut self, ran: RunStatus) -> Self {
         self.ran = ran;
         self
