--- a/crates/entry/src/lifecycle.rs
+++ b/crates/entry/src/lifecycle.rs
@@ -1,4 +1,4 @@
-//! The life of a process: start, signals, and an end that cuts nothing.
+//! Lifecycle of the process: start, signals and a graceful shutdown.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -13,18 +13,18 @@
 use crate::log::{self, Priority};
 use crate::node::{Node, Stage};
 use crate::settings::Settings;
-use crate::shutdown::Stop;
+use crate::shutdown::Shutdown;
 use crate::{directory, gossip, reload, server};
 
-/// How often waiting requests are looked at.
-const WAITING_TICK: Duration = Duration::from_millis(20);
+/// Interval at which queued requests are checked for expiry and dispatched again.
+const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How often idle connections are looked at.
-const HOUSEKEEPING: Duration = Duration::from_secs(1);
+/// Interval at which idle connections are closed and a suspension of the machine is detected.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Runs an instance until it is told to stop.
+/// Runs an instance until SIGTERM or SIGINT, then shuts it down.
 ///
-/// `path` is the file that the settings came from; it may change meanwhile.
+/// `path` is the settings file, which is read again on SIGHUP.
 pub fn run(
     cfg: Settings,
     path: PathBuf,
@@ -35,10 +35,13 @@
         .enable_all()
         .build()?;
     let local = LocalSet::new();
-    let node = local.block_on(&runtime, live(cfg, path, protocol, directory_client))?;
+    let node = local.block_on(
+        &runtime,
+        run_until_signal(cfg, path, protocol, directory_client),
+    )?;
     let taken = node.taken.get();
     node.stage.send_replace(Stage::Ended);
-    // Requests and streams that are dropped now say so in the log.
+    // Dropping the tasks logs the requests and streams that are cut off.
     drop(local);
     node.log
         .line(Priority::High, format_args!("event=ended taken={taken}"));
@@ -46,7 +49,8 @@
     Ok(())
 }
 
-async fn live(
+/// Binds the listeners, starts the tasks and shuts down in order after the first signal.
+async fn run_until_signal(
     cfg: Settings,
     path: PathBuf,
     protocol: Rc<dyn ProtocolAdapter>,
@@ -71,8 +75,8 @@
         ),
     );
     let spawn = tokio::task::spawn_local::<std::pin::Pin<Box<dyn Future<Output = ()>>>>;
-    let accepting = spawn(Box::pin(server::serve(Rc::clone(&node), callers)));
-    spawn(Box::pin(server::serve_ready(Rc::clone(&node), ready)));
+    let accepting = spawn(Box::pin(server::serve_callers(Rc::clone(&node), callers)));
+    spawn(Box::pin(server::serve_readiness(Rc::clone(&node), ready)));
     spawn(Box::pin(server::serve_peers(Rc::clone(&node), peers)));
     spawn(Box::pin(gossip::run(
         Rc::clone(&node),
@@ -80,15 +84,15 @@
         incarnation(),
     )));
     spawn(Box::pin(directory::run(Rc::clone(&node))));
-    spawn(Box::pin(watch_waiting(Rc::clone(&node))));
-    spawn(Box::pin(keep_house(Rc::clone(&node))));
+    spawn(Box::pin(check_queue(Rc::clone(&node))));
+    spawn(Box::pin(run_housekeeping(Rc::clone(&node))));
     spawn(Box::pin(flush_log(Rc::clone(&node))));
     spawn(Box::pin(reload::run(Rc::clone(&node), path, hup)));
     tokio::select! {
         _ = term.recv() => {}
         _ = int.recv() => {}
     }
-    Stop::new(&node)
+    Shutdown::new(&node)
         .close()
         .await
         .shut(accepting)
@@ -98,7 +102,8 @@
     Ok(node)
 }
 
-/// Grows with each start of a machine's process.
+/// Returns the incarnation number of this process, which is larger than that of any earlier process on
+/// the machine: Unix time in microseconds.
 fn incarnation() -> u64 {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -106,39 +111,40 @@
     now.as_micros() as u64
 }
 
-/// Gives up waiting requests in time, and tries again to place those for which a replica was left
-/// alone for a while.
-async fn watch_waiting(node: Rc<Node>) {
+/// Refuses queued requests whose wait has expired, and retries those whose replicas were in backoff.
+async fn check_queue(node: Rc<Node>) {
     loop {
         if node.dispatch.borrow().waiting() == 0 {
             node.waiting.notified().await;
         }
-        sleep(WAITING_TICK).await;
+        sleep(QUEUE_CHECK_INTERVAL).await;
         node.give_up();
         node.pump();
     }
 }
 
-async fn keep_house(node: Rc<Node>) {
-    let mut ticks = interval(HOUSEKEEPING);
+/// Refreshes the replicas, closes idle connections and detects suspensions, once per interval.
+async fn run_housekeeping(node: Rc<Node>) {
+    let mut ticks = interval(HOUSEKEEPING_INTERVAL);
     loop {
         ticks.tick().await;
         let now = Instant::now();
-        // How late news comes depends on how many instances are heard.
+        // The propagation delay between instances depends on the number of reachable instances.
         node.refresh_replicas();
         for target in node.targets() {
             target.pool.reap(now);
         }
-        if let Some(slept) = node.clock.woke() {
+        if let Some(suspended) = node.clock.woke() {
             node.log.line(
                 Priority::High,
-                format_args!("event=woke suspended_ms={}", slept.as_millis()),
+                format_args!("event=woke suspended_ms={}", suspended.as_millis()),
             );
             node.reread.notify_one();
         }
     }
 }
 
+/// Passes collected log lines to the writer thread, once per interval.
 async fn flush_log(node: Rc<Node>) {
     let mut ticks = interval(log::FLUSH_INTERVAL);
     loop {
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -1,4 +1,4 @@
-//! Connections of callers, of the balancer's readiness checks and of peers.
+//! HTTP servers for callers, for the load balancer's readiness checks and for peers.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -21,86 +21,97 @@
 use crate::request;
 use crate::snapshot::{SNAPSHOT_PATH, Snapshot};
 
-/// Path of the measures, on the address for peers and operators.
+/// Path of the metrics, on the address for peers and operators.
 const METRICS_PATH: &str = "/metrics";
 
-/// Idle time before a table is known.
-const FIRST_IDLE: Duration = Duration::from_secs(15);
+/// Idle timeout of a caller's connection while no table has been received.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// How long a connection that was accepted by a closing instance may take to bring its request.
-const LATE_REQUEST: Duration = Duration::from_secs(1);
+/// Longest time until a connection accepted by a closing instance must have sent its request head.
+const LATE_HEAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Size limit in bytes of a request head while no table has been received.
+const DEFAULT_HEAD_BYTES: usize = 16 * 1024;
 
-/// An open connection of a caller, counted until all is written.
+/// Smallest size limit in bytes of a request head.
+const MIN_HEAD_BYTES: usize = 8 * 1024;
+
+/// Delay before the next attempt after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// Counts an open connection of a caller until all its data is written.
 #[derive(Debug)]
-struct Open(Rc<Node>);
+struct ConnectionGuard(Rc<Node>);
 
-impl Open {
+impl ConnectionGuard {
     fn new(node: &Rc<Node>) -> Self {
         node.connections.send_modify(|open| *open += 1);
         Self(Rc::clone(node))
     }
 }
 
-impl Drop for Open {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.connections.send_modify(|open| *open -= 1);
     }
 }
 
-/// Answers callers, and takes connections until the instance listens no more.
-pub async fn serve(node: Rc<Node>, listener: TcpListener) {
+/// Accepts connections of callers until the stage `Shut`, then those left in the accept queue.
+pub async fn serve_callers(node: Rc<Node>, listener: TcpListener) {
     let mut stage = node.stage.subscribe();
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
-                Ok((stream, _)) => take(&node, stream),
-                // Out of descriptors: those that are open end sooner or later.
-                Err(_) => sleep(ACCEPT_PAUSE).await,
+                Ok((stream, _)) => spawn_connection(&node, stream),
+                // Out of file descriptors: some become free when open connections end.
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             },
             _ = stage.wait_for(|stage| *stage >= Stage::Shut) => break,
         }
     }
-    take_queued(&node, listener);
+    drain_accept_queue(&node, listener);
 }
 
-/// Takes the connections that wait in the listener's queue, and closes the listener: a connection
-/// that is closed with it is reset, and its caller may have sent a request already.
-fn take_queued(node: &Rc<Node>, listener: TcpListener) {
+/// Accepts the connections in the listener's queue, then closes the listener. Connections still in
+/// the queue when it closes are reset, although their callers may have sent a request already.
+fn drain_accept_queue(node: &Rc<Node>, listener: TcpListener) {
     let result = AcceptQueue::new(listener).and_then(|queue| {
         while let Some(stream) = queue.next()? {
-            take(node, stream);
+            spawn_connection(node, stream);
         }
         Ok(())
     });
     if let Err(e) = result {
-        // The rest of the queue is reset; its callers may ask another instance.
+        // The rest of the queue is reset; its callers may retry at another instance.
         node.log
             .line(Priority::High, format_args!("event=queue_cut reason={e:?}"));
     }
 }
 
-fn take(node: &Rc<Node>, stream: TcpStream) {
-    let open = Open::new(node);
-    let connection = connection(Rc::clone(node), stream);
+/// Serves a connection in a task of its own, counted as open until the task ends.
+fn spawn_connection(node: &Rc<Node>, stream: TcpStream) {
+    let guard = ConnectionGuard::new(node);
+    let connection = serve_connection(Rc::clone(node), stream);
     tokio::task::spawn_local(async move {
         connection.await;
-        drop(open);
+        drop(guard);
     });
 }
 
-async fn connection(node: Rc<Node>, stream: TcpStream) {
+/// Serves the requests of one connection. Once the instance is closing, the connection ends after its
+/// current request.
+async fn serve_connection(node: Rc<Node>, stream: TcpStream) {
     if stream.set_nodelay(true).is_err() {
         return;
     }
     let mut stage = node.stage.subscribe();
-    // A connection that comes this late is never idle: it has one request, which it brings at once.
+    // A connection accepted this late may send one request, at once, and is never kept idle.
     let late = node.stage() >= Stage::Closing;
     let limits = node.table().map(|t| t.limits);
-    let idle = limits.map_or(FIRST_IDLE, |l| l.idle_timeout.max(l.head_timeout));
-    let head = limits.map_or(16 * 1024, |l| l.head_bytes).max(8 * 1024);
+    let idle_timeout = limits.map_or(DEFAULT_IDLE_TIMEOUT, |l| l.idle_timeout.max(l.head_timeout));
+    let head_bytes = limits
+        .map_or(DEFAULT_HEAD_BYTES, |l| l.head_bytes)
+        .max(MIN_HEAD_BYTES);
     let service = {
         let node = Rc::clone(&node);
         service_fn(move |req| {
@@ -110,15 +121,19 @@
     };
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(if late { idle.min(LATE_REQUEST) } else { idle })
+        .header_read_timeout(if late {
+            idle_timeout.min(LATE_HEAD_TIMEOUT)
+        } else {
+            idle_timeout
+        })
         .keep_alive(!late)
-        .max_buf_size(head * 2)
+        .max_buf_size(head_bytes * 2)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     if !late {
         tokio::select! {
             biased;
-            // An error means that the caller went away or sent what is no request.
+            // An error means that the caller disconnected or sent no valid request.
             _ = connection.as_mut() => return,
             _ = stage.wait_for(|stage| *stage >= Stage::Closing) => {}
         }
@@ -127,9 +142,9 @@
     let _ = connection.await;
 }
 
-/// Answers the balancer's question whether this instance is ready.
-pub async fn serve_ready(node: Rc<Node>, listener: TcpListener) {
-    serve_small(node, listener, |node, _| {
+/// Serves the load balancer's readiness checks: 200 if ready, 503 otherwise.
+pub async fn serve_readiness(node: Rc<Node>, listener: TcpListener) {
+    serve_with(node, listener, |node, _| {
         let status = if node.is_ready() {
             StatusCode::OK
         } else {
@@ -140,17 +155,18 @@
     .await;
 }
 
-/// Answers peers and operators.
+/// Serves peers and operators: the directory snapshot and the metrics.
 pub async fn serve_peers(node: Rc<Node>, listener: TcpListener) {
-    serve_small(node, listener, |node, req| match req.uri().path() {
-        SNAPSHOT_PATH => tell_directory(node, req.uri().query().unwrap_or_default()),
-        METRICS_PATH => text(node.metrics.render(node)),
+    serve_with(node, listener, |node, req| match req.uri().path() {
+        SNAPSHOT_PATH => snapshot_response(node, req.uri().query().unwrap_or_default()),
+        METRICS_PATH => text_response(node.metrics.render(node)),
         _ => request::empty_response(StatusCode::NOT_FOUND),
     })
     .await;
 }
 
-fn tell_directory(node: &Node, after: &str) -> Response<Full<Bytes>> {
+/// Returns the directory entries that changed after a revision; the query is that revision.
+fn snapshot_response(node: &Node, after: &str) -> Response<Full<Bytes>> {
     let after: Revision = after.parse().unwrap_or(0);
     let known = node.known.borrow();
     let changed = known.entries().iter().filter(|e| e.revision > after);
@@ -165,29 +181,32 @@
     }
 }
 
-fn text(text: String) -> Response<Full<Bytes>> {
+/// Returns a text in the Prometheus exposition format.
+fn text_response(text: String) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(text.into()));
     let plain = http::HeaderValue::from_static("text/plain; version=0.0.4");
     response.headers_mut().insert(header::CONTENT_TYPE, plain);
     response
 }
 
-type Answer = fn(&Node, &Request<Incoming>) -> Response<Full<Bytes>>;
+/// Builds the response to a request whose body is ignored.
+type Handler = fn(&Node, &Request<Incoming>) -> Response<Full<Bytes>>;
 
-async fn serve_small(node: Rc<Node>, listener: TcpListener, answer: Answer) {
+/// Accepts connections until the process ends and passes each request to `handler`.
+async fn serve_with(node: Rc<Node>, listener: TcpListener, handler: Handler) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            // Out of descriptors: asked again at once, the system would only say so again.
-            sleep(ACCEPT_PAUSE).await;
+            // Out of file descriptors: an immediate retry would fail the same way.
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let node = Rc::clone(&node);
         tokio::task::spawn_local(async move {
             let service = service_fn(move |req| {
-                let response = answer(&node, &req);
+                let response = handler(&node, &req);
                 async move { Ok::<_, Infallible>(response) }
             });
-            // An error means that the other side went away.
+            // An error means that the peer disconnected.
             let _ = http1::Builder::new()
                 .timer(TokioTimer::new())
                 .serve_connection(TokioIo::new(stream), service)
--- a/crates/entry/src/shutdown.rs
+++ b/crates/entry/src/shutdown.rs
@@ -1,11 +1,11 @@
-//! The end of a process, in stages that only lead onward: it leaves, closes, listens no more, ends.
+//! Graceful shutdown as a state machine whose stages only advance: leaving, closing, shut, ended.
 //!
-//! A process that looked whether it has no request, and ended then, would drop the request that came
-//! between the look and the end: its replica has run it, and its caller gets no answer. So the listener
-//! is closed before the last look. From then on nothing comes in, the number of open connections only
-//! falls, and a zero stays true: nothing is left that could be lost, however long the rest takes.
-//! Connections are counted from the moment they are accepted until the last byte of their answer is
-//! handed to the system, which requests are not.
+//! If the process ended as soon as it found no active request, a request that arrived between that
+//! check and the end would be lost: its replica has run it, and its caller gets no response. The
+//! listener is therefore closed before the last check. From then on no connection is accepted, so the
+//! number of open connections can only fall, and once it is zero nothing can be lost, however long the
+//! rest of the shutdown takes. The check counts connections instead of requests, because a connection
+//! is counted from its acceptance until the last byte of its response is passed to the system.
 
 use std::marker::PhantomData;
 use std::rc::Rc;
@@ -17,131 +17,136 @@
 use crate::log::Priority;
 use crate::node::{Node, Stage};
 
-/// How long connections stay open after the order to stop: the balancer notices after two of its
-/// questions, a second apart.
-const BALANCER_NOTICES: Duration = Duration::from_millis(2600);
+/// Time from the stop signal to the close of idle connections. The load balancer needs two failed
+/// readiness checks, one second apart, to stop sending requests.
+const BALANCER_DETECTION: Duration = Duration::from_millis(2600);
 
-/// How long the listener stays open at least after idle connections were closed, for what the balancer
-/// sent just before it noticed.
-const LAST_COMERS: Duration = Duration::from_millis(300);
+/// Shortest time from the close of idle connections to that of the listener, for requests that the
+/// load balancer sent just before it detected the stop.
+const LAST_CONNECTIONS: Duration = Duration::from_millis(300);
 
-/// The listener is closed this long before the process would be killed, though callers still come.
+/// The listener is closed at the latest this long before the process is killed, even if callers still
+/// connect.
 const SHUT_BEFORE_KILL: Duration = Duration::from_millis(750);
 
-/// Requests that have no answer by then get the instance's own, and time to write it is left.
-const ANSWERED_BEFORE_KILL: Duration = Duration::from_millis(650);
+/// Requests without a response this long before the kill are refused by the instance, which leaves
+/// time to write the refusals.
+const LAST_RESPONSES_BEFORE_KILL: Duration = Duration::from_millis(650);
 
-/// The process ends this long before it would be killed.
-const ENDS_BEFORE_KILL: Duration = Duration::from_millis(450);
+/// The process ends at the latest this long before it is killed.
+const END_BEFORE_KILL: Duration = Duration::from_millis(450);
 
-// Nothing comes in after the last answers, and they are written before the end.
-const _: () = assert!(SHUT_BEFORE_KILL.as_millis() > ANSWERED_BEFORE_KILL.as_millis());
-const _: () = assert!(ANSWERED_BEFORE_KILL.as_millis() > ENDS_BEFORE_KILL.as_millis());
+// No connection is accepted after the last responses, which are written before the process ends.
+const _: () = assert!(SHUT_BEFORE_KILL.as_millis() > LAST_RESPONSES_BEFORE_KILL.as_millis());
+const _: () = assert!(LAST_RESPONSES_BEFORE_KILL.as_millis() > END_BEFORE_KILL.as_millis());
 
-/// Says that it is not ready, and still answers what comes.
+/// Stage in which the process reports that it is not ready and still serves all requests.
 #[derive(Debug)]
 pub struct Leaving;
 
-/// Has closed its idle connections, and answers one request on each new one.
+/// Stage in which idle connections are closed and each new connection serves one request.
 #[derive(Debug)]
 pub struct Closing;
 
-/// Takes no connection any more.
+/// Stage in which the listener is closed and open connections are completed.
 #[derive(Debug)]
 pub struct Shut;
 
-/// A process that was told to stop.
+/// A shutdown in stage `S`.
 #[derive(Debug)]
-pub struct Stop<S> {
+pub struct Shutdown<S> {
     node: Rc<Node>,
-    began: Instant,
-    /// Time from the order to the kill, as the settings said when the order came.
+    /// Time of the stop signal.
+    started: Instant,
+    /// Time from the stop signal to the kill, from the settings in force at the signal.
     grace: Duration,
     stage: PhantomData<S>,
 }
 
-impl Stop<Leaving> {
-    /// Begins to stop.
+impl Shutdown<Leaving> {
+    /// Starts the shutdown.
     pub fn new(node: &Rc<Node>) -> Self {
-        let began = Instant::now();
+        let started = Instant::now();
         let stop = Self {
             node: Rc::clone(node),
-            began,
+            started,
             grace: node.settings().grace(),
             stage: PhantomData,
         };
-        tell(node, format_args!("event=stopping"));
+        log_stage(node, format_args!("event=stopping"));
         node.answers_by
-            .set(Some(stop.before_kill(ANSWERED_BEFORE_KILL)));
+            .set(Some(stop.before_kill(LAST_RESPONSES_BEFORE_KILL)));
         node.stage.send_replace(Stage::Leaving);
         stop
     }
 
-    /// Closes idle connections once the balancer has noticed.
-    pub async fn close(self) -> Stop<Closing> {
-        let noticed = self.began + BALANCER_NOTICES;
-        sleep_until(noticed.min(self.before_kill(SHUT_BEFORE_KILL))).await;
-        tell(&self.node, format_args!("event=closing"));
+    /// Waits until the load balancer has detected the stop, then closes idle connections.
+    pub async fn close(self) -> Shutdown<Closing> {
+        let detected = self.started + BALANCER_DETECTION;
+        sleep_until(detected.min(self.before_kill(SHUT_BEFORE_KILL))).await;
+        log_stage(&self.node, format_args!("event=closing"));
         self.enter(Stage::Closing)
     }
 }
 
-impl Stop<Closing> {
-    /// Closes the listener as soon as no caller has a connection, or when time is running out.
+impl Shutdown<Closing> {
+    /// Closes the listener once no caller is connected, at the latest [`SHUT_BEFORE_KILL`].
     ///
-    /// `accepting` ends when the last connection was accepted.
-    pub async fn shut(self, accepting: JoinHandle<()>) -> Stop<Shut> {
+    /// `accepting` is the task that accepts connections; it completes after the last one.
+    pub async fn shut(self, accepting: JoinHandle<()>) -> Shutdown<Shut> {
         let latest = self.before_kill(SHUT_BEFORE_KILL);
-        sleep_until((Instant::now() + LAST_COMERS).min(latest)).await;
+        sleep_until((Instant::now() + LAST_CONNECTIONS).min(latest)).await;
         self.wait_for_callers(latest).await;
         let stop = self.enter(Stage::Shut);
         if let Err(e) = accepting.await {
-            tell(
+            log_stage(
                 &stop.node,
                 format_args!("event=accepting_failed reason={e:?}"),
             );
         }
-        tell(&stop.node, format_args!("event=shut"));
+        log_stage(&stop.node, format_args!("event=shut"));
         stop
     }
 }
 
-impl Stop<Shut> {
-    /// Ends when the last connection has ended.
+impl Shutdown<Shut> {
+    /// Waits until the last connection has ended, at the latest [`END_BEFORE_KILL`].
     pub async fn end(self) {
-        self.wait_for_callers(self.before_kill(ENDS_BEFORE_KILL))
+        self.wait_for_callers(self.before_kill(END_BEFORE_KILL))
             .await;
-        // A connection counts that has all but the rest of its answer: that is cut too.
+        // A connection that lacks only the rest of its response counts as cut as well.
         let cut = *self.node.connections.borrow();
-        tell(&self.node, format_args!("event=stopped cut={cut}"));
+        log_stage(&self.node, format_args!("event=stopped cut={cut}"));
     }
 }
 
-impl<S> Stop<S> {
-    /// Waits until no caller has a connection, but not beyond `latest`.
+impl<S> Shutdown<S> {
+    /// Waits until no caller is connected, at the latest until `latest`.
     async fn wait_for_callers(&self, latest: Instant) {
         let mut connections = self.node.connections.subscribe();
-        // Beyond that time what is left is cut, which the log tells.
+        // After a timeout the remaining connections are cut, and the log has their number.
         let _ = timeout_at(latest, connections.wait_for(|open| *open == 0)).await;
     }
 
+    /// Returns the time that lies `margin` before the kill.
     fn before_kill(&self, margin: Duration) -> Instant {
-        self.began + self.grace.saturating_sub(margin)
+        self.started + self.grace.saturating_sub(margin)
     }
 
-    fn enter<N>(self, stage: Stage) -> Stop<N> {
+    /// Advances to the next stage and notifies all tasks.
+    fn enter<N>(self, stage: Stage) -> Shutdown<N> {
         self.node.stage.send_replace(stage);
-        Stop {
+        Shutdown {
             node: self.node,
-            began: self.began,
+            started: self.started,
             grace: self.grace,
             stage: PhantomData,
         }
     }
 }
 
-/// Tells the log of a stage, with what the process has of its callers.
-fn tell(node: &Node, event: std::fmt::Arguments<'_>) {
+/// Logs the start of a stage with the numbers of active requests and open connections.
+fn log_stage(node: &Node, event: std::fmt::Arguments<'_>) {
     node.log.line(
         Priority::High,
         format_args!(
