--- a/crates/entry/src/log.rs
+++ b/crates/entry/src/log.rs
@@ -1,8 +1,9 @@
-//! Logs on standard output: one line of key=value pairs for each event, bounded and never blocking.
+//! Log on standard output: one line of key=value pairs per event, rate-limited and non-blocking.
 //!
-//! A reader of standard output that stands still must delay no request, so lines go through a
-//! short queue to a thread of their own, and what does not fit is counted. Under load lines beyond
-//! a budget are counted too: failures and changes of belief have their own, larger budget.
+//! A stalled reader of standard output must not delay requests. Lines therefore go through a short
+//! queue to a writer thread; lines that don't fit are dropped and counted. Lines beyond a budget per
+//! second are dropped and counted as well; failures and state changes have a larger budget of their
+//! own.
 
 use std::cell::RefCell;
 use std::fmt::{self, Write as _};
@@ -13,36 +14,41 @@
 
 use tokio::time::Instant;
 
-/// Lines of ordinary outcomes a second; one costs about 20 microseconds of a small machine.
-const ORDINARY_A_SECOND: u32 = 40;
+/// Budget of low-priority lines per second; a line costs about 20 microseconds on a small machine.
+const MAX_LOW_PER_SECOND: u32 = 40;
 
-/// Lines of failures and changes a second.
-const NOTABLE_A_SECOND: u32 = 200;
+/// Budget of high-priority lines per second.
+const MAX_HIGH_PER_SECOND: u32 = 200;
 
-/// Lines are collected for this long, so that the writing thread wakes rarely.
+/// Interval at which collected lines are passed to the writer thread, so that it wakes rarely.
 pub const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Batches that may wait for a reader that stands still.
-const BATCHES: usize = 8;
+/// Number of batches of lines that are queued for the writer thread while the reader stalls.
+const MAX_QUEUED_BATCHES: usize = 8;
 
-/// How long the end of a process waits for its last lines to be written.
-const LAST_LINES: Duration = Duration::from_millis(50);
+/// Longest wait at the end of the process for the last lines to be written.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// How much a line matters when there are too many.
+/// Priority of a line when the rate limit is reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Priority {
-    /// An ordinary outcome.
+    /// A successful outcome.
     Low,
-    /// A failure, a refusal or a change of what the instance believes.
+    /// A failure, a refusal or a change of the instance's state.
     High,
 }
 
 #[derive(Debug)]
 struct State {
+    /// Collected lines.
     buf: String,
+    /// Start of the current second of the rate limit.
     second: Instant,
-    ordinary: u32,
-    notable: u32,
+    /// Low-priority lines in the current second.
+    low: u32,
+    /// High-priority lines in the current second.
+    high: u32,
+    /// Lines dropped since the last flush.
     dropped: u64,
 }
 
@@ -51,14 +57,14 @@
 pub struct Log {
     state: RefCell<State>,
     tx: RefCell<Option<SyncSender<String>>>,
-    /// Disconnected once the writing thread has written all and ended.
+    /// Disconnected when the writer thread has written all lines and ended.
     written: Receiver<()>,
 }
 
 impl Log {
-    /// Starts the writing thread.
+    /// Creates a log and starts its writer thread.
     pub fn new() -> Self {
-        let (tx, rx) = sync_channel::<String>(BATCHES);
+        let (tx, rx) = sync_channel::<String>(MAX_QUEUED_BATCHES);
         let (done, written) = sync_channel::<()>(0);
         thread::spawn(move || {
             let _done = done;
@@ -73,8 +79,8 @@
         let state = State {
             buf: String::new(),
             second: Instant::now(),
-            ordinary: 0,
-            notable: 0,
+            low: 0,
+            high: 0,
             dropped: 0,
         };
         Self {
@@ -84,7 +90,7 @@
         }
     }
 
-    /// Writes one event.
+    /// Adds the line of one event, unless the budget of its priority is used up.
     pub fn line(&self, priority: Priority, pairs: fmt::Arguments<'_>) {
         let mut state = self.state.borrow_mut();
         if !state.admits(priority) {
@@ -94,8 +100,8 @@
         let _ = writeln!(state.buf, "time_ms={} {pairs}", unix_time_ms());
     }
 
-    /// Hands the collected lines to the writing thread; returns how many were left out since the
-    /// last call.
+    /// Passes the collected lines to the writer thread. Returns the number of lines that were dropped
+    /// since the last call.
     pub fn flush(&self) -> u64 {
         let mut state = self.state.borrow_mut();
         let dropped = std::mem::take(&mut state.dropped);
@@ -118,14 +124,15 @@
         dropped
     }
 
-    /// Writes what is left and waits until it is written, but not for a reader that stands still.
+    /// Flushes the log and waits until the lines are written, at most [`CLOSE_TIMEOUT`] so that a
+    /// stalled reader does not block the end of the process.
     ///
-    /// Nothing is written after it.
+    /// Lines added later are lost.
     pub fn close(&self) {
         self.flush();
         self.tx.replace(None);
-        // Whether the lines were written or the reader stands still, the process ends now.
-        let _ = self.written.recv_timeout(LAST_LINES);
+        // The process ends now, whether the lines were written or the reader has stalled.
+        let _ = self.written.recv_timeout(CLOSE_TIMEOUT);
     }
 }
 
@@ -135,7 +142,7 @@
     }
 }
 
-/// Time of day in milliseconds; it may differ between machines.
+/// Returns the Unix time in milliseconds. Clocks may differ between machines.
 pub fn unix_time_ms() -> u128 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -144,17 +151,18 @@
 }
 
 impl State {
+    /// Counts a line against the budget of its priority; returns false if the budget is used up.
     fn admits(&mut self, priority: Priority) -> bool {
         if self.second.elapsed() >= Duration::from_secs(1) {
             self.second = Instant::now();
-            self.ordinary = 0;
-            self.notable = 0;
+            self.low = 0;
+            self.high = 0;
         }
-        let (used, most) = match priority {
-            Priority::Low => (&mut self.ordinary, ORDINARY_A_SECOND),
-            Priority::High => (&mut self.notable, NOTABLE_A_SECOND),
+        let (used, max) = match priority {
+            Priority::Low => (&mut self.low, MAX_LOW_PER_SECOND),
+            Priority::High => (&mut self.high, MAX_HIGH_PER_SECOND),
         };
         *used += 1;
-        *used <= most
+        *used <= max
     }
 }
