--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of one instance, as Prometheus text.
+//! Metrics of one instance, in the Prometheus text format.
 
 use std::time::Duration;
 
@@ -11,25 +11,27 @@
 
 use crate::node::Node;
 
-/// Upper bounds of the histograms in seconds: powers of about two around the objectives.
-const BOUNDS_S: [f64; 12] = [
+/// Upper bounds of the histogram buckets in seconds: steps of about a factor of two around the latency
+/// objectives.
+const BUCKET_BOUNDS_S: [f64; 12] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.0, 4.0, 8.0, 15.0,
 ];
 
-/// What is measured in time, from a request's arrival unless it says otherwise.
+/// Phase of a request whose duration is measured, from the receipt of the request unless noted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// To its place at a replica.
+    /// Until a slot at a replica is assigned.
     Queued,
-    /// To the first byte of its answer.
+    /// Until the first byte of the response.
     FirstByte,
-    /// To the end of its answer.
+    /// Until the end of the response.
     Complete,
-    /// From an event's arrival from the replica until the caller's connection has taken it.
+    /// From the receipt of an event from the replica until it is passed to the caller's connection.
     Relay,
 }
 
 impl Phase {
+    /// Value of the label `phase`.
     fn name(self) -> &'static str {
         match self {
             Self::Queued => "wait",
@@ -40,39 +42,50 @@
     }
 }
 
-/// Replicas that are shown one by one; of a larger fleet the first by name.
-const MOST_REPLICAS: usize = 200;
+/// Largest number of replicas with metrics of their own; of a larger fleet the first by name.
+const MAX_REPLICAS: usize = 200;
 
-/// The measures of one instance; outcomes come from closed lists, so their names are few.
+/// Metrics of one instance. Outcomes come from closed lists, which bounds the number of label values.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
     outcomes: IntCounterVec,
-    timings: HistogramVec,
-    dropped: IntCounter,
-    lapsed: IntCounter,
+    durations: HistogramVec,
+    /// Log lines dropped by the rate limit or because the reader stalled.
+    dropped_lines: IntCounter,
+    /// Replicas whose directory entry expired although they had not announced their departure.
+    expired_replicas: IntCounter,
+    /// Version of the table in force.
     table_version: Gauge,
+    /// Seconds since the last response of the store, and since the oldest of the peers' last reports.
     ages: GaugeVec,
+    /// Requests waiting for a slot.
     waiting: Gauge,
+    /// Open connections of callers, and active requests.
     callers: GaugeVec,
-    openness: GaugeVec,
+    /// Replicas by availability: open, cold and designated to this instance (`cold_kept`), cold and
+    /// designated to another one (`cold_closed`), unusable.
+    replica_states: GaugeVec,
+    /// Other instances by whether their last report is recent (`heard`) or not (`silent`).
     peers: GaugeVec,
-    replicas: GaugeVec,
+    /// Slots of each replica: used by this instance (`own`), used by others (`elsewhere`), and in
+    /// total (`slots`).
+    replica_slots: GaugeVec,
 }
 
 impl Metrics {
-    /// Nothing is counted yet.
+    /// Registers all metrics.
     pub fn new() -> Self {
         let registry = Registry::new();
         Self {
             outcomes: counters(&registry, "kingcup_requests_total", "Requests by outcome"),
-            timings: timings(&registry),
-            dropped: counter(
+            durations: durations(&registry),
+            dropped_lines: counter(
                 &registry,
                 "kingcup_log_lines_dropped_total",
                 "Log lines beyond the budget or a reader that stands still",
             ),
-            lapsed: counter(
+            expired_replicas: counter(
                 &registry,
                 "kingcup_replicas_lapsed_total",
                 "Replicas whose entry ended without a word that they leave",
@@ -91,7 +104,7 @@
                 "of",
             ),
             waiting: gauge(&registry, "kingcup_waiting", "Requests without a place"),
-            openness: gauges(
+            replica_states: gauges(
                 &registry,
                 "kingcup_replicas",
                 "Replicas by what they may get: open, cold_kept, cold_closed, unusable",
@@ -103,42 +116,42 @@
                 "Other instances by what is known of them",
                 "state",
             ),
-            replicas: replicas(&registry),
+            replica_slots: replica_slots(&registry),
             registry,
         }
     }
 
-    /// Counts an outcome.
+    /// Counts an outcome of a request.
     pub fn count_outcome(&self, outcome: &'static str) {
         self.outcomes.with_label_values(&[outcome]).inc();
     }
 
-    /// Counts log lines that were left out.
+    /// Counts dropped log lines.
     pub fn count_dropped_lines(&self, lines: u64) {
-        self.dropped.inc_by(lines);
+        self.dropped_lines.inc_by(lines);
     }
 
-    /// Counts a replica whose entry lapsed.
+    /// Counts a replica whose directory entry expired.
     pub fn count_expired_replica(&self) {
-        self.lapsed.inc();
+        self.expired_replicas.inc();
     }
 
-    /// Notes a time.
-    pub fn observe(&self, timing: Phase, took: Duration) {
-        self.timings
-            .with_label_values(&[timing.name()])
-            .observe(took.as_secs_f64());
+    /// Records the duration of a phase.
+    pub fn observe(&self, phase: Phase, duration: Duration) {
+        self.durations
+            .with_label_values(&[phase.name()])
+            .observe(duration.as_secs_f64());
     }
 
-    /// All measures as text, with how the instance stands now.
+    /// Updates the gauges from the state of the instance and renders all metrics as text.
     pub fn render(&self, node: &Node) -> String {
-        self.take(node);
+        self.update_gauges(node);
         TextEncoder::new()
             .encode_to_string(&self.registry.gather())
             .unwrap_or_default()
     }
 
-    fn take(&self, node: &Node) {
+    fn update_gauges(&self, node: &Node) {
         let now = Instant::now();
         let peers = node.peers.borrow();
         let dispatch = node.dispatch.borrow();
@@ -165,15 +178,15 @@
             ("cold_closed", openness.cold_closed),
             ("unusable", openness.unusable),
         ] {
-            self.openness
+            self.replica_states
                 .with_label_values(&[state])
                 .set(f64::from(count));
         }
-        self.replicas.reset();
-        for held in dispatch.places().take(MOST_REPLICAS) {
+        self.replica_slots.reset();
+        for held in dispatch.places().take(MAX_REPLICAS) {
             let set = |whose: &str, places: u32| {
                 let labels = [&**held.upstream, whose];
-                self.replicas
+                self.replica_slots
                     .with_label_values(&labels)
                     .set(f64::from(places));
             };
@@ -219,7 +232,7 @@
     gauges
 }
 
-fn replicas(registry: &Registry) -> GaugeVec {
+fn replica_slots(registry: &Registry) -> GaugeVec {
     let opts = Opts::new(
         "kingcup_replica_places",
         "Places at a replica: held here, held elsewhere, and its slots",
@@ -229,12 +242,12 @@
     replicas
 }
 
-fn timings(registry: &Registry) -> HistogramVec {
+fn durations(registry: &Registry) -> HistogramVec {
     let opts = HistogramOpts::new("kingcup_request_seconds", "Time by phase of a request");
-    let timings = HistogramVec::new(opts.buckets(BOUNDS_S.to_vec()), &["phase"])
+    let durations = HistogramVec::new(opts.buckets(BUCKET_BOUNDS_S.to_vec()), &["phase"])
         .expect("a fixed name is valid");
-    register(registry, timings.clone());
-    timings
+    register(registry, durations.clone());
+    durations
 }
 
 fn register<C>(registry: &Registry, collector: C)
