--- a/crates/entry/src/adapter.rs
+++ b/crates/entry/src/adapter.rs
@@ -1,4 +1,4 @@
-//! The ports that an adapter fills in: the words of callers and upstreams, and the directory.
+//! Interfaces that a platform adapter implements: protocol translation and access to the directory.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,27 +14,27 @@
 use crate::replica::Published;
 use crate::table::Table;
 
-/// What the head of a caller's request says.
+/// Metadata in the head of a caller's request.
 #[derive(Debug, Clone, Default)]
 pub struct RequestMeta {
-    /// The caller's id of this attempt.
+    /// Id that the caller chose for this attempt; empty if the request has none.
     pub attempt_id: String,
-    /// The key that it carries.
+    /// API key of the caller.
     pub api_key: Option<String>,
-    /// How long the caller waits.
+    /// Time for which the caller waits for the response, from the receipt of the request.
     pub timeout: Option<Duration>,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: Option<u32>,
-    /// Most tokens to generate.
+    /// Largest number of tokens to generate.
     pub max_output_tokens: Option<u32>,
-    /// Likely number of tokens to generate.
+    /// Expected number of tokens to generate.
     pub expected_output_tokens: Option<u32>,
-    /// Last event that the caller has, when it resumes a stream.
+    /// Id of the last event that the caller received, if it resumes a stream.
     pub last_event_id: Option<String>,
 }
 
 impl RequestMeta {
-    /// Tokens that it likely generates.
+    /// Estimated number of tokens to generate: the expected number, else the largest, else 0.
     pub fn estimated_output_tokens(&self) -> f64 {
         f64::from(
             self.expected_output_tokens
@@ -44,104 +44,104 @@
     }
 }
 
-/// What the instance adds to a request that goes to a replica.
+/// Information that the instance adds to a request when it forwards it to a replica.
 #[derive(Debug)]
 pub struct ForwardInfo<'a> {
-    /// The replica that alone may run it.
+    /// Id of the only replica that may run the request.
     pub replica: &'a str,
-    /// Time that is left, if the caller named a deadline.
+    /// Time left until the request's timeout.
     pub time_left: Option<Duration>,
-    /// The organisation that holds the caller's key.
+    /// Organisation that owns the caller's API key.
     pub organisation: Option<&'a str>,
-    /// The last event that the caller has, when a stream is resumed here.
+    /// Id of the last event that was sent to the caller, if the replica resumes a stream.
     pub last_event_id: Option<&'a str>,
 }
 
-/// What the head of a replica's answer says.
+/// Classification of a replica's response by its head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResponseClass {
-    /// The answer of the replica that was asked.
+    /// Response of the intended replica, which ran the request.
     Executed,
-    /// The replica did not run the request, for want of room.
+    /// The replica has no capacity left and did not run the request.
     AtCapacity,
-    /// Another replica stands at the address and did not run the request.
+    /// A different replica listens at the address; it did not run the request.
     WrongReplica,
     /// The replica did not run the request for another reason.
     NotExecuted,
-    /// An answer to another request, or one that lacks what a replica's answer must have.
+    /// Response to a different request, or one without the required headers.
     Invalid,
 }
 
-/// The words that callers and upstreams use.
+/// Translation between the instance and the HTTP headers of callers and replicas.
 pub trait ProtocolAdapter {
-    /// Reads a caller's request.
+    /// Parses the head of a caller's request.
     fn parse_request(&self, head: &RequestParts) -> RequestMeta;
 
-    /// The head fields with which the request goes to a replica.
+    /// Builds the headers with which a request is forwarded to a replica.
     fn forward_headers(&self, head: &RequestParts, info: &ForwardInfo<'_>) -> HeaderMap;
 
-    /// Judges the answer to the attempt `id`.
+    /// Classifies a replica's response to the attempt `id`.
     fn classify_response(&self, id: &str, head: &ResponseParts) -> ResponseClass;
 
-    /// The head fields of a replica's answer that the caller gets.
+    /// Builds the headers of a replica's response that are passed to the caller.
     fn response_headers(&self, head: &ResponseParts) -> HeaderMap;
 
-    /// Status and head fields of a refusal.
+    /// Builds the status and headers of a refusal; `id` is the caller's attempt id.
     fn refusal_response(&self, id: Option<&str>, refusal: &Refusal) -> (StatusCode, HeaderMap);
 }
 
-/// A list of the directory.
+/// Entries read from the directory.
 #[derive(Debug)]
 pub struct Listing {
-    /// Revision up to which it is complete.
+    /// Revision of the directory up to which the listing is complete.
     pub revision: Revision,
-    /// What it holds, or what has changed.
+    /// All entries of the directory, or those that changed.
     pub entries: Vec<Entry>,
 }
 
-/// Why the directory did not answer.
+/// Error of a call to the directory.
 #[derive(Debug, thiserror::Error)]
 pub enum DirectoryError {
-    /// It refused: too many calls, or not now.
+    /// The directory refused the call, for example because of a rate limit.
     #[error("refused with status {0}")]
     Refused(StatusCode),
-    /// The changes since that revision are no longer kept.
-    #[error("history is no longer kept")]
+    /// The directory no longer has the changes since the requested revision.
+    #[error("changes since the requested revision are no longer available")]
     HistoryCompacted,
-    /// No answer, or one that can't be read.
+    /// No response, or one that can't be parsed.
     #[error("{0}")]
     NoResponse(String),
 }
 
-/// What a directory entry means.
+/// Parsed directory entry.
 #[derive(Debug)]
 pub enum ParsedEntry {
     /// A version of the table.
     Table(Rc<Table>),
     /// A replica.
     Replica(Published),
-    /// A zone whose replicas are to get nothing new while the entry is there.
+    /// A zone whose replicas receive no new requests while the entry exists.
     DrainedZone(ZoneId),
-    /// An entry that names a replica but can't be read.
+    /// A replica entry that can't be parsed, with the reason.
     InvalidReplica(String),
-    /// A table that can't be read; the last good one holds.
+    /// A table that can't be parsed, with the reason; the last valid one stays in force.
     InvalidTable(String),
-    /// Something that is none of ours.
+    /// An entry of an unrelated kind.
     Other,
 }
 
-/// The published directory, which is only read.
+/// Read-only client of the published directory.
 pub trait DirectoryClient {
-    /// Reads everything.
+    /// Reads all entries.
     fn list(&self) -> LocalBoxFuture<'_, Result<Listing, DirectoryError>>;
 
-    /// Waits for changes after a revision, for `wait` at most.
+    /// Waits for changes after a revision, at most for `wait`; returns no entries if there are none.
     fn watch(
         &self,
         after: Revision,
         wait: Duration,
     ) -> LocalBoxFuture<'_, Result<Listing, DirectoryError>>;
 
-    /// Says what an entry means.
+    /// Parses an entry by its key and value.
     fn parse_entry(&self, key: &str, value: &[u8]) -> ParsedEntry;
 }
