--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one entry instance: a JSON file, checked as a whole.
+//! Settings of one entry instance, read from a JSON file and validated.
 
 use std::fs;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -11,88 +11,88 @@
 use kingcupfield_decisions::repeats::RepeatBounds;
 use serde::Deserialize;
 
-/// A settings file that can't be used.
+/// Error of a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("settings: {0}")]
     File(#[from] std::io::Error),
-    /// It is not JSON, lacks a field or has one of another type.
+    /// The file is not JSON, lacks a field, or has an unknown field or one of the wrong type.
     #[error("settings: {0}")]
     Format(#[from] serde_json::Error),
-    /// A field's value makes no sense.
+    /// A field's value is out of range.
     #[error("settings: {field}: {reason}")]
     Value {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What is wrong with it.
+        /// Reason why the value is invalid.
         reason: String,
     },
 }
 
-/// Settings of an entry instance that forwards calls as they come.
+/// Settings of an entry instance.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
     /// Name of this instance.
     pub instance: InstanceId,
-    /// Availability zone in which it runs.
+    /// Availability zone of this instance.
     pub availability_zone: ZoneId,
-    /// Region of the zone.
+    /// Region of the availability zone.
     pub region: RegionId,
-    /// Zones and their regions.
+    /// Region of each availability zone.
     pub regions_by_zone: std::collections::BTreeMap<String, String>,
-    /// Address for callers.
+    /// Listen address for callers.
     pub listen: SocketAddr,
-    /// Address on which readiness is asked for.
+    /// Listen address for readiness checks.
     pub ready_listen: SocketAddr,
-    /// Address for other instances and for operators.
+    /// Listen address for other instances and for operators.
     pub peer_listen: SocketAddr,
-    /// First port that is free for messages between instances; all use the same.
+    /// UDP port for messages between instances: the first free port, the same at all of them.
     pub peer_port: u16,
-    /// First contacts among the other instances (their `peer_listen`); they may be stale.
+    /// Seed nodes: `peer_listen` addresses of other instances, which may be outdated.
     pub contacts: Vec<SocketAddr>,
     /// Address of the directory.
     pub directory: SocketAddr,
-    /// Whether the whole fleet starts for the first time, so that no caller waits yet.
+    /// Whether all instances start for the first time, so that no caller waits yet.
     #[serde(default)]
     pub first_start: bool,
-    /// Seconds between the order to stop and the kill.
+    /// Seconds from the stop signal to the kill.
     pub grace_s: f64,
-    /// Seconds over which what organisations spend is held against their limits.
+    /// Window in seconds in which an organisation's usage is compared with its limit.
     pub limit_window_s: f64,
-    /// By how much an organisation may pass its limit in a span.
+    /// Amount by which an organisation may exceed its limit in one window.
     #[serde(default)]
     pub limit_tolerance: LimitToleranceSettings,
-    /// Bounds on requests that are sent to one more replica.
+    /// Budget for retries at another replica.
     pub repeats: RetrySettings,
-    /// By how much cold replicas may get more than they bear.
+    /// Amount by which the request rate of a cold replica may exceed its sustainable rate.
     #[serde(default)]
     pub cold_tolerance: ColdToleranceSettings,
 }
 
-/// Tolerance of limits, as the operator gives it.
+/// Amount by which an organisation may exceed its limit.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LimitToleranceSettings {
-    /// As a part of what a limit allows in the window.
+    /// Tolerance as a fraction of the usage that the limit allows in the window.
     pub part: f64,
-    /// Beside that, in the unit of the limit.
+    /// Additional tolerance per window, in the unit of the limit (requests or tokens).
     pub fixed: f64,
 }
 
-/// Tolerance of requests to cold replicas, as the operator gives it.
+/// Request rate that a cold replica receives at most, in terms of its sustainable rate.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ColdToleranceSettings {
-    /// Requests in a second, as a multiple of what a cold replica bears.
+    /// Multiple of the requests per second that a cold replica can sustain.
     pub times: f64,
-    /// Requests beside that.
+    /// Additional requests per second.
     pub extra: f64,
 }
 
 impl Default for ColdToleranceSettings {
-    /// Nothing beyond what a replica bears.
+    /// No requests beyond the sustainable rate.
     fn default() -> Self {
         Self {
             times: 1.0,
@@ -101,20 +101,20 @@
     }
 }
 
-/// Bounds on repeats, as the operator gives them.
+/// Budget for retries at another replica.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetrySettings {
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Seconds over which both are counted.
+    /// Window in seconds in which requests and retries are counted.
     pub window_s: f64,
-    /// Repeats beside the ratio, for all instances together.
+    /// Additional retries per window, for all instances together.
     pub extra: f64,
 }
 
 impl Settings {
-    /// Fields that take effect while the process runs.
+    /// Names of the fields that a running process applies when the file is reloaded.
     pub const RELOADABLE: [&'static str; 6] = [
         "contacts",
         "grace_s",
@@ -124,17 +124,18 @@
         "cold_tolerance",
     ];
 
-    /// Names of the fields in which `other` differs.
+    /// Returns the names of the fields in which `other` differs.
     pub fn differences(&self, other: &Self) -> Vec<&'static str> {
-        let differs = |(_, same): &(&'static str, bool)| !same;
-        self.compared(other)
+        let differs = |(_, equal): &(&'static str, bool)| !equal;
+        self.compare_fields(other)
             .into_iter()
             .filter(differs)
             .map(|(field, _)| field)
             .collect()
     }
 
-    fn compared(&self, other: &Self) -> [(&'static str, bool); 16] {
+    /// Returns for each field whether it is equal in `other`.
+    fn compare_fields(&self, other: &Self) -> [(&'static str, bool); 16] {
         [
             ("instance", self.instance == other.instance),
             (
@@ -170,7 +171,7 @@
         ]
     }
 
-    /// Takes from `other` what takes effect while the process runs.
+    /// Copies the fields in [`Self::RELOADABLE`] from `other`.
     pub fn apply_reloadable(&mut self, other: &Self) {
         self.contacts.clone_from(&other.contacts);
         self.grace_s = other.grace_s;
@@ -180,19 +181,19 @@
         self.cold_tolerance = other.cold_tolerance;
     }
 
-    /// Reads and checks a file.
+    /// Reads and validates a settings file.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         Self::parse(&fs::read_to_string(path)?)
     }
 
-    /// Reads and checks a text.
+    /// Parses and validates settings in JSON.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let cfg: Self = serde_json::from_str(text)?;
-        cfg.check()?;
+        cfg.validate()?;
         Ok(cfg)
     }
 
-    /// This instance's address, by which the others know it.
+    /// IPv4 address of this instance, which identifies it to the other instances.
     pub fn address(&self) -> Ipv4Addr {
         match self.listen {
             SocketAddr::V4(a) => *a.ip(),
@@ -200,27 +201,27 @@
         }
     }
 
-    /// Whether this instance is one of the first contacts, or there are none.
+    /// Whether this instance is one of the seed nodes, or there are none.
     pub fn is_contact(&self) -> bool {
         self.contacts.is_empty() || self.contacts.contains(&self.peer_listen)
     }
 
-    /// Whether another instance is named as a first contact.
+    /// Whether another instance is a seed node.
     pub fn has_other_contacts(&self) -> bool {
         self.contacts.iter().any(|c| *c != self.peer_listen)
     }
 
-    /// Time between the order to stop and the kill.
+    /// Time from the stop signal to the kill.
     pub fn grace(&self) -> Duration {
         Duration::from_secs_f64(self.grace_s)
     }
 
-    /// Span over which what organisations spend is held against their limits.
+    /// Window in which an organisation's usage is compared with its limit.
     pub fn limit_window(&self) -> Duration {
         Duration::from_secs_f64(self.limit_window_s)
     }
 
-    /// By how much a limit may be passed.
+    /// Amount by which an organisation may exceed its limit.
     pub fn credit_tolerance(&self) -> Tolerance {
         Tolerance {
             part: self.limit_tolerance.part,
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Bounds on repeats.
+    /// Budget for retries at another replica.
     pub fn retry_bounds(&self) -> RepeatBounds {
         RepeatBounds {
             ratio: self.repeats.ratio,
@@ -237,7 +238,8 @@
         }
     }
 
-    /// What cold replicas of a service bear.
+    /// Rates of a cold replica: the `per_s` requests per second that it can sustain, and the requests
+    /// per second that it receives at most.
     pub fn cold_rate(&self, per_s: f64) -> Bearable {
         Bearable {
             per_s,
@@ -245,44 +247,45 @@
         }
     }
 
-    fn check(&self) -> Result<(), SettingsError> {
-        positive("grace_s", self.grace_s)?;
-        positive("limit_window_s", self.limit_window_s)?;
-        positive("repeats.window_s", self.repeats.window_s)?;
-        at_least_zero("limit_tolerance.part", self.limit_tolerance.part)?;
-        at_least_zero("limit_tolerance.fixed", self.limit_tolerance.fixed)?;
-        at_least_zero("repeats.ratio", self.repeats.ratio)?;
-        at_least_zero("repeats.extra", self.repeats.extra)?;
-        at_least_zero("cold_tolerance.times", self.cold_tolerance.times)?;
-        at_least_zero("cold_tolerance.extra", self.cold_tolerance.extra)?;
+    /// Checks the ranges of all values.
+    fn validate(&self) -> Result<(), SettingsError> {
+        check_positive("grace_s", self.grace_s)?;
+        check_positive("limit_window_s", self.limit_window_s)?;
+        check_positive("repeats.window_s", self.repeats.window_s)?;
+        check_not_negative("limit_tolerance.part", self.limit_tolerance.part)?;
+        check_not_negative("limit_tolerance.fixed", self.limit_tolerance.fixed)?;
+        check_not_negative("repeats.ratio", self.repeats.ratio)?;
+        check_not_negative("repeats.extra", self.repeats.extra)?;
+        check_not_negative("cold_tolerance.times", self.cold_tolerance.times)?;
+        check_not_negative("cold_tolerance.extra", self.cold_tolerance.extra)?;
         if !self.listen.is_ipv4() {
-            return value("listen", "only IPv4 addresses are used");
+            return invalid("listen", &format!("{} is not an IPv4 address", self.listen));
         }
         if self.peer_port == 0 {
-            return value(
+            return invalid(
                 "peer_port",
-                "all instances use the same port, so it can't be 0",
+                "must not be 0, all instances use the same port",
             );
         }
         Ok(())
     }
 }
 
-fn positive(field: &'static str, seconds: f64) -> Result<(), SettingsError> {
-    if seconds.is_finite() && seconds > 0.0 {
+fn check_positive(field: &'static str, value: f64) -> Result<(), SettingsError> {
+    if value.is_finite() && value > 0.0 {
         return Ok(());
     }
-    value(field, "must be above 0")
+    invalid(field, &format!("must be above 0, is {value}"))
 }
 
-fn at_least_zero(field: &'static str, number: f64) -> Result<(), SettingsError> {
-    if number.is_finite() && number >= 0.0 {
+fn check_not_negative(field: &'static str, value: f64) -> Result<(), SettingsError> {
+    if value.is_finite() && value >= 0.0 {
         return Ok(());
     }
-    value(field, "must not be below 0")
+    invalid(field, &format!("must not be below 0, is {value}"))
 }
 
-fn value<T>(field: &'static str, reason: &str) -> Result<T, SettingsError> {
+fn invalid<T>(field: &'static str, reason: &str) -> Result<T, SettingsError> {
     Err(SettingsError::Value {
         field,
         reason: reason.to_owned(),
