--- a/crates/entry/src/credit.rs
+++ b/crates/entry/src/credit.rs
@@ -12,7 +12,7 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep};
 
-use crate::log::Weight;
+use crate::log::Priority;
 use crate::node::{Node, ProcessState};
 use crate::peers::PeerMessage;
 use crate::settings::Settings;
@@ -152,7 +152,7 @@
     let mut ledger = node.credit_ledger.borrow_mut();
     if ledger.accrues() != roster.accrues_since.is_some() {
         node.log.line(
-            Weight::Notable,
+            Priority::High,
             format_args!(
                 "event=credit mints={} zone_size={}",
                 roster.accrues_since.is_some(),
--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -14,9 +14,9 @@
 use rand::RngExt as _;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::log::Weight;
+use crate::adapter::{DirectoryError, Listing, ParsedEntry};
+use crate::log::Priority;
 use crate::node::Node;
-use crate::port::{Listing, Meaning, SourceError};
 use crate::replica::PublishedReplica;
 use crate::snapshot;
 
@@ -96,7 +96,7 @@
         if failures == 1 || failures % 16 == 0 {
             let reason = e.to_string();
             node.log.line(
-                Weight::Notable,
+                Priority::High,
                 format_args!("event=directory_lost failures={failures} reason={reason:?}"),
             );
         }
@@ -121,7 +121,7 @@
 }
 
 /// Lists the directory once and then watches for changes; returns at the first failure.
-async fn follow(node: &Rc<Node>, failures: &mut usize) -> Result<Infallible, SourceError> {
+async fn follow(node: &Rc<Node>, failures: &mut usize) -> Result<Infallible, DirectoryError> {
     let mut listed_at = Instant::now();
     loop {
         while !node.reads_store() {
@@ -130,7 +130,7 @@
         let after = node.directory.borrow().complete_up_to();
         if after == 0 || node.needs_full_list.get() {
             listed_at = Instant::now();
-            let listing = node.directory_source.list().await?;
+            let listing = node.directory_client.list().await?;
             node.needs_full_list.set(false);
             record_store_response(node, failures);
             apply_list(node, listing);
@@ -142,7 +142,7 @@
             MAX_WATCH
         };
         let listing = tokio::select! {
-            listing = node.directory_source.changes(after, max_wait) => listing,
+            listing = node.directory_client.watch(after, max_wait) => listing,
             () = node.resync_wakeup.notified() => {
                 // The machine was suspended: changes that were sent meanwhile may be lost.
                 node.needs_full_list.set(true);
@@ -156,11 +156,9 @@
                     sleep(PAUSE_AFTER_CHANGES).await;
                 }
             }
-            Err(SourceError::HistoryGone) => {
-                node.log.line(
-                    Weight::Notable,
-                    format_args!("event=directory_history_gone"),
-                );
+            Err(DirectoryError::HistoryCompacted) => {
+                node.log
+                    .line(Priority::High, format_args!("event=directory_history_gone"));
                 node.needs_full_list.set(true);
                 // A store whose history ends before its own listing would otherwise be listed in a
                 // tight loop.
@@ -176,7 +174,7 @@
     node.record_store_response();
     if *failures > 0 {
         node.log.line(
-            Weight::Notable,
+            Priority::High,
             format_args!("event=directory_regained failures={failures}"),
         );
     }
@@ -188,12 +186,12 @@
     let changed = node
         .directory
         .borrow_mut()
-        .apply_list(listing.upto, listing.entries);
+        .apply_list(listing.revision, listing.entries);
     node.log.line(
-        Weight::Notable,
+        Priority::High,
         format_args!(
             "event=directory_list upto={} entries={entries} changed={}",
-            listing.upto,
+            listing.revision,
             changed.len()
         ),
     );
@@ -205,7 +203,7 @@
     let changed = node
         .directory
         .borrow_mut()
-        .apply_changes(listing.upto, listing.entries);
+        .apply_changes(listing.revision, listing.entries);
     if !changed.is_empty() {
         apply(node);
         node.state_changed.notify_one();
@@ -248,7 +246,7 @@
     match snapshot::fetch(peer, upto).await {
         Ok(snapshot) => {
             node.log.line(
-                Weight::Notable,
+                Priority::High,
                 format_args!(
                     "event=directory_from_peer peer={peer} upto={} before={upto}",
                     snapshot.upto
@@ -260,7 +258,7 @@
             apply_snapshot(node, snapshot.upto, snapshot.entries);
         }
         Err(e) => node.log.line(
-            Weight::Notable,
+            Priority::High,
             format_args!(
                 "event=peer_unreachable peer={peer} reason={:?}",
                 e.to_string()
@@ -373,10 +371,10 @@
     };
     let id: &UpstreamId = &replica.id;
     if !replica.leaving {
-        node.metrics.count_lapsed();
+        node.metrics.count_expired_replica();
     }
     node.log.line(
-        Weight::Notable,
+        Priority::High,
         format_args!("event=replica_gone replica={id} store_trouble={store_failed}"),
     );
     if store_failed && !replica.leaving {
@@ -389,25 +387,25 @@
     /// Applies the parsed entry.
     fn apply_value(&mut self, node: &Node, value: &[u8], previous: Option<&PublishedReplica>) {
         let key = &self.key;
-        match node.directory_source.meaning(key, value) {
-            Meaning::Table(table) => node.set_table(table),
-            Meaning::Replica(replica) => {
+        match node.directory_client.parse_entry(key, value) {
+            ParsedEntry::Table(table) => node.set_table(table),
+            ParsedEntry::Replica(replica) => {
                 // A cold replica publishes its remaining cold time again and again.
                 if previous.is_none_or(|p| !p.differs_only_in_cold_until(&replica)) {
                     log_replica(node, &replica);
                 }
                 self.replica = Some(replica);
             }
-            Meaning::EmptiedZone(zone) => self.drained_zone = Some(zone),
-            Meaning::BadReplica(reason) => node.log.line(
-                Weight::Notable,
+            ParsedEntry::DrainedZone(zone) => self.drained_zone = Some(zone),
+            ParsedEntry::InvalidReplica(reason) => node.log.line(
+                Priority::High,
                 format_args!("event=replica_unreadable key={key:?} reason={reason:?}"),
             ),
-            Meaning::BadTable(reason) => node.log.line(
-                Weight::Notable,
+            ParsedEntry::InvalidTable(reason) => node.log.line(
+                Priority::High,
                 format_args!("event=table_unreadable reason={reason:?}"),
             ),
-            Meaning::Other => {}
+            ParsedEntry::Other => {}
         }
     }
 }
@@ -415,7 +413,7 @@
 fn log_replica(node: &Node, replica: &PublishedReplica) {
     let cold_ms = replica.remaining_cold_time().as_millis();
     node.log.line(
-        Weight::Notable,
+        Priority::High,
         format_args!(
             "event=replica replica={} service={} address={} zone={} born={} leaving={} cold_ms={cold_ms}",
             replica.id,
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -11,9 +11,9 @@
 use kingcupfield_decisions::dispatch::Outcome;
 use tokio::time::Instant;
 
+use crate::adapter::{ProtocolAdapter, ResponseClass};
 use crate::node::Target;
 use crate::pool::{self, Connection};
-use crate::port::{Dialect, Reply};
 
 /// Kept connections are taken for requests that must not be lost only when they are this fresh:
 /// a replica may drop an idle connection without notice, and what is sent next is then in doubt.
@@ -92,7 +92,7 @@
 /// Sends a request to the target and waits for the head of the answer.
 pub async fn send(
     target: &Rc<Target>,
-    dialect: &dyn Dialect,
+    protocol: &dyn ProtocolAdapter,
     id: &str,
     head: &Parts,
     fields: HeaderMap,
@@ -115,7 +115,7 @@
         };
         let req = request(head, fields.clone(), body.clone());
         match connection.sender.try_send_request(req).await {
-            Ok(response) => return judge(dialect, id, response, connection),
+            Ok(response) => return judge(protocol, id, response, connection),
             // The connection was closed before anything was written: a new one is tried.
             Err(mut e) => match e.take_message() {
                 Some(_) if was_kept => {}
@@ -135,22 +135,22 @@
 }
 
 fn judge(
-    dialect: &dyn Dialect,
+    protocol: &dyn ProtocolAdapter,
     id: &str,
     response: Response<Incoming>,
     connection: Connection,
 ) -> Result<ReplicaResponse, SendFailure> {
     let (head, body) = response.into_parts();
-    match dialect.reply(id, &head) {
-        Reply::Ran => Ok(ReplicaResponse {
+    match protocol.classify_response(id, &head) {
+        ResponseClass::Executed => Ok(ReplicaResponse {
             head,
             body,
             connection,
         }),
-        Reply::Full => Err(SendFailure::Full),
-        Reply::Another => Err(SendFailure::WrongReplica),
-        Reply::NotRun => Err(SendFailure::NotRun),
-        Reply::Foreign => Err(SendFailure::Foreign),
+        ResponseClass::AtCapacity => Err(SendFailure::Full),
+        ResponseClass::WrongReplica => Err(SendFailure::WrongReplica),
+        ResponseClass::NotExecuted => Err(SendFailure::NotRun),
+        ResponseClass::Invalid => Err(SendFailure::Foreign),
     }
 }
 
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -16,7 +16,7 @@
 use tokio::time::{Instant, interval, sleep, sleep_until};
 
 use crate::credit;
-use crate::log::{self, Weight};
+use crate::log::{self, Priority};
 use crate::node::Node;
 use crate::outbox::{self, DigestBatch};
 use crate::peers::{Digest, ForwardScope, Peer, PeerMessage};
@@ -245,7 +245,7 @@
         let lost = self.relays.update(now, self.own.to_bits(), &live, sent_at);
         for relay in lost.into_iter().map(Ipv4Addr::from_bits) {
             node.log.line(
-                Weight::Notable,
+                Priority::High,
                 format_args!("event=relay_passed_over peer={relay}"),
             );
         }
@@ -397,7 +397,7 @@
         };
         if matches!(kind, StateKind::Full | StateKind::Greeting) {
             digest.steps = local_step_times(node);
-            digest.time_ms = u64::try_from(log::now_ms()).ok();
+            digest.time_ms = u64::try_from(log::unix_time_ms()).ok();
         }
         if kind == StateKind::Greeting {
             digest.greeting = true;
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -18,14 +18,14 @@
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
+use crate::adapter::{DirectoryClient, ProtocolAdapter};
 use crate::clock::SuspendDetector;
 use crate::credit;
 use crate::directory::DirectoryReader;
-use crate::log::{Log, Weight};
+use crate::log::{Log, Priority};
 use crate::metrics::Metrics;
 use crate::outbox::Outbox;
 use crate::peers::Peers;
-use crate::port::{Dialect, Source};
 use crate::settings::Settings;
 use crate::table::Table;
 
@@ -56,9 +56,9 @@
 pub struct Node {
     cfg: RefCell<Rc<Settings>>,
     /// Translates between the wire protocol and the types of this crate.
-    pub protocol: Rc<dyn Dialect>,
+    pub protocol: Rc<dyn ProtocolAdapter>,
     /// Client of the store that publishes the directory.
-    pub directory_source: Rc<dyn Source>,
+    pub directory_client: Rc<dyn DirectoryClient>,
     /// Log of this instance.
     pub log: Log,
     /// Detects suspension of the machine.
@@ -134,13 +134,17 @@
 
 impl Node {
     /// Creates the state of an instance that has read neither the directory nor any message.
-    pub fn new(cfg: Settings, dialect: Rc<dyn Dialect>, source: Rc<dyn Source>) -> Rc<Self> {
+    pub fn new(
+        cfg: Settings,
+        protocol: Rc<dyn ProtocolAdapter>,
+        directory_client: Rc<dyn DirectoryClient>,
+    ) -> Rc<Self> {
         let now = Instant::now();
         let mut ledger = Ledger::new(cfg.address().to_bits(), rand::random());
-        ledger.set_bounds(cfg.limit_window(), cfg.tolerance());
+        ledger.set_bounds(cfg.limit_window(), cfg.credit_tolerance());
         Rc::new(Self {
-            protocol: dialect,
-            directory_source: source,
+            protocol,
+            directory_client,
             log: Log::new(),
             suspend_detector: SuspendDetector::new(),
             metrics: Metrics::new(),
@@ -148,7 +152,7 @@
             credit_waiters: RefCell::new(Vec::new()),
             credit_wakeup: Notify::new(),
             peer_socket: OnceCell::new(),
-            retry_budget: RefCell::new(UpstreamRetryBudget::new(cfg.repeat_bounds())),
+            retry_budget: RefCell::new(UpstreamRetryBudget::new(cfg.retry_bounds())),
             directory: RefCell::new(StoreView::new()),
             peers: RefCell::new(
                 Peers::new(now, cfg.address(), cfg.has_other_contacts())
@@ -190,12 +194,12 @@
     /// Applies those of the newer settings that can change while the process runs.
     pub fn apply_settings(&self, newer: &Settings) {
         let mut cfg = Settings::clone(&self.settings());
-        cfg.adjust(newer);
+        cfg.apply_reloadable(newer);
         self.retry_budget
             .borrow_mut()
-            .set_bounds(cfg.repeat_bounds());
+            .set_bounds(cfg.retry_bounds());
         let mut ledger = self.credit_ledger.borrow_mut();
-        ledger.set_bounds(cfg.limit_window(), cfg.tolerance());
+        ledger.set_bounds(cfg.limit_window(), cfg.credit_tolerance());
         drop(ledger);
         *self.cfg.borrow_mut() = Rc::new(cfg);
     }
@@ -260,7 +264,7 @@
         }
         let version = table.version;
         self.log.line(
-            Weight::Notable,
+            Priority::High,
             format_args!("event=table version={version} before={current}"),
         );
         *self.table.borrow_mut() = Some(table);
--- a/crates/entry/src/node/replicas.rs
+++ b/crates/entry/src/node/replicas.rs
@@ -12,7 +12,7 @@
 
 use super::Node;
 use crate::gossip;
-use crate::log::Weight;
+use crate::log::Priority;
 use crate::pool::ConnectionPool;
 use crate::replica::PublishedReplica;
 use crate::table::ColdStart;
@@ -49,7 +49,7 @@
         ] {
             for zone in zones {
                 self.log
-                    .line(Weight::Notable, format_args!("event={event} zone={zone}"));
+                    .line(Priority::High, format_args!("event={event} zone={zone}"));
             }
         }
     }
@@ -166,7 +166,7 @@
             usable: !published.leaving && !self.drained_zones.borrow().contains(&published.zone),
             in_own_zone: published.zone == cfg.availability_zone,
             cold_until: self.cold_until(published, cold),
-            cold_limit: cold.map(|cold| cfg.bearable(cold.requests_per_s)),
+            cold_limit: cold.map(|cold| cfg.cold_rate(cold.requests_per_s)),
         }
     }
 
--- a/crates/entry/src/receiver.rs
+++ b/crates/entry/src/receiver.rs
@@ -10,7 +10,7 @@
 
 use crate::credit;
 use crate::directory;
-use crate::log::{self, Weight};
+use crate::log::{self, Priority};
 use crate::node::Node;
 use crate::peers::{Digest, ForwardScope, PeerMessage};
 
@@ -39,7 +39,7 @@
             Ok(PeerMessage::Relayed(digests)) => on_relayed(&node, sender, digests),
             Ok(PeerMessage::Credit(message)) => credit::on_message(&node, *from.ip(), message),
             Err(e) => node.log.line(
-                Weight::Notable,
+                Priority::High,
                 format_args!("event=peer_message_bad from={from} reason={e:?}"),
             ),
         }
@@ -92,10 +92,8 @@
     let effects = node.peers.borrow_mut().on_digest(now, from, digest);
     log_silent(node, &effects.silent);
     if effects.is_new {
-        node.log.line(
-            Weight::Notable,
-            format_args!("event=peer_heard peer={from}"),
-        );
+        node.log
+            .line(Priority::High, format_args!("event=peer_heard peer={from}"));
     }
     if let Some(time_ms) = time_ms {
         log_clock_offset(node, from, time_ms);
@@ -134,7 +132,7 @@
 fn log_silent(node: &Node, silent: &[Ipv4Addr]) {
     for peer in silent {
         node.log.line(
-            Weight::Notable,
+            Priority::High,
             format_args!("event=peer_silent peer={peer}"),
         );
     }
@@ -142,11 +140,11 @@
 
 /// Logs how far another instance's clock differs, for readers who merge several logs.
 fn log_clock_offset(node: &Node, from: Ipv4Addr, time_ms: u64) {
-    let own_ms = u64::try_from(log::now_ms()).unwrap_or(u64::MAX);
+    let own_ms = u64::try_from(log::unix_time_ms()).unwrap_or(u64::MAX);
     let ahead_ms = time_ms.cast_signed().saturating_sub(own_ms.cast_signed());
     if node.peers.borrow_mut().record_clock_offset(from, ahead_ms) {
         node.log.line(
-            Weight::Notable,
+            Priority::High,
             format_args!("event=peer_clock peer={from} ahead_ms={ahead_ms}"),
         );
     }
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -13,7 +13,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::error::{Error, Kind, Ran, Refusal, Result};
+use crate::error::{Error, Refusal, RefusalKind, Result, RunStatus};
 use crate::fleet::Fleet;
 use crate::message::PROTOCOL;
 use crate::peers::{PeerToken, connect};
@@ -90,7 +90,7 @@
     /// Takes a refusal apart.
     pub fn new(refusal: &Refusal) -> Self {
         Self {
-            kind: refusal.kind.answer().name.to_owned(),
+            kind: refusal.kind.error_response().name.to_owned(),
             message: refusal.message.clone(),
             retry_after: refusal.retry_after,
         }
@@ -98,10 +98,10 @@
 
     /// The refusal; an unknown kind of a newer instance becomes "unavailable".
     pub fn into_refusal(self) -> Refusal {
-        let kind = Kind::from_name(&self.kind).unwrap_or(Kind::Unavailable);
+        let kind = RefusalKind::from_name(&self.kind).unwrap_or(RefusalKind::Unavailable);
         let mut refusal = Refusal::new(kind)
             .with_message(self.message)
-            .with_ran(Ran::No);
+            .with_ran(RunStatus::No);
         refusal.retry_after = self.retry_after;
         refusal
     }
