--- a/crates/decisions/tests/idempotency.rs
+++ b/crates/decisions/tests/idempotency.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys: issuer, witness and receiving instance, call by call.
+//! Calls with idempotency keys through the issuer, the witness and the receiving instance.
 
 use std::time::Duration;
 
@@ -10,24 +10,24 @@
 use tokio::time::Instant;
 use yare::parameterized;
 
-const DEADLINE: Duration = Duration::from_secs(10);
+const TIME_TO_DEADLINE: Duration = Duration::from_secs(10);
 
-/// One issuer and one witness, with messages passed by hand.
-struct Pair {
+/// One issuer and one witness; the tests pass the messages between them.
+struct Harness {
     now: Instant,
-    keys: KeyIssuer,
+    issuer: KeyIssuer,
     witness: Witness,
-    calls: usize,
+    attempts: usize,
 }
 
-impl Pair {
+impl Harness {
     fn new() -> Self {
         let now = Instant::now();
         Self {
             now,
-            keys: KeyIssuer::new("issuer".into(), 1, now),
+            issuer: KeyIssuer::new("issuer".into(), 1, now),
             witness: Witness::new(7),
-            calls: 0,
+            attempts: 0,
         }
     }
 
@@ -36,46 +36,48 @@
             instance: "witness".into(),
             incarnation: 7,
         };
-        self.keys.issue(self.now, "org".into(), Some(witness))
+        self.issuer.issue(self.now, "org".into(), Some(witness))
     }
 
-    /// The caller's next try; each has a number of its own.
-    fn call(&mut self) -> CallAttempt {
-        self.calls += 1;
+    /// The caller's next attempt; each has its own request identifier.
+    fn next_attempt(&mut self) -> CallAttempt {
+        self.attempts += 1;
         CallAttempt {
-            id: self.calls.to_string().into(),
+            id: self.attempts.to_string().into(),
             hash: 1,
-            deadline: self.now + DEADLINE,
+            deadline: self.now + TIME_TO_DEADLINE,
         }
     }
 
     fn use_key(&mut self, key: &Key) -> UseDecision {
-        let call = self.call();
-        self.keys.on_use(self.now, key, call)
+        let call = self.next_attempt();
+        self.issuer.on_use(self.now, key, call)
     }
 
-    fn ask(&mut self, key: &Key) -> WitnessRequest {
+    fn request_permission(&mut self, key: &Key) -> WitnessRequest {
         match self
-            .keys
+            .issuer
             .request_permission(self.now, key.sequence, &"replica".into())
         {
             Permission::AskWitness { message, .. } => message,
-            other => panic!("expected a question to the witness, got {other:?}"),
+            other => panic!("expected a request to the witness, got {other:?}"),
         }
     }
 
     fn permit(&mut self, key: &Key) -> Result<(), NotRun> {
-        let message = self.ask(key);
+        let message = self.request_permission(key);
         let answer = self.witness.on_message(self.now, &message);
-        self.keys.on_witness_reply(key.sequence, Some(&answer))
+        self.issuer.on_witness_reply(key.sequence, Some(&answer))
     }
 
-    fn run(&mut self, key: &Key) -> KeyOutcome {
+    fn run_to_end(&mut self, key: &Key) -> KeyOutcome {
         assert_eq!(self.use_key(key), UseDecision::First);
         self.permit(key).expect("permitted");
-        self.keys.dispatch(self.now, key.sequence).expect("in time");
-        self.keys
-            .finish(key.sequence, Some(answer(3)))
+        self.issuer
+            .dispatch(self.now, key.sequence)
+            .expect("in time");
+        self.issuer
+            .finish(key.sequence, Some(response(3)))
             .expect("running")
     }
 
@@ -88,7 +90,7 @@
     }
 }
 
-fn answer(len: usize) -> StoredResponse {
+fn response(len: usize) -> StoredResponse {
     StoredResponse {
         status: 201,
         content_type: None,
@@ -100,260 +102,284 @@
     UseDecision::Answer(IssuerReply::Outcome(KeyOutcome::NotRun(why)))
 }
 
-/// A foreman's connection breaks and he sends the booking again. It must be booked once, and both
-/// calls must hear the same answer.
+/// A caller's connection breaks and the booking is sent again. It must run once, and both calls
+/// must get the same response.
 #[test]
-fn a_repeated_call_gets_the_first_ones_answer() {
-    let mut pair = Pair::new();
-    let key = pair.issue();
-    assert_eq!(pair.use_key(&key), UseDecision::First);
-    assert_eq!(pair.use_key(&key), UseDecision::Join);
-    pair.permit(&key).expect("permitted");
+fn a_repeated_call_gets_the_response_of_the_first() {
+    let mut harness = Harness::new();
+    let key = harness.issue();
+    assert_eq!(harness.use_key(&key), UseDecision::First);
+    assert_eq!(harness.use_key(&key), UseDecision::Join);
+    harness.permit(&key).expect("permitted");
     assert_eq!(
-        pair.keys.dispatch(pair.now, key.sequence).as_deref(),
+        harness
+            .issuer
+            .dispatch(harness.now, key.sequence)
+            .as_deref(),
         Ok("replica")
     );
     assert!(
-        pair.keys.dispatch(pair.now, key.sequence).is_err(),
-        "the right is given once"
+        harness.issuer.dispatch(harness.now, key.sequence).is_err(),
+        "a key is dispatched once"
     );
-    assert_eq!(pair.use_key(&key), UseDecision::Join);
-    let outcome = pair
-        .keys
-        .finish(key.sequence, Some(answer(3)))
+    assert_eq!(harness.use_key(&key), UseDecision::Join);
+    let outcome = harness
+        .issuer
+        .finish(key.sequence, Some(response(3)))
         .expect("running");
     assert_eq!(
-        pair.use_key(&key),
+        harness.use_key(&key),
         UseDecision::Answer(IssuerReply::Outcome(outcome))
     );
-    assert!(matches!(pair.close(&key), WitnessReply::MayHaveRun { .. }));
+    assert!(matches!(
+        harness.close(&key),
+        WitnessReply::MayHaveRun { .. }
+    ));
 }
 
-/// The issuer was paused while another instance closed the key and told the caller "not run".
-/// When the issuer wakes it must find that out before the first byte.
+/// The issuer is paused while another instance closes the key and answers "not run". When the
+/// issuer resumes, it must learn that before it sends the first byte.
 #[test]
 fn a_closed_key_never_runs() {
-    let mut pair = Pair::new();
-    let key = pair.issue();
-    assert_eq!(pair.use_key(&key), UseDecision::First);
-    assert_eq!(pair.close(&key), WitnessReply::Closed);
-    assert_eq!(pair.permit(&key), Err(NotRun::Closed));
+    let mut harness = Harness::new();
+    let key = harness.issue();
+    assert_eq!(harness.use_key(&key), UseDecision::First);
+    assert_eq!(harness.close(&key), WitnessReply::Closed);
+    assert_eq!(harness.permit(&key), Err(NotRun::Closed));
     assert_eq!(
-        pair.keys.dispatch(pair.now, key.sequence),
+        harness.issuer.dispatch(harness.now, key.sequence),
         Err(NotRun::Closed)
     );
-    assert_eq!(pair.use_key(&key), not_run(NotRun::Closed));
+    assert_eq!(harness.use_key(&key), not_run(NotRun::Closed));
 }
 
-/// The network repeats the question and delivers the answers in the wrong order.
-#[parameterized(in_order = { true }, crossed = { false })]
-fn a_repeated_question_gives_one_right_at_most(in_order: bool) {
-    let mut pair = Pair::new();
-    let key = pair.issue();
-    pair.use_key(&key);
-    let message = pair.ask(&key);
-    let mut answers = [
-        pair.witness.on_message(pair.now, &message),
-        pair.witness.on_message(pair.now, &message),
+/// The network duplicates the permission request and reorders the replies.
+#[parameterized(in_order = { true }, reordered = { false })]
+fn a_duplicate_permission_request_permits_at_most_one_dispatch(in_order: bool) {
+    let mut harness = Harness::new();
+    let key = harness.issue();
+    harness.use_key(&key);
+    let message = harness.request_permission(&key);
+    let mut replies = [
+        harness.witness.on_message(harness.now, &message),
+        harness.witness.on_message(harness.now, &message),
     ];
-    assert_eq!(answers, [WitnessReply::Permitted, WitnessReply::Repeated]);
+    assert_eq!(replies, [WitnessReply::Permitted, WitnessReply::Repeated]);
     if !in_order {
-        answers.reverse();
+        replies.reverse();
     }
-    let heard = answers.map(|a| pair.keys.on_witness_reply(key.sequence, Some(&a)).is_ok());
-    assert_eq!(heard, [in_order, in_order]);
+    let accepted = replies.map(|reply| {
+        harness
+            .issuer
+            .on_witness_reply(key.sequence, Some(&reply))
+            .is_ok()
+    });
+    assert_eq!(accepted, [in_order, in_order]);
     let rights = (0..3)
-        .filter(|_| pair.keys.dispatch(pair.now, key.sequence).is_ok())
+        .filter(|_| harness.issuer.dispatch(harness.now, key.sequence).is_ok())
         .count();
     assert_eq!(rights, usize::from(in_order));
 }
 
-/// The witness can't be reached, has restarted, or its answer was lost.
+/// The witness is unreachable, has restarted, or its reply was lost.
 #[parameterized(
     unreachable = { None },
     restarted = { Some(WitnessReply::Lost) },
     repeated = { Some(WitnessReply::Repeated) },
 )]
-fn without_a_permission_the_issuer_gives_the_key_up(heard: Option<WitnessReply>) {
-    let mut pair = Pair::new();
-    let key = pair.issue();
-    pair.use_key(&key);
-    pair.ask(&key);
-    let refused = pair.keys.on_witness_reply(key.sequence, heard.as_ref());
+fn without_a_permission_the_issuer_abandons_the_key(reply: Option<WitnessReply>) {
+    let mut harness = Harness::new();
+    let key = harness.issue();
+    harness.use_key(&key);
+    harness.request_permission(&key);
+    let refused = harness
+        .issuer
+        .on_witness_reply(key.sequence, reply.as_ref());
     assert_eq!(refused, Err(NotRun::NoWitness));
-    // The permission comes after all, too late.
-    let late = pair
-        .keys
+    // The permission arrives after the key was abandoned.
+    let late = harness
+        .issuer
         .on_witness_reply(key.sequence, Some(&WitnessReply::Permitted));
     assert_eq!(late, Err(NotRun::NoWitness));
-    assert!(pair.keys.dispatch(pair.now, key.sequence).is_err());
+    assert!(harness.issuer.dispatch(harness.now, key.sequence).is_err());
 }
 
-/// The issuer is paused between the permission and the first byte, and wakes after the foreman
-/// has gone home.
+/// The issuer is paused between the permission and the first byte, and resumes after the caller
+/// gave up.
 #[parameterized(
-    in_time = { DEADLINE.mul_f32(0.99), None },
-    late = { DEADLINE, Some(NotRun::Late) },
+    in_time = { TIME_TO_DEADLINE.mul_f32(0.99), None },
+    late = { TIME_TO_DEADLINE, Some(NotRun::Late) },
     much_later = { KEY_LIFETIME, Some(NotRun::Late) },
 )]
-fn the_right_to_dispatch_ends_with_the_deadline(pause: Duration, expected: Option<NotRun>) {
-    let mut pair = Pair::new();
-    let key = pair.issue();
-    pair.use_key(&key);
-    pair.permit(&key).expect("permitted");
-    let dispatched = pair.keys.dispatch(pair.now + pause, key.sequence);
+fn a_permission_is_valid_until_the_deadline(pause: Duration, expected: Option<NotRun>) {
+    let mut harness = Harness::new();
+    let key = harness.issue();
+    harness.use_key(&key);
+    harness.permit(&key).expect("permitted");
+    let dispatched = harness.issuer.dispatch(harness.now + pause, key.sequence);
     assert_eq!(dispatched.err(), expected);
 }
 
-/// A key lies unused for too long; "not run" is said only while that is certain.
+/// A key is used for the first time long after its issue; "not run" is answered only while that is
+/// certain.
 #[parameterized(
     fresh = { KEY_LIFETIME.mul_f32(0.99), UseDecision::First },
     expired = { KEY_LIFETIME, not_run(NotRun::Expired) },
     forgotten = { RECORD_RETENTION, UseDecision::Answer(IssuerReply::Outcome(KeyOutcome::Unknown { upstream: None })) },
 )]
-fn an_unused_key_lapses(age: Duration, expected: UseDecision) {
-    let mut pair = Pair::new();
-    let key = pair.issue();
-    pair.now += age;
-    assert_eq!(pair.use_key(&key), expected);
+fn an_unused_key_expires(age: Duration, expected: UseDecision) {
+    let mut harness = Harness::new();
+    let key = harness.issue();
+    harness.now += age;
+    assert_eq!(harness.use_key(&key), expected);
 }
 
-/// A booking that ran is retried half an hour later. Nobody remembers it, so nobody may say that
-/// it did not run.
+/// A booking that ran is retried half an hour later. Its records have been dropped, so no instance
+/// may answer "not run".
 #[test]
-fn a_forgotten_key_is_never_called_not_run() {
-    let mut pair = Pair::new();
-    let unused = pair.issue();
-    let key = pair.issue();
-    pair.run(&key);
-    pair.now += RECORD_RETENTION;
+fn a_key_without_a_record_is_never_answered_not_run() {
+    let mut harness = Harness::new();
+    let unused = harness.issue();
+    let key = harness.issue();
+    harness.run_to_end(&key);
+    harness.now += RECORD_RETENTION;
     let unknown = UseDecision::Answer(IssuerReply::Outcome(KeyOutcome::Unknown { upstream: None }));
-    assert_eq!(pair.use_key(&key), unknown);
-    assert_eq!(pair.close(&key), WitnessReply::Lost);
+    assert_eq!(harness.use_key(&key), unknown);
+    assert_eq!(harness.close(&key), WitnessReply::Lost);
     assert_eq!(
-        pair.close(&unused),
+        harness.close(&unused),
         WitnessReply::Lost,
         "older than a forgotten one"
     );
-    assert!(pair.keys.is_empty() && pair.witness.is_empty());
-    let later = pair.issue();
-    assert_eq!(pair.close(&later), WitnessReply::Closed);
+    assert!(harness.issuer.is_empty() && harness.witness.is_empty());
+    let later = harness.issue();
+    assert_eq!(harness.close(&later), WitnessReply::Closed);
 }
 
-/// A request is shed before anybody was asked: the caller may use the key again. The refused
-/// call itself, delivered a second time by the network, must not run after all.
+/// A call is shed before the witness was asked, so the caller may use the key again. A duplicate of
+/// the refused message must not run later.
 #[test]
 fn a_shed_call_leaves_the_key_usable_for_the_next_one() {
-    let mut pair = Pair::new();
-    let key = pair.issue();
-    let shed = pair.call();
-    let arrive = |pair: &mut Pair| pair.keys.on_use(pair.now, &key, shed.clone());
-    assert_eq!(arrive(&mut pair), UseDecision::First);
-    assert_eq!(pair.keys.refuse(key.sequence), Some(IssuerReply::Refused));
-    assert_eq!(arrive(&mut pair), UseDecision::Answer(IssuerReply::Refused));
-    assert_eq!(pair.use_key(&key), UseDecision::First);
-    assert_eq!(arrive(&mut pair), UseDecision::Join);
-    pair.permit(&key).expect("permitted");
+    let mut harness = Harness::new();
+    let key = harness.issue();
+    let shed = harness.next_attempt();
+    let arrive = |harness: &mut Harness| harness.issuer.on_use(harness.now, &key, shed.clone());
+    assert_eq!(arrive(&mut harness), UseDecision::First);
+    assert_eq!(
+        harness.issuer.refuse(key.sequence),
+        Some(IssuerReply::Refused)
+    );
+    assert_eq!(
+        arrive(&mut harness),
+        UseDecision::Answer(IssuerReply::Refused)
+    );
+    assert_eq!(harness.use_key(&key), UseDecision::First);
+    assert_eq!(arrive(&mut harness), UseDecision::Join);
+    harness.permit(&key).expect("permitted");
     assert_eq!(
-        pair.keys.refuse(key.sequence),
+        harness.issuer.refuse(key.sequence),
         None,
-        "too late to take that back"
+        "the witness was asked already"
     );
 }
 
-/// A caller retries a shed booking without end; what is remembered of its calls stays bounded.
+/// A caller retries a shed booking without end; the number of recorded attempts stays bounded.
 #[test]
-fn a_key_that_is_shed_too_often_is_given_up() {
-    let mut pair = Pair::new();
-    let key = pair.issue();
+fn a_key_that_is_shed_too_often_is_abandoned() {
+    let mut harness = Harness::new();
+    let key = harness.issue();
     let mut tries = 0;
-    while pair.use_key(&key) == UseDecision::First {
+    while harness.use_key(&key) == UseDecision::First {
         tries += 1;
-        pair.keys.refuse(key.sequence);
+        harness.issuer.refuse(key.sequence);
     }
     assert_eq!(tries, MAX_CALLS_PER_KEY);
-    assert_eq!(pair.use_key(&key), not_run(NotRun::Full));
+    assert_eq!(harness.use_key(&key), not_run(NotRun::Full));
 }
 
 #[test]
 fn one_key_carries_one_call() {
-    let mut pair = Pair::new();
-    let key = pair.issue();
-    pair.run(&key);
+    let mut harness = Harness::new();
+    let key = harness.issue();
+    harness.run_to_end(&key);
     let other = CallAttempt {
         id: "other".into(),
         hash: 2,
-        deadline: pair.now + DEADLINE,
+        deadline: harness.now + TIME_TO_DEADLINE,
     };
     assert_eq!(
-        pair.keys.on_use(pair.now, &key, other),
+        harness.issuer.on_use(harness.now, &key, other),
         not_run(NotRun::Mismatch)
     );
 }
 
-/// One organisation uses keys without end; the others must still get theirs, and what ran must
-/// not be forgotten to make room.
+/// One organisation uses keys without end. The others must still be able to use theirs, and records
+/// of calls that ran must not be dropped to make room.
 #[test]
-fn records_are_bounded_and_none_is_forgotten_early() {
-    let mut pair = Pair::new();
+fn records_are_bounded_and_none_is_dropped_early() {
+    let mut harness = Harness::new();
     let keys = (0..=MAX_RECORDS_PER_ORGANISATION)
-        .map(|_| pair.issue())
+        .map(|_| harness.issue())
         .collect::<Vec<_>>();
     for key in &keys[..MAX_RECORDS_PER_ORGANISATION] {
-        assert_eq!(pair.use_key(key), UseDecision::First);
+        assert_eq!(harness.use_key(key), UseDecision::First);
     }
     assert_eq!(
-        pair.use_key(&keys[MAX_RECORDS_PER_ORGANISATION]),
+        harness.use_key(&keys[MAX_RECORDS_PER_ORGANISATION]),
         not_run(NotRun::Full)
     );
-    assert_eq!(pair.use_key(&keys[0]), UseDecision::Join);
-    let other = pair.keys.issue(pair.now, "other".into(), None);
-    assert_eq!(pair.use_key(&other), UseDecision::First);
+    assert_eq!(harness.use_key(&keys[0]), UseDecision::Join);
+    let other = harness.issuer.issue(harness.now, "other".into(), None);
+    assert_eq!(harness.use_key(&other), UseDecision::First);
 }
 
 #[test]
-fn answers_make_room_and_the_fact_remains() {
-    let mut pair = Pair::new();
-    let keys = (0..100).map(|_| pair.issue()).collect::<Vec<_>>();
+fn old_responses_are_dropped_and_outcomes_stay() {
+    let mut harness = Harness::new();
+    let keys = (0..100).map(|_| harness.issue()).collect::<Vec<_>>();
     for key in &keys {
-        assert_eq!(pair.use_key(key), UseDecision::First);
-        pair.permit(key).expect("permitted");
-        pair.keys.dispatch(pair.now, key.sequence).expect("in time");
-        pair.keys.finish(key.sequence, Some(answer(60_000)));
+        assert_eq!(harness.use_key(key), UseDecision::First);
+        harness.permit(key).expect("permitted");
+        harness
+            .issuer
+            .dispatch(harness.now, key.sequence)
+            .expect("in time");
+        harness.issuer.finish(key.sequence, Some(response(60_000)));
     }
-    let held = |pair: &mut Pair, key| match pair.use_key(key) {
+    let has_response = |harness: &mut Harness, key| match harness.use_key(key) {
         UseDecision::Answer(IssuerReply::Outcome(KeyOutcome::Ran { answer, .. })) => {
             answer.is_some()
         }
         other => panic!("it ran, yet {other:?}"),
     };
-    assert!(!held(&mut pair, &keys[0]));
-    assert!(held(&mut pair, &keys[99]));
+    assert!(!has_response(&mut harness, &keys[0]));
+    assert!(has_response(&mut harness, &keys[99]));
 }
 
-/// An instance is replaced during a rolling restart. Its finished bookings can still be asked
-/// for, through its successor, also when the hand-over arrives twice.
+/// An instance is replaced during a rolling restart. The outcomes of its ended keys are available
+/// at its successor, also when the handover arrives twice.
 #[test]
-fn a_leavers_outcomes_are_found_at_its_successor() {
-    let mut pair = Pair::new();
-    let key = pair.issue();
-    let fresh = pair.issue();
-    let outcome = pair.run(&key);
-    let handed = pair.keys.hand_over_ended(&"successor".into());
-    let mut successor = KeyIssuer::new("successor".into(), 5, pair.now);
+fn a_leaving_instances_outcomes_are_found_at_its_successor() {
+    let mut harness = Harness::new();
+    let key = harness.issue();
+    let fresh = harness.issue();
+    let outcome = harness.run_to_end(&key);
+    let handover = harness.issuer.hand_over_ended(&"successor".into());
+    let mut successor = KeyIssuer::new("successor".into(), 5, harness.now);
     for _ in 0..2 {
-        successor.adopt(pair.now, &handed.records[0]);
+        successor.adopt(harness.now, &handover.records[0]);
     }
-    pair.witness
-        .on_message(pair.now, &handed.notices[0].message);
+    harness
+        .witness
+        .on_message(harness.now, &handover.notices[0].message);
     let moved = UseDecision::Answer(IssuerReply::Moved {
         successor: "successor".into(),
     });
-    assert_eq!(pair.use_key(&key), moved);
+    assert_eq!(harness.use_key(&key), moved);
     assert_eq!(
-        pair.use_key(&fresh),
+        harness.use_key(&fresh),
         moved,
-        "a leaver that handed over dispatches nothing"
+        "an instance that handed its keys over dispatches nothing"
     );
 
     let mut receiver = Receiver::start(key.clone(), None).receiver;
@@ -361,7 +387,7 @@
         receiver.on_unreachable(),
         Some(ReceiverStep::Close { .. })
     ));
-    let forwarded = pair.close(&key);
+    let forwarded = harness.close(&key);
     assert_eq!(
         receiver.on_witness_reply(forwarded),
         Some(ReceiverStep::LookUp {
@@ -369,27 +395,30 @@
         })
     );
     let found = successor
-        .adopted_outcome(pair.now, &key.id())
+        .adopted_outcome(harness.now, &key.id())
         .expect("handed over");
     assert_eq!(
         receiver.on_issuer_reply(IssuerReply::Outcome(found)),
         Some(ReceiverStep::Answer(outcome))
     );
-    assert_eq!(pair.close(&fresh), WitnessReply::Closed);
+    assert_eq!(harness.close(&fresh), WitnessReply::Closed);
 }
 
-/// What a receiving instance tells its caller when the key's issuer can't be reached.
+/// What a receiving instance answers when the key's issuer is unreachable.
 #[parameterized(
     closed = { Some(WitnessReply::Closed), KeyOutcome::NotRun(NotRun::Closed) },
     permitted = { Some(WitnessReply::MayHaveRun { upstream: "r".into() }), KeyOutcome::Unknown { upstream: Some("r".into()) } },
     restarted = { Some(WitnessReply::Lost), KeyOutcome::Unknown { upstream: None } },
-    gone_too = { None, KeyOutcome::Unknown { upstream: None } },
-    nonsense = { Some(WitnessReply::Permitted), KeyOutcome::Unknown { upstream: None } },
+    witness_unreachable = { None, KeyOutcome::Unknown { upstream: None } },
+    unexpected_reply = { Some(WitnessReply::Permitted), KeyOutcome::Unknown { upstream: None } },
 )]
-fn an_unreachable_issuer_ends_in_the_truth(heard: Option<WitnessReply>, expected: KeyOutcome) {
-    let mut pair = Pair::new();
+fn an_unreachable_issuer_ends_as_not_run_or_unknown(
+    reply: Option<WitnessReply>,
+    expected: KeyOutcome,
+) {
+    let mut harness = Harness::new();
     for known_dead in [false, true] {
-        let started = Receiver::start(pair.issue(), known_dead.then_some(2));
+        let started = Receiver::start(harness.issue(), known_dead.then_some(2));
         let mut receiver = started.receiver;
         let step = if known_dead {
             Some(started.step)
@@ -397,8 +426,8 @@
             receiver.on_unreachable()
         };
         assert!(matches!(step, Some(ReceiverStep::Close { .. })));
-        let step = match heard.clone() {
-            Some(heard) => receiver.on_witness_reply(heard),
+        let step = match reply.clone() {
+            Some(reply) => receiver.on_witness_reply(reply),
             None => receiver.on_unreachable(),
         };
         assert_eq!(step, Some(ReceiverStep::Answer(expected.clone())));
@@ -412,12 +441,13 @@
 
 #[test]
 fn a_key_without_a_witness_ends_unknown_when_its_issuer_is_gone() {
-    let mut pair = Pair::new();
-    let key = pair.keys.issue(pair.now, "org".into(), None);
-    assert_eq!(pair.use_key(&key), UseDecision::First);
+    let mut harness = Harness::new();
+    let key = harness.issuer.issue(harness.now, "org".into(), None);
+    assert_eq!(harness.use_key(&key), UseDecision::First);
     assert_eq!(
-        pair.keys
-            .request_permission(pair.now, key.sequence, &"replica".into()),
+        harness
+            .issuer
+            .request_permission(harness.now, key.sequence, &"replica".into()),
         Permission::Granted
     );
     let mut receiver = Receiver::start(key, None).receiver;
@@ -426,7 +456,7 @@
 }
 
 #[test]
-fn a_witness_of_another_life_promises_nothing() {
+fn a_witness_of_another_incarnation_permits_and_closes_nothing() {
     let mut witness = Witness::new(8);
     let key = KeyId {
         issuer: "i".into(),
@@ -447,18 +477,19 @@
 
 #[test]
 fn witnesses_are_chosen_in_turn_and_never_the_issuer_itself() {
-    let mut pair = Pair::new();
+    let mut harness = Harness::new();
     let live = ["a".into(), "issuer".into(), "z".into()];
     let mut chosen = Vec::new();
     for _ in 0..4 {
         chosen.push(
-            pair.keys
+            harness
+                .issuer
                 .next_witness(&live)
                 .expect("others live")
                 .to_string(),
         );
-        pair.issue();
+        harness.issue();
     }
     assert_eq!(chosen, ["a", "z", "a", "z"]);
-    assert_eq!(pair.keys.next_witness(&live[1..2]), None);
+    assert_eq!(harness.issuer.next_witness(&live[1..2]), None);
 }
--- a/crates/decisions/tests/idempotency_key.rs
+++ b/crates/decisions/tests/idempotency_key.rs
@@ -1,4 +1,4 @@
-//! The text of a key against whoever forges, cuts or borrows one.
+//! Encoding of keys, and rejection of forged, truncated and foreign ones.
 
 use kingcupfield_decisions::idempotency::{
     EndedKeyRecord, IssuerReply, Key, KeyError, Secret, WitnessId, WitnessReply, WitnessRequest,
@@ -24,7 +24,7 @@
 }
 
 #[parameterized(plain = { "org" }, other_script = { "Cửa hàng Hoa Sen" }, quotes = { "a\"b\\" })]
-fn a_key_comes_back_whole(organisation: &str) {
+fn a_key_survives_encoding_and_decoding(organisation: &str) {
     let text = key(organisation).encode(&secret(1)).expect("short names");
     assert!(
         text.bytes()
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn every_cut_and_every_changed_character_is_refused() {
+fn every_truncated_or_changed_text_is_refused() {
     let text = key("org").encode(&secret(1)).expect("short names");
     for end in 0..text.len() {
         let refused = Key::decode(&text[..end], &secret(1), "org");
@@ -67,12 +67,12 @@
     huge_length = { "Af__AA", KeyError::Truncated },
     long = { &"A".repeat(5000), KeyError::TooLong },
 )]
-fn malformed_texts_have_a_reason(text: &str, expected: KeyError) {
+fn malformed_texts_are_refused_with_a_reason(text: &str, expected: KeyError) {
     assert_eq!(Key::decode(text, &secret(1), "org"), Err(expected));
 }
 
 #[test]
-fn keys_of_others_have_a_reason() {
+fn foreign_keys_are_refused_with_a_reason() {
     let text = key("org").encode(&secret(1)).expect("short names");
     assert_eq!(Key::decode(&text, &secret(2), "org"), Err(KeyError::Forged));
     assert_eq!(
