--- a/crates/decisions/tests/drain.rs
+++ b/crates/decisions/tests/drain.rs
@@ -1,4 +1,4 @@
-//! Graceful ends of instances and upstreams.
+//! Graceful shutdown of instances and draining of upstreams.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 use tokio::time::Instant;
 use yare::parameterized;
 
-/// An instance is stopped while it carries streams, and the balancer still sends it requests for
-/// a moment. A caller must notice nothing: it ends only when both are over.
+/// An instance is stopped while it has open streams and the load balancer still sends it requests
+/// for a moment. No caller may notice: the instance ends only after both.
 #[parameterized(
     at_once = { Duration::ZERO, 0, None },
     balancer_still_sends = { LEAVE_GRACE.mul_f32(0.99), 0, None },
@@ -17,7 +17,11 @@
     a_stream_runs = { LEAVE_GRACE * 3, 1, None },
     a_stream_hangs = { DRAIN_TIMEOUT, 2, Some(2) },
 )]
-fn an_instance_ends_when_nothing_is_cut(after: Duration, requests: usize, aborted: Option<usize>) {
+fn an_instance_ends_without_cutting_requests_off(
+    after: Duration,
+    requests: usize,
+    aborted: Option<usize>,
+) {
     for in_flight in [
         InFlight {
             requests,
@@ -37,16 +41,16 @@
 }
 
 #[test]
-fn a_leaving_instance_wakes_for_the_balancer_and_for_the_limit() {
+fn a_leaving_instance_checks_after_the_grace_time_and_at_the_timeout() {
     let now = Instant::now();
-    let life = InstanceLifecycle::new().leave(now);
-    assert_eq!(life.next_check(now), now + LEAVE_GRACE);
-    assert_eq!(life.next_check(now + LEAVE_GRACE), now + DRAIN_TIMEOUT);
+    let lifecycle = InstanceLifecycle::new().leave(now);
+    assert_eq!(lifecycle.next_check(now), now + LEAVE_GRACE);
+    assert_eq!(lifecycle.next_check(now + LEAVE_GRACE), now + DRAIN_TIMEOUT);
 }
 
-/// An upstream is taken out while it still decodes two answers. They must come whole.
+/// An upstream leaves while it still generates two responses. Both must be complete.
 #[test]
-fn an_upstream_is_drained_with_its_last_answer() {
+fn an_upstream_is_drained_after_its_last_response() {
     let now = Instant::now();
     let mut replica = ReplicaLifecycle::new();
     replica.on_request_started();
--- a/crates/decisions/tests/slots.rs
+++ b/crates/decisions/tests/slots.rs
@@ -1,4 +1,4 @@
-//! The queue before a replica and the holders that reserve in it.
+//! The slot queue of a replica together with the holders that reserve in it.
 
 use std::time::Duration;
 
@@ -39,27 +39,27 @@
     Holder::new(name.into(), 1_000)
 }
 
-/// Hands all messages to the queue and its answers back until both are silent.
-fn settle(
+/// Delivers messages between queue and holder until neither sends another one.
+fn exchange_messages(
     now: Instant,
     queue: &mut SlotQueue,
     holder: &mut Holder,
     name: &str,
-    asks: Vec<OwnerEnvelope>,
+    envelopes: Vec<OwnerEnvelope>,
 ) -> Vec<HolderAction> {
     let from: InstanceId = name.into();
     let mut actions = Vec::new();
-    let mut asks = asks;
-    while !asks.is_empty() {
+    let mut envelopes = envelopes;
+    while !envelopes.is_empty() {
         let mut next = Vec::new();
-        for ask in asks {
-            for send in queue.on_message(now, &from, ask.message) {
-                let reply = holder.on_message(now, &send.upstream, send.message);
-                actions.extend(reply.actions);
-                next.extend(reply.messages);
+        for envelope in envelopes {
+            for answer in queue.on_message(now, &from, envelope.message) {
+                let output = holder.on_message(now, &answer.upstream, answer.message);
+                actions.extend(output.actions);
+                next.extend(output.messages);
             }
         }
-        asks = next;
+        envelopes = next;
     }
     actions
 }
@@ -69,23 +69,27 @@
     holder.reserve(now, reservation(request, rank), &upstreams)
 }
 
-fn granted(sends: &[HolderEnvelope]) -> Vec<&str> {
-    let grants = sends.iter().filter_map(|send| match &send.message {
-        ToHolder::Grant { request, .. } => Some(&**request),
-        ToHolder::Rejected { .. } => None,
-    });
+fn granted(messages: &[HolderEnvelope]) -> Vec<&str> {
+    let grants = messages
+        .iter()
+        .filter_map(|envelope| match &envelope.message {
+            ToHolder::Grant { request, .. } => Some(&**request),
+            ToHolder::Rejected { .. } => None,
+        });
     grants.collect()
 }
 
-fn rejected(sends: &[HolderEnvelope]) -> Vec<(&str, Rejection)> {
-    let rejected = sends.iter().filter_map(|send| match &send.message {
-        ToHolder::Grant { .. } => None,
-        ToHolder::Rejected { request, why, .. } => Some((&**request, *why)),
-    });
+fn rejected(messages: &[HolderEnvelope]) -> Vec<(&str, Rejection)> {
+    let rejected = messages
+        .iter()
+        .filter_map(|envelope| match &envelope.message {
+            ToHolder::Grant { .. } => None,
+            ToHolder::Rejected { request, why, .. } => Some((&**request, *why)),
+        });
     rejected.collect()
 }
 
-fn send(
+fn send_reservation(
     queue: &mut SlotQueue,
     now: Instant,
     from: &str,
@@ -100,8 +104,8 @@
 fn free_slot_is_granted_and_used_once() {
     let now = Instant::now();
     let (mut queue, mut holder) = (queue(now, 1), holder("entry-1"));
-    let reply = reserve(now, &mut holder, "r1", 0);
-    let actions = settle(now, &mut queue, &mut holder, "entry-1", reply.messages);
+    let output = reserve(now, &mut holder, "r1", 0);
+    let actions = exchange_messages(now, &mut queue, &mut holder, "entry-1", output.messages);
     let request: RequestId = "r1".into();
     let upstream: UpstreamId = "drafting-1".into();
     let dispatch = HolderAction::Dispatch {
@@ -114,56 +118,56 @@
     assert_eq!(again, Err(DispatchError::NotGranted));
 }
 
-/// An entry instance is paused between grant and dispatch and wakes after its lease. Were the
-/// grant still good, its request would run beside the one that got the slot meanwhile, and both
-/// callers would wait longer than promised.
+/// An entry instance is paused between grant and dispatch and resumes after its lease ended. If the
+/// grant were still valid, its request would run together with the one that got the slot meanwhile,
+/// and both callers would wait longer than guaranteed.
 #[test]
-fn lapsed_grant_is_not_used() {
+fn expired_grant_is_not_used() {
     let now = Instant::now();
     let (mut queue, mut holder) = (queue(now, 1), holder("entry-1"));
-    let reply = reserve(now, &mut holder, "r1", 0);
-    settle(now, &mut queue, &mut holder, "entry-1", reply.messages);
-    let woken = now + GRANT_LEASE;
-    let Err(DispatchError::Lapsed { messages }) = holder.dispatch(woken, &"r1".into()) else {
-        panic!("a lapsed grant was used");
+    let output = reserve(now, &mut holder, "r1", 0);
+    exchange_messages(now, &mut queue, &mut holder, "entry-1", output.messages);
+    let resumed = now + GRANT_LEASE;
+    let Err(DispatchError::Lapsed { messages }) = holder.dispatch(resumed, &"r1".into()) else {
+        panic!("an expired grant was used");
     };
     assert_eq!(messages.len(), 1);
-    let actions = settle(woken, &mut queue, &mut holder, "entry-1", messages);
+    let actions = exchange_messages(resumed, &mut queue, &mut holder, "entry-1", messages);
     assert_eq!(actions.len(), 1);
-    assert!(holder.dispatch(woken, &"r1".into()).is_ok());
+    assert!(holder.dispatch(resumed, &"r1".into()).is_ok());
 }
 
-/// An entry instance dies with requests running. If its slots were not taken back, the replica
-/// would stand idle while others' callers wait.
+/// An entry instance crashes while its requests run. If its slots were not freed, the replica would
+/// be idle while other callers wait.
 #[test]
-fn slots_of_a_dead_holder_come_back() {
+fn slots_of_a_dead_holder_are_freed() {
     let start = Instant::now();
     let mut queue = queue(start, 2);
     for request in ["r1", "r2"] {
         assert_eq!(
-            granted(&send(&mut queue, start, "entry-1", request, 0)),
+            granted(&send_reservation(&mut queue, start, "entry-1", request, 0)),
             [request]
         );
         let request = request.into();
         queue.on_message(start, &"entry-1".into(), ToOwner::Dispatched { request });
     }
-    assert!(granted(&send(&mut queue, start, "entry-2", "r3", 0)).is_empty());
+    assert!(granted(&send_reservation(&mut queue, start, "entry-2", "r3", 0)).is_empty());
     let mut now = start;
-    let mut seen = Vec::new();
+    let mut granted_requests = Vec::new();
     for asked in 1.. {
         now += RENEW_INTERVAL;
         let renew = ToOwner::Renew {
             asked,
             running: Vec::new(),
         };
-        let mut sends = queue.on_message(now, &"entry-2".into(), renew);
-        sends.extend(queue.on_tick(now));
-        seen.extend(granted(&sends).into_iter().map(String::from));
+        let mut messages = queue.on_message(now, &"entry-2".into(), renew);
+        messages.extend(queue.on_tick(now));
+        granted_requests.extend(granted(&messages).into_iter().map(String::from));
         if now > start + HOLDER_TIMEOUT + RENEW_INTERVAL {
             break;
         }
     }
-    assert_eq!(seen, ["r3"]);
+    assert_eq!(granted_requests, ["r3"]);
     assert_eq!(queue.digest(now).running, 1);
 }
 
@@ -171,12 +175,12 @@
 fn higher_tier_goes_first_and_lower_is_rejected_when_full() {
     let now = Instant::now();
     let mut queue = queue(now, 1).with_max_waiting(2);
-    send(&mut queue, now, "entry-1", "runs", 0);
-    send(&mut queue, now, "entry-1", "low", 2);
-    send(&mut queue, now, "entry-1", "middle", 1);
-    let full = send(&mut queue, now, "entry-1", "high", 0);
+    send_reservation(&mut queue, now, "entry-1", "runs", 0);
+    send_reservation(&mut queue, now, "entry-1", "low", 2);
+    send_reservation(&mut queue, now, "entry-1", "middle", 1);
+    let full = send_reservation(&mut queue, now, "entry-1", "high", 0);
     assert_eq!(rejected(&full), [("low", Rejection::Full)]);
-    let full = send(&mut queue, now, "entry-1", "lower", 3);
+    let full = send_reservation(&mut queue, now, "entry-1", "lower", 3);
     assert_eq!(rejected(&full), [("lower", Rejection::Full)]);
     let finished = ToOwner::Finished {
         request: "runs".into(),
@@ -187,15 +191,15 @@
 }
 
 #[test]
-fn level_and_leaving_refuse_what_waits_and_what_comes() {
+fn lower_tiers_and_a_leaving_replica_reject_waiting_and_new_requests() {
     let now = Instant::now();
     let mut queue = queue(now, 1);
-    send(&mut queue, now, "entry-1", "runs", 0);
-    send(&mut queue, now, "entry-1", "low", 2);
-    send(&mut queue, now, "entry-1", "high", 0);
+    send_reservation(&mut queue, now, "entry-1", "runs", 0);
+    send_reservation(&mut queue, now, "entry-1", "low", 2);
+    send_reservation(&mut queue, now, "entry-1", "high", 0);
     let shed = queue.set_lowest_rank(now, 1);
     assert_eq!(rejected(&shed), [("low", Rejection::Shed)]);
-    let shed = send(&mut queue, now, "entry-1", "low-2", 2);
+    let shed = send_reservation(&mut queue, now, "entry-1", "low-2", 2);
     assert_eq!(rejected(&shed), [("low-2", Rejection::Shed)]);
     let report = LoadReport {
         at_ms: 0,
@@ -207,19 +211,19 @@
     };
     let left = queue.on_load_report(now, report);
     assert_eq!(rejected(&left), [("high", Rejection::Leaving)]);
-    let left = send(&mut queue, now, "entry-1", "late", 0);
+    let left = send_reservation(&mut queue, now, "entry-1", "late", 0);
     assert_eq!(rejected(&left), [("late", Rejection::Leaving)]);
 }
 
-/// The owner of a replica dies and the next one knows nothing of what runs. Granting the whole
-/// limit at once would run twice as much as the replica bears.
+/// The owner of a replica crashes and the next owner doesn't know the running requests. If it
+/// granted the whole limit at once, twice the replica's limit would run.
 #[test]
-fn new_owner_grants_little_until_all_holders_told() {
+fn new_owner_limits_grants_until_all_holders_have_reported() {
     let now = Instant::now();
     let mut queue = queue(now, 8).with_zone_size(4);
     let grants: usize = (0..8)
-        .map(|i| send(&mut queue, now, "entry-1", &format!("r{i}"), 0))
-        .map(|sends| granted(&sends).len())
+        .map(|i| send_reservation(&mut queue, now, "entry-1", &format!("r{i}"), 0))
+        .map(|messages| granted(&messages).len())
         .sum();
     assert_eq!(grants, 2);
     for (i, entry) in ["entry-1", "entry-2", "entry-3", "entry-4"]
