--- a/crates/decisions/tests/schedules.rs
+++ b/crates/decisions/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! Random schedules of reservations, lost, late and repeated messages, pauses and two owners.
+//! Random schedules of reservations with lost, late and duplicate messages, pauses and two owners.
 
 use std::time::Duration;
 
@@ -18,16 +18,19 @@
 
 const HOLDERS: usize = 3;
 const OWNERS: usize = 2;
+/// Concurrency limit of the replica, in slots.
 const LIMIT: u32 = 2;
+/// Number of random schedules.
 const CASES: u32 = 400;
 const SEED: [u8; 32] = [7; 32];
 
+/// One event; an index selects among what exists at that time.
 #[derive(Debug, Clone)]
 enum Step {
     Reserve { holder: usize, rank: Rank },
     Deliver { packet: usize },
-    Lose { packet: usize },
-    Repeat { packet: usize },
+    Drop { packet: usize },
+    Duplicate { packet: usize },
     Dispatch { action: usize },
     Finish { running: usize },
     Withdraw { request: usize },
@@ -45,8 +48,8 @@
     prop_oneof![
         6 => (0..HOLDERS, 0..3_u8).prop_map(|(holder, rank)| Step::Reserve { holder, rank }),
         20 => packet.clone().prop_map(|packet| Step::Deliver { packet }),
-        1 => packet.clone().prop_map(|packet| Step::Lose { packet }),
-        2 => packet.prop_map(|packet| Step::Repeat { packet }),
+        1 => packet.clone().prop_map(|packet| Step::Drop { packet }),
+        2 => packet.prop_map(|packet| Step::Duplicate { packet }),
         8 => any.clone().prop_map(|action| Step::Dispatch { action }),
         4 => any.clone().prop_map(|running| Step::Finish { running }),
         1 => any.prop_map(|request| Step::Withdraw { request }),
@@ -60,6 +63,7 @@
     ]
 }
 
+/// A message in flight.
 #[derive(Debug, Clone)]
 enum Packet {
     ToOwner {
@@ -74,7 +78,7 @@
     },
 }
 
-/// A grant as its owner sent it.
+/// A grant as an owner sent it.
 #[derive(Debug, Clone, PartialEq)]
 struct Granted {
     owner: usize,
@@ -82,43 +86,51 @@
     asked: Sequence,
 }
 
+/// An instance that acts as owner of the replica, and the state that was set in its queue.
 #[derive(Debug)]
 struct Owner {
     queue: SlotQueue,
-    lowest: Rank,
+    lowest_rank: Rank,
     leaving: bool,
 }
 
+/// A request that its holder may dispatch or has dispatched.
 #[derive(Debug, Clone)]
 struct Claim {
     holder: usize,
     request: RequestId,
 }
 
-/// Two owners of one replica who both think it theirs, and the holders of the zone.
+/// Two instances that both act as owner of one replica, and the holders of the availability zone.
 #[derive(Debug)]
-struct World {
+struct Simulation {
     now: Instant,
     upstream: UpstreamId,
     owners: Vec<Owner>,
     holders: Vec<Holder>,
-    owner_of: Vec<usize>,
+    /// The owner that each holder sends to.
+    owner_by_holder: Vec<usize>,
     packets: Vec<Packet>,
+    /// Granted requests that were not dispatched yet.
     claims: Vec<Claim>,
     running: Vec<Claim>,
     dispatched: Vec<RequestId>,
     requests: Vec<(RequestId, Rank)>,
-    sent: Vec<(usize, Sequence, Instant)>,
-    delivered: Vec<Granted>,
-    given_up: Vec<Granted>,
-    current: Vec<Granted>,
+    /// Holder, sequence number and time of the first message with that number.
+    sent_sequences: Vec<(usize, Sequence, Instant)>,
+    /// Grants that arrived at their holder.
+    delivered_grants: Vec<Granted>,
+    /// Grants that their owner withdrew because they were not used in time.
+    lapsed_grants: Vec<Granted>,
+    /// Grants that their owner still counts.
+    current_grants: Vec<Granted>,
 }
 
 fn name(holder: usize) -> InstanceId {
     format!("entry-{holder}").into()
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let now = Instant::now();
         let upstream: UpstreamId = "drafting-1".into();
@@ -126,7 +138,7 @@
         let queue = || SlotQueue::new(UpstreamId::clone(&upstream), None, now);
         let owner = || Owner {
             queue: queue().with_limit(limit.clone()),
-            lowest: Rank::MAX,
+            lowest_rank: Rank::MAX,
             leaving: false,
         };
         Self {
@@ -134,28 +146,29 @@
             owners: (0..OWNERS).map(|_| owner()).collect(),
             holders: (0..HOLDERS).map(|i| Holder::new(name(i), 0)).collect(),
             upstream,
-            owner_of: vec![0; HOLDERS],
+            owner_by_holder: vec![0; HOLDERS],
             packets: Vec::new(),
             claims: Vec::new(),
             running: Vec::new(),
             dispatched: Vec::new(),
             requests: Vec::new(),
-            sent: Vec::new(),
-            delivered: Vec::new(),
-            given_up: Vec::new(),
-            current: Vec::new(),
+            sent_sequences: Vec::new(),
+            delivered_grants: Vec::new(),
+            lapsed_grants: Vec::new(),
+            current_grants: Vec::new(),
         }
     }
 
-    fn post(&mut self, holder: usize, asks: Vec<OwnerEnvelope>) {
-        for OwnerEnvelope { message, .. } in asks {
+    /// Puts the messages of a holder in flight.
+    fn send_to_owner(&mut self, holder: usize, envelopes: Vec<OwnerEnvelope>) {
+        for OwnerEnvelope { message, .. } in envelopes {
             if let ToOwner::Renew { asked, .. } = message {
-                self.note_sent(holder, asked);
+                self.record_sent(holder, asked);
             }
             if let ToOwner::Reserve(reservation) = &message {
-                self.note_sent(holder, reservation.asked);
+                self.record_sent(holder, reservation.asked);
             }
-            let owner = self.owner_of[holder];
+            let owner = self.owner_by_holder[holder];
             self.packets.push(Packet::ToOwner {
                 owner,
                 from: holder,
@@ -164,41 +177,51 @@
         }
     }
 
-    fn note_sent(&mut self, holder: usize, asked: Sequence) {
-        if !self.sent.iter().any(|s| s.0 == holder && s.1 == asked) {
-            self.sent.push((holder, asked, self.now));
+    fn record_sent(&mut self, holder: usize, asked: Sequence) {
+        if !self
+            .sent_sequences
+            .iter()
+            .any(|s| s.0 == holder && s.1 == asked)
+        {
+            self.sent_sequences.push((holder, asked, self.now));
         }
     }
 
-    fn take(&mut self, holder: usize, reply: HolderOutput) {
-        for action in reply.actions {
+    fn apply_output(&mut self, holder: usize, output: HolderOutput) {
+        for action in output.actions {
             if let HolderAction::Dispatch { request, .. } = action {
                 self.claims.push(Claim { holder, request });
             }
         }
-        self.post(holder, reply.messages);
+        self.send_to_owner(holder, output.messages);
     }
 
-    /// Checks and posts what an owner sends.
-    fn send(&mut self, owner: usize, sends: Vec<HolderEnvelope>) -> Result<(), TestCaseError> {
-        let is_new = |world: &Self, request: &RequestId| {
-            let mut current = world.current.iter();
+    /// Checks the messages of an owner and puts them in flight.
+    fn send_to_holders(
+        &mut self,
+        owner: usize,
+        messages: Vec<HolderEnvelope>,
+    ) -> Result<(), TestCaseError> {
+        let is_new = |simulation: &Self, request: &RequestId| {
+            let mut current = simulation.current_grants.iter();
             !current.any(|granted| granted.owner == owner && granted.request == *request)
         };
         let mut new_grants = 0;
-        for send in sends {
-            let holder = (0..HOLDERS).find(|i| name(*i) == send.to).unwrap_or(0);
-            match &send.message {
+        for envelope in messages {
+            let holder = (0..HOLDERS).find(|i| name(*i) == envelope.to).unwrap_or(0);
+            match &envelope.message {
                 ToHolder::Grant { request, asked, .. } => {
                     let rank = self.requests.iter().find(|r| r.0 == *request).map(|r| r.1);
                     let Owner {
-                        lowest, leaving, ..
+                        lowest_rank,
+                        leaving,
+                        ..
                     } = &self.owners[owner];
                     prop_assert!(
                         !leaving || !is_new(self, request),
                         "grant at a leaving replica"
                     );
-                    let below = rank.is_some_and(|rank| rank > *lowest);
+                    let below = rank.is_some_and(|rank| rank > *lowest_rank);
                     prop_assert!(!below || !is_new(self, request), "grant below the level");
                     new_grants += u32::from(is_new(self, request));
                     let granted = Granted {
@@ -206,22 +229,23 @@
                         request: RequestId::clone(request),
                         asked: *asked,
                     };
-                    self.current
+                    self.current_grants
                         .retain(|g| g.owner != owner || g.request != *request);
-                    self.current.push(granted);
+                    self.current_grants.push(granted);
                 }
                 ToHolder::Rejected { request, why, .. } if *why == Rejection::Lapsed => {
-                    let gone = |g: &Granted| g.owner == owner && g.request == *request;
-                    self.given_up
-                        .extend(self.current.iter().filter(|g| gone(g)).cloned());
-                    self.current.retain(|g| !gone(g));
+                    let is_lapsed =
+                        |granted: &Granted| granted.owner == owner && granted.request == *request;
+                    self.lapsed_grants
+                        .extend(self.current_grants.iter().filter(|g| is_lapsed(g)).cloned());
+                    self.current_grants.retain(|g| !is_lapsed(g));
                 }
                 ToHolder::Rejected { .. } => {}
             }
             self.packets.push(Packet::ToHolder {
                 holder,
                 from: owner,
-                message: send.message,
+                message: envelope.message,
             });
         }
         let running = self.owners[owner].queue.digest(self.now).running;
@@ -241,12 +265,12 @@
             } => {
                 if let ToOwner::Withdraw { request } | ToOwner::Finished { request, .. } = &message
                 {
-                    self.current
+                    self.current_grants
                         .retain(|g| g.owner != owner || g.request != *request);
                 }
                 let queue = &mut self.owners[owner].queue;
-                let sends = queue.on_message(self.now, &name(from), message);
-                self.send(owner, sends)
+                let messages = queue.on_message(self.now, &name(from), message);
+                self.send_to_holders(owner, messages)
             }
             Packet::ToHolder {
                 holder,
@@ -254,20 +278,21 @@
                 message,
             } => {
                 if let ToHolder::Grant { request, asked, .. } = &message {
-                    self.delivered.push(Granted {
+                    self.delivered_grants.push(Granted {
                         owner: from,
                         request: RequestId::clone(request),
                         asked: *asked,
                     });
                 }
-                let reply = self.holders[holder].on_message(self.now, &self.upstream, message);
-                self.take(holder, reply);
+                let output = self.holders[holder].on_message(self.now, &self.upstream, message);
+                self.apply_output(holder, output);
                 Ok(())
             }
         }
     }
 
-    /// A request may go out only once, within the lease, and while its owner still counts it.
+    /// Checks that a request is sent only once, within the lease, and while its owner still counts
+    /// the grant.
     fn dispatch(&mut self, claim: Claim) -> Result<(), TestCaseError> {
         let holder = &mut self.holders[claim.holder];
         match holder.dispatch(self.now, &claim.request) {
@@ -276,21 +301,22 @@
                     !self.dispatched.contains(&claim.request),
                     "dispatched twice"
                 );
-                let grants = self.delivered.iter();
-                let good = grants.filter(|granted| granted.request == claim.request);
-                let good = good.filter(|granted| {
-                    let sent = self.sent.iter();
+                let grants = self.delivered_grants.iter();
+                let valid = grants.filter(|granted| granted.request == claim.request);
+                let valid = valid.filter(|granted| {
+                    let sent = self.sent_sequences.iter();
                     let mut sent = sent.filter(|s| s.0 == claim.holder && s.1 == granted.asked);
-                    sent.any(|s| self.now < s.2 + GRANT_LEASE) && !self.given_up.contains(granted)
+                    sent.any(|s| self.now < s.2 + GRANT_LEASE)
+                        && !self.lapsed_grants.contains(granted)
                 });
-                prop_assert!(good.count() > 0, "dispatched without a valid grant");
+                prop_assert!(valid.count() > 0, "dispatched without a valid grant");
                 self.dispatched.push(RequestId::clone(&claim.request));
                 let holder = claim.holder;
                 self.running.push(claim);
-                self.post(holder, dispatch.messages);
+                self.send_to_owner(holder, dispatch.messages);
             }
             Err(DispatchError::Lapsed { messages }) => {
-                self.post(claim.holder, messages);
+                self.send_to_owner(claim.holder, messages);
             }
             Err(DispatchError::NotGranted) => {}
         }
@@ -312,8 +338,8 @@
             asked: 0,
         };
         let upstreams = [UpstreamId::clone(&self.upstream)];
-        let reply = self.holders[holder].reserve(self.now, reservation, &upstreams);
-        self.take(holder, reply);
+        let output = self.holders[holder].reserve(self.now, reservation, &upstreams);
+        self.apply_output(holder, output);
     }
 
     fn finish(&mut self, at: usize) {
@@ -322,8 +348,8 @@
             whole: true,
             ..RequestOutcome::default()
         };
-        let reply = self.holders[holder].on_finished(self.now, &request, outcome);
-        self.take(holder, reply);
+        let output = self.holders[holder].on_finished(self.now, &request, outcome);
+        self.apply_output(holder, output);
     }
 
     fn step(&mut self, step: &Step) -> Result<(), TestCaseError> {
@@ -336,12 +362,12 @@
                     self.deliver(packet)?;
                 }
             }
-            Step::Lose { packet } => {
+            Step::Drop { packet } => {
                 if let Some(at) = pick(packet, self.packets.len()) {
                     self.packets.remove(at);
                 }
             }
-            Step::Repeat { packet } => {
+            Step::Duplicate { packet } => {
                 if let Some(at) = pick(packet, self.packets.len()) {
                     self.packets.push(self.packets[at].clone());
                 }
@@ -361,35 +387,35 @@
                 if let Some(at) = pick(request, self.requests.len()) {
                     let request = RequestId::clone(&self.requests[at].0);
                     for holder in 0..HOLDERS {
-                        let sends = self.holders[holder].withdraw(&request);
-                        self.post(holder, sends);
+                        let messages = self.holders[holder].withdraw(&request);
+                        self.send_to_owner(holder, messages);
                     }
                 }
             }
             Step::Advance { ms } => self.now += Duration::from_millis(ms),
             Step::TickOwner { owner } => {
-                let sends = self.owners[owner].queue.on_tick(self.now);
-                self.send(owner, sends)?;
+                let messages = self.owners[owner].queue.on_tick(self.now);
+                self.send_to_holders(owner, messages)?;
             }
             Step::TickHolder { holder } => {
-                let reply = self.holders[holder].on_tick(self.now);
-                self.take(holder, reply);
+                let output = self.holders[holder].on_tick(self.now);
+                self.apply_output(holder, output);
             }
             Step::ChangeOwner { holder, owner } => {
-                self.owner_of[holder] = owner;
-                let sends = self.holders[holder].on_owner_changed(self.now, &self.upstream);
-                self.post(holder, sends);
+                self.owner_by_holder[holder] = owner;
+                let messages = self.holders[holder].on_owner_changed(self.now, &self.upstream);
+                self.send_to_owner(holder, messages);
             }
             Step::Level { owner, lowest } => {
-                self.owners[owner].lowest = lowest;
-                let sends = self.owners[owner].queue.set_lowest_rank(self.now, lowest);
-                self.send(owner, sends)?;
+                self.owners[owner].lowest_rank = lowest;
+                let messages = self.owners[owner].queue.set_lowest_rank(self.now, lowest);
+                self.send_to_holders(owner, messages)?;
             }
             Step::Leave { owner } => {
                 if owner < OWNERS {
                     self.owners[owner].leaving = true;
-                    let sends = self.owners[owner].queue.set_leaving(self.now);
-                    self.send(owner, sends)?;
+                    let messages = self.owners[owner].queue.set_leaving(self.now);
+                    self.send_to_holders(owner, messages)?;
                 }
             }
         }
@@ -397,11 +423,12 @@
     }
 }
 
-/// Messages are lost, late, repeated and overtake each other, processes pause between a grant and
-/// its use, and two instances both think that they own the replica. A caller would notice a
-/// request that runs twice, a booking placed twice, or a low tier served while its own is refused.
+/// Messages are lost, late, duplicated and reordered, processes pause between a grant and its use,
+/// and two instances both act as owner of the replica. Without the safeguards a caller would notice
+/// a request that runs twice, a booking made twice, or a request of a low tier served while one of
+/// a higher tier is refused.
 #[test]
-fn promises_hold_under_any_schedule() {
+fn guarantees_hold_under_any_schedule() {
     let config = Config {
         cases: CASES,
         failure_persistence: None,
@@ -412,15 +439,15 @@
     let dispatched = std::cell::Cell::new(0);
     let schedules = proptest::collection::vec(step(), 200..400);
     let result = runner.run(&schedules, |steps| {
-        let mut world = World::new();
-        steps.iter().try_for_each(|step| world.step(step))?;
-        dispatched.set(dispatched.get() + world.dispatched.len());
+        let mut simulation = Simulation::new();
+        steps.iter().try_for_each(|step| simulation.step(step))?;
+        dispatched.set(dispatched.get() + simulation.dispatched.len());
         Ok(())
     });
     result.unwrap_or_else(|e| panic!("{e}"));
     let mean = dispatched.get() / CASES as usize;
     assert!(
         mean >= 3,
-        "schedules that dispatch {mean} requests each prove little"
+        "schedules dispatch {mean} requests each on average, at least 3 are needed"
     );
 }
