--- a/crates/spec/src/idempotency/events.rs
+++ b/crates/spec/src/idempotency/events.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Variant {
     /// Everything as designed.
-    Whole,
+    Unmodified,
     /// A receiving instance that can't reach the issuer says "not run" without asking.
     NoWitness,
     /// A restarted witness does not check which life the key names.
--- a/crates/spec/src/slots.rs
+++ b/crates/spec/src/slots.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Variant {
     /// Everything as designed.
-    Whole,
+    Unmodified,
     /// The holder does not look at the lease before the first byte.
     NoLease,
     /// Whoever gets a grant dispatches, without a request that is consumed by it.
--- a/crates/spec/tests/idempotency.rs
+++ b/crates/spec/tests/idempotency.rs
@@ -13,7 +13,7 @@
 )]
 fn no_state_of_the_key_breaks_a_promise(calls: usize, faults: usize, least: usize) {
     let explored = explore(
-        KeyModel::new(Variant::Whole, Bounds { calls, faults }),
+        KeyModel::new(Variant::Unmodified, Bounds { calls, faults }),
         MOST,
     );
     println!("idempotency key, {calls} calls, {faults} faults: {explored}");
--- a/crates/spec/tests/schedules.rs
+++ b/crates/spec/tests/schedules.rs
@@ -62,7 +62,7 @@
         faults: 6,
     };
     assert_eq!(
-        run(|| KeyModel::new(idempotency::Variant::Whole, bounds)),
+        run(|| KeyModel::new(idempotency::Variant::Unmodified, bounds)),
         Ok(())
     );
 }
@@ -74,7 +74,7 @@
         faults: 6,
     };
     assert_eq!(
-        run(|| SlotModel::new(slots::Variant::Whole, bounds)),
+        run(|| SlotModel::new(slots::Variant::Unmodified, bounds)),
         Ok(())
     );
 }
--- a/crates/spec/tests/slots.rs
+++ b/crates/spec/tests/slots.rs
@@ -14,7 +14,7 @@
 )]
 fn no_state_dispatches_twice_late_or_after_a_refusal(steps: usize, faults: usize, least: usize) {
     let explored = explore(
-        SlotModel::new(Variant::Whole, Bounds { steps, faults }),
+        SlotModel::new(Variant::Unmodified, Bounds { steps, faults }),
         MOST,
     );
     println!("slots, {steps} steps of time, {faults} faults: {explored}");
