--- a/crates/spec/src/idempotency.rs
+++ b/crates/spec/src/idempotency.rs
@@ -1,9 +1,11 @@
-//! One idempotency key: its issuer, its witness, a second instance and a caller that retries.
+//! Model of one idempotency key: its issuer, its witness, a second instance and a caller that
+//! retries.
 //!
-//! The caller sends the same call up to three times, once at the issuer and twice at the second
-//! instance, whenever it likes. The issuer may crash, restart as a new life, be paused, or leave
-//! and hand over to the second instance; the witness may restart; any wait may end too early; one
-//! message is delivered twice; the clock may pass deadline, expiry and the witness's memory.
+//! The caller sends the same call up to three times at any time, once to the issuer and twice to
+//! the second instance. The issuer may crash, restart as a new incarnation, be paused, or leave and
+//! hand over to the second instance; the witness may restart; any wait for a reply may time out
+//! early; one message may be delivered twice; time may pass the deadline, the lifetime of the key
+//! and the retention of the witness's records.
 
 use std::time::Duration;
 
@@ -17,57 +19,67 @@
 use crate::Model;
 use crate::explore::hash_of;
 
-use events::Told;
+use events::CallResult;
 pub use events::{Action, Bounds, Packet, Variant};
 
 mod events;
 
-/// The caller's patience.
-const DEADLINE: Duration = Duration::from_secs(10);
+/// Time from the arrival of a call at the issuer to its deadline.
+const TIME_TO_DEADLINE: Duration = Duration::from_secs(10);
 
-/// Times at which something changes by time alone: issue, after the deadline of a call sent at
-/// once, after the key's expiry, after the witness forgot.
+/// Times since the issue of the key at which the passing of time alone changes something: the
+/// issue, the deadline of a call sent at once, the end of the key's lifetime, the end of the
+/// retention of records.
 const TIMES: [Duration; 4] = [
     Duration::ZERO,
-    DEADLINE,
+    TIME_TO_DEADLINE,
     KEY_LIFETIME,
     RECORD_RETENTION
-        .saturating_add(DEADLINE)
-        .saturating_add(DEADLINE),
+        .saturating_add(TIME_TO_DEADLINE)
+        .saturating_add(TIME_TO_DEADLINE),
 ];
 
-/// Most calls that the caller sends: the first at the issuer, the others at the second instance.
-const CALLS: usize = 3;
+/// Maximum number of calls: the first goes to the issuer, the others to the second instance.
+const MAX_CALLS: usize = 3;
 
-/// The world of one key.
+/// State of the model.
 #[derive(Debug, Clone, Hash)]
 pub struct KeyModel {
     variant: Variant,
     bounds: Bounds,
     start: Instant,
-    time: usize,
+    /// Index of the current time in [`TIMES`].
+    time_index: usize,
     key: Key,
+    /// `None` after a crash.
     issuer: Option<KeyIssuer>,
     restarted: bool,
     witness: Witness,
     witness_restarted: bool,
-    /// The second instance's own memory, into which a leaver hands over.
-    second: KeyIssuer,
-    handed: Vec<EndedKeyRecord>,
-    forward: Option<WitnessRequest>,
-    receivers: [Option<Receiver>; CALLS],
-    /// Calls that wait for an answer of the issuer.
-    joined: Vec<usize>,
-    told: [Told; CALLS],
+    /// The second instance's own state, which also stores the records that are handed over to it.
+    second_instance: KeyIssuer,
+    /// Records that the issuer handed over when it left.
+    handed_over: Vec<EndedKeyRecord>,
+    /// The issuer's notice to the witness after its handover.
+    forward_request: Option<WitnessRequest>,
+    /// Calls at the second instance.
+    receivers: [Option<Receiver>; MAX_CALLS],
+    /// Calls that wait for a reply of the issuer.
+    joined_calls: Vec<usize>,
+    /// What the caller knows of each call.
+    results: [CallResult; MAX_CALLS],
+    /// Messages in flight, sorted by hash.
     packets: Vec<Packet>,
-    /// When the issuer took the call that it queued; the deadline counts from there.
-    taken: usize,
+    /// Index in [`TIMES`] at which the issuer queued the call; its deadline is counted from there.
+    queued_at: usize,
+    /// Number of times that the call was dispatched.
     runs: usize,
-    late: bool,
+    /// Whether it was dispatched after its deadline.
+    dispatched_late: bool,
 }
 
 impl KeyModel {
-    /// Makes the world in which the key was just issued.
+    /// Creates the state right after the key was issued.
     pub fn new(variant: Variant, bounds: Bounds) -> Self {
         let start = Instant::now();
         let mut issuer = KeyIssuer::new("issuer".into(), 1, start);
@@ -81,38 +93,38 @@
             variant,
             bounds,
             start,
-            time: 0,
+            time_index: 0,
             key,
             issuer: Some(issuer),
             restarted: false,
             witness: Witness::new(7),
             witness_restarted: false,
-            second: KeyIssuer::new("second".into(), 3, start),
-            handed: Vec::new(),
-            forward: None,
-            receivers: [const { None }; CALLS],
-            joined: Vec::new(),
-            told: [const { Told::Nothing }; CALLS],
+            second_instance: KeyIssuer::new("second".into(), 3, start),
+            handed_over: Vec::new(),
+            forward_request: None,
+            receivers: [const { None }; MAX_CALLS],
+            joined_calls: Vec::new(),
+            results: [const { CallResult::NotSent }; MAX_CALLS],
             packets: Vec::new(),
-            taken: 0,
+            queued_at: 0,
             runs: 0,
-            late: false,
+            dispatched_late: false,
         }
     }
 
     fn now(&self) -> Instant {
-        self.start + TIMES[self.time]
+        self.start + TIMES[self.time_index]
     }
 
-    fn post(&mut self, packet: Packet) {
+    fn put_in_flight(&mut self, packet: Packet) {
         let at = (self.packets).partition_point(|p| hash_of(p) < hash_of(&packet));
         self.packets.insert(at, packet);
     }
 
     fn send(&mut self, call: usize) {
-        self.told[call] = Told::Waits;
+        self.results[call] = CallResult::Pending;
         if call == 0 {
-            self.post(Packet::Call { call });
+            self.put_in_flight(Packet::Call { call });
             return;
         }
         let started = Receiver::start(self.key.clone(), None);
@@ -122,97 +134,103 @@
 
     fn step(&mut self, call: usize, step: ReceiverStep) {
         match step {
-            ReceiverStep::Forward { .. } => self.post(Packet::Call { call }),
+            ReceiverStep::Forward { .. } => self.put_in_flight(Packet::Call { call }),
             ReceiverStep::LookUp { .. } => {
-                let known = self.second.adopted_outcome(self.now(), &self.key.id());
-                let answer = known.map_or(IssuerReply::NotHere, IssuerReply::Outcome);
-                self.answer(call, answer);
+                let known = self
+                    .second_instance
+                    .adopted_outcome(self.now(), &self.key.id());
+                let reply = known.map_or(IssuerReply::NotHere, IssuerReply::Outcome);
+                self.on_issuer_reply(call, reply);
             }
             ReceiverStep::Close { .. } if self.variant == Variant::NoWitness => {
-                self.tell(call, &KeyOutcome::NotRun(NotRun::Closed));
+                self.record_outcome(call, &KeyOutcome::NotRun(NotRun::Closed));
             }
-            ReceiverStep::Close { .. } => self.post(Packet::Close { call }),
-            ReceiverStep::Answer(outcome) => self.tell(call, &outcome),
-            ReceiverStep::Refuse => self.told[call] = Told::Refused,
+            ReceiverStep::Close { .. } => self.put_in_flight(Packet::CloseRequest { call }),
+            ReceiverStep::Answer(outcome) => self.record_outcome(call, &outcome),
+            ReceiverStep::Refuse => self.results[call] = CallResult::Refused,
         }
     }
 
-    fn answer(&mut self, call: usize, answer: IssuerReply) {
+    fn on_issuer_reply(&mut self, call: usize, reply: IssuerReply) {
         if let Some(receiver) = &mut self.receivers[call] {
-            if let Some(step) = receiver.on_issuer_reply(answer) {
+            if let Some(step) = receiver.on_issuer_reply(reply) {
                 self.step(call, step);
             }
             return;
         }
-        match answer {
-            IssuerReply::Outcome(outcome) => self.tell(call, &outcome),
-            IssuerReply::Refused => self.told[call] = Told::Refused,
-            IssuerReply::Moved { .. } | IssuerReply::NotHere => self.told[call] = Told::Broken,
+        match reply {
+            IssuerReply::Outcome(outcome) => self.record_outcome(call, &outcome),
+            IssuerReply::Refused => self.results[call] = CallResult::Refused,
+            IssuerReply::Moved { .. } | IssuerReply::NotHere => {
+                self.results[call] = CallResult::ConnectionBroken;
+            }
         }
     }
 
-    fn tell(&mut self, call: usize, outcome: &KeyOutcome) {
-        if self.told[call] != Told::Waits {
+    fn record_outcome(&mut self, call: usize, outcome: &KeyOutcome) {
+        if self.results[call] != CallResult::Pending {
             return;
         }
-        self.told[call] = match outcome {
-            KeyOutcome::Ran { .. } => Told::Ran,
-            KeyOutcome::Unknown { .. } => Told::Unknown,
-            KeyOutcome::NotRun(NotRun::Late | NotRun::Full | NotRun::Mismatch) => Told::Refused,
-            KeyOutcome::NotRun(_) => Told::NeverRuns,
+        self.results[call] = match outcome {
+            KeyOutcome::Ran { .. } => CallResult::Ran,
+            KeyOutcome::Unknown { .. } => CallResult::Unknown,
+            KeyOutcome::NotRun(NotRun::Late | NotRun::Full | NotRun::Mismatch) => {
+                CallResult::Refused
+            }
+            KeyOutcome::NotRun(_) => CallResult::NeverRuns,
         };
     }
 
-    fn call_arrives(&mut self, call: usize) {
+    fn on_call(&mut self, call: usize) {
         let (now, key) = (self.now(), self.key.clone());
         let Some(issuer) = &mut self.issuer else {
             return;
         };
-        let terms = CallAttempt {
+        let attempt = CallAttempt {
             id: call.to_string().into(),
             hash: 1,
-            deadline: now + DEADLINE,
+            deadline: now + TIME_TO_DEADLINE,
         };
-        match issuer.on_use(now, &key, terms) {
+        match issuer.on_use(now, &key, attempt) {
             UseDecision::First => {
-                self.taken = self.time;
-                self.joined.push(call);
+                self.queued_at = self.time_index;
+                self.joined_calls.push(call);
             }
-            UseDecision::Join => self.joined.push(call),
-            UseDecision::Answer(answer) => self.post(Packet::Answer { call, answer }),
+            UseDecision::Join => self.joined_calls.push(call),
+            UseDecision::Answer(reply) => self.put_in_flight(Packet::Reply { call, reply }),
         }
     }
 
-    /// Answers everybody who waits for the issuer.
-    fn answer_joined(&mut self, answer: &IssuerReply) {
-        for call in std::mem::take(&mut self.joined) {
-            let answer = answer.clone();
-            self.post(Packet::Answer { call, answer });
+    /// Sends the issuer's reply to all calls that wait for it.
+    fn reply_to_joined(&mut self, reply: &IssuerReply) {
+        for call in std::mem::take(&mut self.joined_calls) {
+            let reply = reply.clone();
+            self.put_in_flight(Packet::Reply { call, reply });
         }
     }
 
     fn not_run(&mut self, why: NotRun) {
-        self.answer_joined(&IssuerReply::Outcome(KeyOutcome::NotRun(why)));
+        self.reply_to_joined(&IssuerReply::Outcome(KeyOutcome::NotRun(why)));
     }
 
-    fn ask(&mut self) {
+    fn request_permission(&mut self) {
         let (now, sequence) = (self.now(), self.key.sequence);
         let Some(issuer) = &mut self.issuer else {
             return;
         };
         match issuer.request_permission(now, sequence, &"replica".into()) {
-            Permission::AskWitness { .. } => self.post(Packet::Permit),
+            Permission::AskWitness { .. } => self.put_in_flight(Packet::PermitRequest),
             Permission::Granted => {}
             Permission::NotRun(why) => self.not_run(why),
         }
     }
 
-    fn permission_arrives(&mut self, answer: Option<&WitnessReply>) {
+    fn on_permit_reply(&mut self, reply: Option<&WitnessReply>) {
         let sequence = self.key.sequence;
         let Some(issuer) = &mut self.issuer else {
             return;
         };
-        if let Err(why) = issuer.on_witness_reply(sequence, answer) {
+        if let Err(why) = issuer.on_witness_reply(sequence, reply) {
             self.not_run(why);
         }
     }
@@ -230,36 +248,36 @@
         match issuer.dispatch(now, sequence) {
             Ok(_) => {
                 self.runs += 1;
-                self.late |= self.time > self.taken;
+                self.dispatched_late |= self.time_index > self.queued_at;
             }
             Err(why) => self.not_run(why),
         }
     }
 
-    fn finish(&mut self, answer: Option<StoredResponse>) {
+    fn finish(&mut self, response: Option<StoredResponse>) {
         let sequence = self.key.sequence;
         let outcome = self
             .issuer
             .as_mut()
-            .and_then(|issuer| issuer.finish(sequence, answer));
+            .and_then(|issuer| issuer.finish(sequence, response));
         if let Some(outcome) = outcome {
-            self.answer_joined(&IssuerReply::Outcome(outcome));
+            self.reply_to_joined(&IssuerReply::Outcome(outcome));
         }
     }
 
     fn shed(&mut self) {
         let sequence = self.key.sequence;
-        let answer = self.issuer.as_mut().and_then(|i| i.refuse(sequence));
-        if let Some(answer) = answer {
-            self.answer_joined(&answer);
+        let reply = self.issuer.as_mut().and_then(|i| i.refuse(sequence));
+        if let Some(reply) = reply {
+            self.reply_to_joined(&reply);
         }
     }
 
     fn crash(&mut self) {
         self.issuer = None;
-        self.joined.clear();
-        if self.told[0] == Told::Waits {
-            self.told[0] = Told::Broken;
+        self.joined_calls.clear();
+        if self.results[0] == CallResult::Pending {
+            self.results[0] = CallResult::ConnectionBroken;
         }
     }
 
@@ -267,18 +285,18 @@
         let Some(issuer) = &mut self.issuer else {
             return;
         };
-        let handed = issuer.hand_over_ended(&"second".into());
-        self.handed = handed.records.into_iter().flatten().collect();
-        self.forward = handed.notices.into_iter().next().map(|f| f.message);
-        let ended = self.handed.first().map(|h| h.outcome.clone());
+        let handover = issuer.hand_over_ended(&"second".into());
+        self.handed_over = handover.records.into_iter().flatten().collect();
+        self.forward_request = handover.notices.into_iter().next().map(|f| f.message);
+        let ended = self.handed_over.first().map(|h| h.outcome.clone());
         if let Some(outcome) = ended {
-            self.answer_joined(&IssuerReply::Outcome(outcome));
-            self.post(Packet::HandOver);
-            self.post(Packet::Forward);
+            self.reply_to_joined(&IssuerReply::Outcome(outcome));
+            self.put_in_flight(Packet::EndedKeys);
+            self.put_in_flight(Packet::ForwardNotice);
         }
     }
 
-    fn ask_witness(&mut self, message: &WitnessRequest) -> WitnessReply {
+    fn send_to_witness(&mut self, message: &WitnessRequest) -> WitnessReply {
         let now = self.now();
         self.witness.on_message(now, message)
     }
@@ -292,50 +310,47 @@
 
     fn deliver(&mut self, packet: &Packet) {
         match packet {
-            Packet::Call { call } => self.call_arrives(*call),
-            Packet::Answer { call, answer } => self.answer(*call, answer.clone()),
-            Packet::Permit => {
+            Packet::Call { call } => self.on_call(*call),
+            Packet::Reply { call, reply } => self.on_issuer_reply(*call, reply.clone()),
+            Packet::PermitRequest => {
                 let message = WitnessRequest::Permit {
                     key: self.key.id(),
                     witness: self.incarnation(),
                     upstream: "replica".into(),
                 };
-                let answer = self.ask_witness(&message);
-                self.post(Packet::Permission { answer });
+                let reply = self.send_to_witness(&message);
+                self.put_in_flight(Packet::PermitReply { reply });
             }
-            Packet::Permission { answer } => self.permission_arrives(Some(answer)),
-            Packet::Close { call } => {
+            Packet::PermitReply { reply } => self.on_permit_reply(Some(reply)),
+            Packet::CloseRequest { call } => {
                 let message = WitnessRequest::Close {
                     key: self.key.id(),
                     witness: self.incarnation(),
                 };
-                let answer = self.ask_witness(&message);
-                self.post(Packet::Closing {
-                    call: *call,
-                    answer,
-                });
+                let reply = self.send_to_witness(&message);
+                self.put_in_flight(Packet::CloseReply { call: *call, reply });
             }
-            Packet::Closing { call, answer } => {
+            Packet::CloseReply { call, reply } => {
                 let step = self.receivers[*call]
                     .as_mut()
-                    .and_then(|r| r.on_witness_reply(answer.clone()));
+                    .and_then(|r| r.on_witness_reply(reply.clone()));
                 if let Some(step) = step {
                     self.step(*call, step);
                 }
             }
-            Packet::HandOver => {
-                let (now, handed) = (self.now(), self.handed.clone());
-                self.second.adopt(now, &handed);
+            Packet::EndedKeys => {
+                let (now, records) = (self.now(), self.handed_over.clone());
+                self.second_instance.adopt(now, &records);
             }
-            Packet::Forward => {
-                if let Some(message) = self.forward.clone() {
-                    self.ask_witness(&message);
+            Packet::ForwardNotice => {
+                if let Some(message) = self.forward_request.clone() {
+                    self.send_to_witness(&message);
                 }
             }
         }
     }
 
-    fn take(&mut self, packet: &Packet, again: bool) {
+    fn deliver_packet(&mut self, packet: &Packet, again: bool) {
         if again {
             self.bounds.faults -= 1;
         } else if let Some(at) = self.packets.iter().position(|p| p == packet) {
@@ -344,11 +359,11 @@
         self.deliver(packet);
     }
 
-    fn wait_ends(&mut self, call: usize) {
+    fn on_receiver_timeout(&mut self, call: usize) {
         if self.variant == Variant::HashedOwner {
-            // It takes itself for the owner now.
+            // The second instance now acts as the owner of the key.
             self.runs += 1;
-            self.told[call] = Told::Ran;
+            self.results[call] = CallResult::Ran;
             return;
         }
         let step = self.receivers[call]
@@ -368,15 +383,15 @@
         }
         if self.bounds.faults > 0 {
             actions.push(Action::Crash);
-            if self.handed.is_empty() && self.phase().is_some() {
+            if self.handed_over.is_empty() && self.phase().is_some() {
                 actions.push(Action::Leave);
             }
         }
         match self.phase() {
-            Some(KeyPhase::Waiting) => actions.extend([Action::Shed, Action::Ask]),
-            Some(KeyPhase::Asking) => actions.push(Action::WitnessWaitEnds),
+            Some(KeyPhase::Waiting) => actions.extend([Action::Shed, Action::RequestPermission]),
+            Some(KeyPhase::Asking) => actions.push(Action::WitnessTimeout),
             Some(KeyPhase::Permitted) => actions.push(Action::Dispatch),
-            Some(KeyPhase::Running) => actions.extend([Action::Finish, Action::Break]),
+            Some(KeyPhase::Running) => actions.extend([Action::Finish, Action::BreakConnection]),
             Some(KeyPhase::Refused | KeyPhase::Done) | None => {}
         }
     }
@@ -389,21 +404,21 @@
         issuer.phase(self.key.sequence)
     }
 
-    /// Drops what can't change anything any more, so that fewer states differ.
+    /// Drops what has no further effect, which reduces the number of distinct states.
     fn prune(&mut self) {
-        for call in 0..CALLS {
-            if self.told[call] != Told::Waits {
+        for call in 0..MAX_CALLS {
+            if self.results[call] != CallResult::Pending {
                 self.receivers[call] = None;
             }
         }
         let asking = self.phase() == Some(KeyPhase::Asking);
-        let waits = self.told.clone().map(|t| t == Told::Waits);
+        let waits = self.results.clone().map(|t| t == CallResult::Pending);
         self.packets.retain(|packet| match packet {
-            Packet::Answer { call, .. } | Packet::Closing { call, .. } => waits[*call],
-            Packet::Permission { .. } => asking,
+            Packet::Reply { call, .. } | Packet::CloseReply { call, .. } => waits[*call],
+            Packet::PermitReply { .. } => asking,
             _ => true,
         });
-        self.joined.retain(|call| waits[*call]);
+        self.joined_calls.retain(|call| waits[*call]);
     }
 }
 
@@ -413,20 +428,20 @@
     fn actions(&self) -> Vec<Action> {
         let mut actions = Vec::new();
         for call in 0..self.bounds.calls {
-            // The second call at one instance goes out after the first there.
-            let next = call < 2 || self.told[call - 1] != Told::Nothing;
-            if self.told[call] == Told::Nothing && next {
-                actions.push(Action::Send(call));
+            // The second call to the second instance is sent after the first.
+            let next = call < 2 || self.results[call - 1] != CallResult::NotSent;
+            if self.results[call] == CallResult::NotSent && next {
+                actions.push(Action::SendCall(call));
             }
-            if self.receivers[call].is_some() && self.told[call] == Told::Waits {
-                actions.push(Action::WaitEnds(call));
+            if self.receivers[call].is_some() && self.results[call] == CallResult::Pending {
+                actions.push(Action::ReceiverTimeout(call));
             }
         }
         let mut packets = self.packets.clone();
         packets.dedup();
         for packet in packets {
             if self.bounds.faults > 0 {
-                actions.push(Action::Repeat(packet.clone()));
+                actions.push(Action::Duplicate(packet.clone()));
             }
             actions.push(Action::Deliver(packet));
         }
@@ -434,20 +449,20 @@
         if !self.witness_restarted && self.bounds.faults > 0 {
             actions.push(Action::RestartWitness);
         }
-        if self.time + 1 < TIMES.len() {
-            actions.push(Action::Pass);
+        if self.time_index + 1 < TIMES.len() {
+            actions.push(Action::AdvanceTime);
         }
         actions
     }
 
     fn apply(&mut self, action: &Action) {
         match action {
-            Action::Send(call) => self.send(*call),
-            Action::Deliver(packet) => self.take(packet, false),
-            Action::Repeat(packet) => self.take(packet, true),
-            Action::WaitEnds(call) => self.wait_ends(*call),
-            Action::Ask => self.ask(),
-            Action::WitnessWaitEnds => self.permission_arrives(None),
+            Action::SendCall(call) => self.send(*call),
+            Action::Deliver(packet) => self.deliver_packet(packet, false),
+            Action::Duplicate(packet) => self.deliver_packet(packet, true),
+            Action::ReceiverTimeout(call) => self.on_receiver_timeout(*call),
+            Action::RequestPermission => self.request_permission(),
+            Action::WitnessTimeout => self.on_permit_reply(None),
             Action::Shed => self.shed(),
             Action::Dispatch => self.dispatch(),
             Action::Finish => self.finish(Some(StoredResponse {
@@ -455,7 +470,7 @@
                 content_type: None,
                 body: Vec::new(),
             })),
-            Action::Break => self.finish(None),
+            Action::BreakConnection => self.finish(None),
             Action::Crash => {
                 self.bounds.faults -= 1;
                 self.crash();
@@ -473,9 +488,9 @@
                 self.bounds.faults -= 1;
                 self.leave();
             }
-            Action::Pass => {
-                self.time += 1;
-                if self.variant == Variant::NoMemory && self.time == TIMES.len() - 1 {
+            Action::AdvanceTime => {
+                self.time_index += 1;
+                if self.variant == Variant::NoDropTracking && self.time_index == TIMES.len() - 1 {
                     self.witness = Witness::new(7);
                 }
             }
@@ -489,17 +504,17 @@
 
     fn broken(&self) -> Option<&'static str> {
         let ran = self.runs > 0;
-        let sent = self.told.iter().filter(|t| **t != Told::Nothing);
-        let mut told = sent.clone();
+        let sent = self.results.iter().filter(|t| **t != CallResult::NotSent);
+        let mut sent_results = sent.clone();
         if self.runs > 1 {
             Some("a non-idempotent call ran twice")
-        } else if ran && self.told.contains(&Told::NeverRuns) {
-            Some("a call that was told \"not run\" ran")
-        } else if ran && told.all(|t| *t == Told::Refused) {
+        } else if ran && self.results.contains(&CallResult::NeverRuns) {
+            Some("a call that was answered \"not run\" ran")
+        } else if ran && sent_results.all(|t| *t == CallResult::Refused) {
             Some("every call was refused as \"not run\" and one ran")
-        } else if !ran && self.told.contains(&Told::Ran) {
-            Some("a call was told that it ran and did not")
-        } else if self.late {
+        } else if !ran && self.results.contains(&CallResult::Ran) {
+            Some("a call was answered as having run and did not run")
+        } else if self.dispatched_late {
             Some("a call was dispatched after its caller's deadline")
         } else {
             None
--- a/crates/spec/src/idempotency/events.rs
+++ b/crates/spec/src/idempotency/events.rs
@@ -1,125 +1,125 @@
-//! What may happen in the world of one key, and how much of it.
+//! Events in the model of one key, and their bounds.
 
 use kingcupfield_decisions::idempotency::{IssuerReply, WitnessReply};
 
-/// How much may happen in one world. All of it at once is beyond reach, so several worlds are
-/// explored, each rich in one respect.
+/// Maximum number of events in one exploration. All combined exceed what can be explored, so
+/// several explorations each allow many of one kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Bounds {
-    /// Calls that the caller sends, up to three.
+    /// Number of calls that the caller sends, up to three.
     pub calls: usize,
-    /// Crashes, restarts of the witness, hand-overs and repeated messages, together.
+    /// Number of crashes, restarts of the witness, handovers and duplicate messages, together.
     pub faults: usize,
 }
 
-/// A safeguard that is taken out.
+/// The protocol, or the protocol without one of its safeguards.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Variant {
-    /// Everything as designed.
+    /// The protocol as designed.
     Unmodified,
-    /// A receiving instance that can't reach the issuer says "not run" without asking.
+    /// An instance that can't reach the issuer answers "not run" without asking the witness.
     NoWitness,
-    /// A restarted witness does not check which life the key names.
+    /// A restarted witness doesn't check which incarnation the key names.
     NoIncarnation,
-    /// The witness forgets without a trace what it permitted.
-    NoMemory,
-    /// A paused issuer does not look at the clock before the first byte.
+    /// The witness drops records of permitted keys without remembering that it did.
+    NoDropTracking,
+    /// A paused issuer doesn't check the deadline before the first byte.
     NoDeadline,
-    /// The key's owner is whoever a receiving instance thinks lives, as with keys that callers
-    /// choose and that are hashed to an owner.
+    /// Each instance acts as owner of the key if it believes the others dead, as with keys that
+    /// callers choose and that are hashed to an owner.
     HashedOwner,
 }
 
-/// A message under way.
+/// A message in flight.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Packet {
-    /// A call to the issuer.
+    /// A call, sent to the issuer.
     Call {
-        /// Its number.
+        /// Index of the call.
         call: usize,
     },
-    /// The issuer's answer to a call.
-    Answer {
-        /// The call's number.
+    /// The issuer's reply to a call.
+    Reply {
+        /// Index of the call.
         call: usize,
-        /// What the issuer says.
-        answer: IssuerReply,
+        /// The reply.
+        reply: IssuerReply,
     },
-    /// The issuer's question to the witness.
-    Permit,
-    /// The witness's answer to the issuer.
-    Permission {
-        /// What the witness says.
-        answer: WitnessReply,
+    /// The issuer's request for permission, sent to the witness.
+    PermitRequest,
+    /// The witness's reply to the issuer.
+    PermitReply {
+        /// The reply.
+        reply: WitnessReply,
     },
-    /// A receiving instance's wish to close the key.
-    Close {
-        /// Number of the call that waits for it.
+    /// A receiving instance's request to close the key, sent to the witness.
+    CloseRequest {
+        /// Index of the call that waits for the reply.
         call: usize,
     },
-    /// The witness's answer to a receiving instance.
-    Closing {
-        /// The call's number.
+    /// The witness's reply to a receiving instance.
+    CloseReply {
+        /// Index of the call.
         call: usize,
-        /// What the witness says.
-        answer: WitnessReply,
+        /// The reply.
+        reply: WitnessReply,
     },
-    /// The leaver's records.
-    HandOver,
-    /// The leaver's word to the witness.
-    Forward,
+    /// Records of ended keys from the leaving issuer.
+    EndedKeys,
+    /// The leaving issuer's notice to the witness.
+    ForwardNotice,
 }
 
 /// What the caller knows of one of its calls.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(super) enum Told {
-    /// Not sent.
-    Nothing,
-    /// Sent.
-    Waits,
+pub(super) enum CallResult {
+    /// The call was not sent.
+    NotSent,
+    /// The call was sent and has no answer.
+    Pending,
     /// The connection broke.
-    Broken,
-    /// It was refused as not run, by a word about this call alone.
+    ConnectionBroken,
+    /// The call was refused as "not run"; the key may still run.
     Refused,
-    /// It was told that the key never runs.
+    /// The answer was that the key never runs.
     NeverRuns,
-    /// It ran.
+    /// The answer was that the call ran.
     Ran,
-    /// It may have run.
+    /// The answer was that the call may have run.
     Unknown,
 }
 
-/// What may happen.
+/// An event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
-    /// The caller sends the call (again).
-    Send(usize),
+    /// The caller sends the call.
+    SendCall(usize),
     /// A message arrives.
     Deliver(Packet),
-    /// A message arrives and will arrive again.
-    Repeat(Packet),
-    /// A receiving instance waits no longer.
-    WaitEnds(usize),
-    /// The issuer has a slot and asks the witness.
-    Ask,
-    /// The issuer waits no longer for the witness.
-    WitnessWaitEnds,
-    /// The issuer sheds the call before it asked.
+    /// A message arrives and stays in flight.
+    Duplicate(Packet),
+    /// A receiving instance stops waiting for a reply.
+    ReceiverTimeout(usize),
+    /// The issuer has a slot for the call and asks the witness.
+    RequestPermission,
+    /// The issuer stops waiting for the witness.
+    WitnessTimeout,
+    /// The issuer sheds the call before it asks the witness.
     Shed,
-    /// The first byte goes out.
+    /// The issuer sends the first byte to the upstream.
     Dispatch,
-    /// The upstream has answered.
+    /// The upstream's response is complete.
     Finish,
-    /// The stream broke for good.
-    Break,
-    /// The issuer's process dies.
+    /// The connection to the upstream breaks and the result is unknown.
+    BreakConnection,
+    /// The issuer's process crashes.
     Crash,
-    /// It comes back as a new life.
+    /// The issuer restarts as a new incarnation.
     Restart,
-    /// The witness restarts as a new life.
+    /// The witness restarts as a new incarnation.
     RestartWitness,
     /// The issuer leaves gracefully.
     Leave,
-    /// Time passes.
-    Pass,
+    /// Time advances to the next of the model's times.
+    AdvanceTime,
 }
