--- a/crates/spec/src/slots.rs
+++ b/crates/spec/src/slots.rs
@@ -1,9 +1,9 @@
-//! One request, its holder, and two instances that both take themselves for the replica's owner.
+//! Model of one request, its holder, and two instances that both act as owner of the replica.
 //!
-//! The holder changes its mind about who the owner is, its caller may give up, its connection may
-//! fail before the first byte, it may be paused with a grant in its hands; messages wait, cross,
-//! come twice or never; an owner is replaced by one that knows nothing; time passes in halves of
-//! a grant's lease.
+//! The holder may change which of them it believes to be the owner, its caller may give up, its
+//! connection may fail before the first byte, and it may be paused with an unused grant. Messages
+//! may be delayed, reordered, duplicated or lost; an owner may be replaced by one without state;
+//! time advances in steps of half a grant's lease.
 
 use std::time::Duration;
 
@@ -18,38 +18,39 @@
 
 use crate::Model;
 
-/// Time that passes at once.
-const STEP: Duration = GRANT_LEASE.checked_div(2).expect("two is not zero");
+/// Time by which one step advances the clock.
+const TIME_STEP: Duration = GRANT_LEASE.checked_div(2).expect("two is not zero");
 
-/// Most messages under way at once; a further one is lost.
-const MOST_PACKETS: usize = 2;
+/// Maximum number of messages in flight; a further one is lost.
+const MAX_PACKETS: usize = 2;
 
-/// A safeguard that is taken out.
+/// The protocol, or the protocol without one of its safeguards.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Variant {
-    /// Everything as designed.
+    /// The protocol as designed.
     Unmodified,
-    /// The holder does not look at the lease before the first byte.
+    /// The holder doesn't check the lease before the first byte.
     NoLease,
-    /// Whoever gets a grant dispatches, without a request that is consumed by it.
+    /// Each grant that arrives leads to a dispatch, also for a request that was dispatched already.
     NoHolder,
 }
 
-/// How often something may happen in one world.
+/// Maximum number of events in one exploration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bounds {
-    /// Steps of time.
+    /// Number of steps of time.
     pub steps: usize,
-    /// Changes of mind, repeated messages, new owners and failed connections, together.
+    /// Number of owner changes, duplicate messages, replaced owners and failed connections,
+    /// together.
     pub faults: usize,
 }
 
-/// A message under way.
+/// A message in flight.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Packet {
     /// To an owner.
     ToOwner {
-        /// Which of the two.
+        /// Index of the owner, 0 or 1.
         owner: usize,
         /// The message.
         message: ToOwner,
@@ -61,36 +62,36 @@
     },
 }
 
-/// What may happen.
+/// An event.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// The request arrives and is reserved.
     Reserve,
     /// A message arrives.
     Deliver(Packet),
-    /// A message arrives and will arrive again.
-    Repeat(Packet),
-    /// The holder does what it was told by a grant.
+    /// A message arrives and stays in flight.
+    Duplicate(Packet),
+    /// The holder dispatches the request after a grant.
     Dispatch,
-    /// The upstream has answered.
+    /// The upstream's response is complete.
     Finish,
-    /// The connection failed before the first byte.
+    /// The connection fails before the first byte.
     ConnectFails,
     /// The caller gives up.
-    GiveUp,
-    /// The holder takes the other instance for the owner.
+    Abandon,
+    /// The holder believes the other instance to be the owner.
     ChangeOwner,
-    /// An owner is replaced by one that knows nothing.
+    /// An owner is replaced by one without state.
     ReplaceOwner(usize),
-    /// The holder looks at the clock.
+    /// The holder's timer fires.
     HolderTick,
-    /// An owner looks at the clock.
+    /// An owner's timer fires.
     OwnerTick(usize),
-    /// Time passes.
-    Pass,
+    /// Time advances by one step.
+    AdvanceTime,
 }
 
-/// The world of one request.
+/// State of the model.
 #[derive(Debug, Clone)]
 pub struct SlotModel {
     variant: Variant,
@@ -98,16 +99,20 @@
     now: Instant,
     holder: Holder,
     owners: [SlotQueue; 2],
-    view: usize,
+    /// Index of the owner to which the holder sends its messages.
+    believed_owner: usize,
     packets: Vec<Packet>,
     reserved: bool,
-    /// A grant's order to dispatch that was not carried out yet, and when it came.
-    ordered: Option<Instant>,
-    /// When the holder last sent a number that a grant may answer.
-    asked: Instant,
+    /// When the grant arrived that the holder has not used yet.
+    granted_at: Option<Instant>,
+    /// When the holder last sent a sequence number that a grant may answer.
+    last_asked_at: Instant,
     running: bool,
-    sent: usize,
-    told_not_run: bool,
+    /// Number of dispatches, without those whose connection failed.
+    dispatch_count: usize,
+    /// Whether the caller was answered "not run" or gave up.
+    answered_not_run: bool,
+    /// The first guarantee that was broken.
     broken: Option<&'static str>,
 }
 
@@ -129,7 +134,7 @@
 }
 
 impl SlotModel {
-    /// Makes the world before the request arrives.
+    /// Creates the state before the request arrives.
     pub fn new(variant: Variant, bounds: Bounds) -> Self {
         let now = Instant::now();
         Self {
@@ -138,50 +143,53 @@
             now,
             holder: Holder::new(name(), 1),
             owners: [owner(now), owner(now)],
-            view: 0,
+            believed_owner: 0,
             packets: Vec::new(),
             reserved: false,
-            ordered: None,
-            asked: now,
+            granted_at: None,
+            last_asked_at: now,
             running: false,
-            sent: 0,
-            told_not_run: false,
+            dispatch_count: 0,
+            answered_not_run: false,
             broken: None,
         }
     }
 
-    fn post(&mut self, packet: Packet) {
-        if self.packets.len() < MOST_PACKETS && !self.packets.contains(&packet) {
+    fn put_in_flight(&mut self, packet: Packet) {
+        if self.packets.len() < MAX_PACKETS && !self.packets.contains(&packet) {
             self.packets.push(packet);
             self.packets.sort_by_cached_key(|p| format!("{p:?}"));
         }
     }
 
-    fn post_asks(&mut self, asks: Vec<OwnerEnvelope>) {
-        for ask in asks {
-            if matches!(ask.message, ToOwner::Reserve(_) | ToOwner::Renew { .. }) {
-                self.asked = self.now;
+    fn send_to_owner(&mut self, envelopes: Vec<OwnerEnvelope>) {
+        for envelope in envelopes {
+            if matches!(
+                envelope.message,
+                ToOwner::Reserve(_) | ToOwner::Renew { .. }
+            ) {
+                self.last_asked_at = self.now;
             }
-            let (owner, message) = (self.view, ask.message);
-            self.post(Packet::ToOwner { owner, message });
+            let (owner, message) = (self.believed_owner, envelope.message);
+            self.put_in_flight(Packet::ToOwner { owner, message });
         }
     }
 
-    fn post_sends(&mut self, sends: Vec<HolderEnvelope>) {
-        for send in sends {
-            let message = send.message;
-            self.post(Packet::ToHolder { message });
+    fn send_to_holder(&mut self, envelopes: Vec<HolderEnvelope>) {
+        for envelope in envelopes {
+            let message = envelope.message;
+            self.put_in_flight(Packet::ToHolder { message });
         }
     }
 
-    fn take(&mut self, reply: HolderOutput) {
-        for action in reply.actions {
+    fn apply_output(&mut self, output: HolderOutput) {
+        for action in output.actions {
             match action {
-                HolderAction::Dispatch { .. } => self.ordered = Some(self.now),
-                HolderAction::Refuse { .. } => self.told_not_run = true,
+                HolderAction::Dispatch { .. } => self.granted_at = Some(self.now),
+                HolderAction::Refuse { .. } => self.answered_not_run = true,
             }
         }
-        self.post_asks(reply.messages);
+        self.send_to_owner(output.messages);
     }
 
     fn reserve(&mut self) {
@@ -197,71 +205,71 @@
             time_left: Duration::from_secs(30),
             asked: 0,
         };
-        let reply = self.holder.reserve(self.now, reservation, &[replica()]);
-        self.take(reply);
+        let output = self.holder.reserve(self.now, reservation, &[replica()]);
+        self.apply_output(output);
     }
 
     fn deliver(&mut self, packet: &Packet) {
         match packet {
             Packet::ToOwner { owner, message } => {
-                let sends = self.owners[*owner].on_message(self.now, &name(), message.clone());
-                self.post_sends(sends);
+                let envelopes = self.owners[*owner].on_message(self.now, &name(), message.clone());
+                self.send_to_holder(envelopes);
             }
             Packet::ToHolder { message } => {
                 if self.variant == Variant::NoHolder && matches!(message, ToHolder::Grant { .. }) {
-                    self.first_byte();
+                    self.count_dispatch();
                 }
-                let reply = self
+                let output = self
                     .holder
                     .on_message(self.now, &replica(), message.clone());
-                self.take(reply);
+                self.apply_output(output);
             }
         }
     }
 
     fn dispatch(&mut self) {
-        let Some(ordered) = self.ordered.take() else {
+        let Some(granted_at) = self.granted_at.take() else {
             return;
         };
         let now = match self.variant {
-            Variant::NoLease => ordered,
+            Variant::NoLease => granted_at,
             _ => self.now,
         };
         if let Ok(dispatch) = self.holder.dispatch(now, &request()) {
-            self.first_byte();
-            self.post_asks(dispatch.messages);
+            self.count_dispatch();
+            self.send_to_owner(dispatch.messages);
         }
     }
 
-    fn first_byte(&mut self) {
-        self.sent += 1;
+    fn count_dispatch(&mut self) {
+        self.dispatch_count += 1;
         self.running = true;
-        if self.sent > 1 {
+        if self.dispatch_count > 1 {
             self.broken = Some("a request was dispatched twice");
-        } else if self.told_not_run {
-            self.broken = Some("a request that was told \"not run\" was dispatched");
-        } else if self.now >= self.asked + GRANT_LEASE {
+        } else if self.answered_not_run {
+            self.broken = Some("a request that was answered \"not run\" was dispatched");
+        } else if self.now >= self.last_asked_at + GRANT_LEASE {
             self.broken = Some("a grant was used after its lease");
         }
     }
 
     fn finish(&mut self) {
         self.running = false;
-        let reply = (self.holder).on_finished(self.now, &request(), RequestOutcome::default());
-        self.take(reply);
+        let output = (self.holder).on_finished(self.now, &request(), RequestOutcome::default());
+        self.apply_output(output);
     }
 
     fn connect_fails(&mut self) {
         self.running = false;
-        self.sent -= 1;
-        let reply = self.holder.on_connect_failed(self.now, &request());
-        self.take(reply);
+        self.dispatch_count -= 1;
+        let output = self.holder.on_connect_failed(self.now, &request());
+        self.apply_output(output);
     }
 
-    fn give_up(&mut self) {
-        let asks = self.holder.withdraw(&request());
-        self.told_not_run = true;
-        self.post_asks(asks);
+    fn abandon(&mut self) {
+        let envelopes = self.holder.withdraw(&request());
+        self.answered_not_run = true;
+        self.send_to_owner(envelopes);
     }
 }
 
@@ -278,23 +286,26 @@
             Action::OwnerTick(1),
         ];
         actions.extend(self.packets.iter().cloned().map(Action::Deliver));
-        if self.ordered.is_some() {
+        if self.granted_at.is_some() {
             actions.push(Action::Dispatch);
         }
         if self.running {
             actions.push(Action::Finish);
-        } else if !self.told_not_run && self.sent == 0 {
-            actions.push(Action::GiveUp);
+        } else if !self.answered_not_run && self.dispatch_count == 0 {
+            actions.push(Action::Abandon);
         }
         if self.bounds.faults > 0 {
-            actions.extend(self.packets.iter().cloned().map(Action::Repeat));
-            actions.extend([Action::ChangeOwner, Action::ReplaceOwner(self.view)]);
+            actions.extend(self.packets.iter().cloned().map(Action::Duplicate));
+            actions.extend([
+                Action::ChangeOwner,
+                Action::ReplaceOwner(self.believed_owner),
+            ]);
             if self.running {
                 actions.push(Action::ConnectFails);
             }
         }
         if self.bounds.steps > 0 {
-            actions.push(Action::Pass);
+            actions.push(Action::AdvanceTime);
         }
         actions
     }
@@ -306,33 +317,33 @@
                 self.packets.retain(|p| p != packet);
                 self.deliver(packet);
             }
-            Action::Repeat(packet) => self.deliver(packet),
+            Action::Duplicate(packet) => self.deliver(packet),
             Action::Dispatch => self.dispatch(),
             Action::Finish => self.finish(),
             Action::ConnectFails => self.connect_fails(),
-            Action::GiveUp => self.give_up(),
+            Action::Abandon => self.abandon(),
             Action::ChangeOwner => {
-                self.view = 1 - self.view;
-                let asks = self.holder.on_owner_changed(self.now, &replica());
-                self.post_asks(asks);
+                self.believed_owner = 1 - self.believed_owner;
+                let envelopes = self.holder.on_owner_changed(self.now, &replica());
+                self.send_to_owner(envelopes);
             }
             Action::ReplaceOwner(i) => self.owners[*i] = owner(self.now),
             Action::HolderTick => {
-                let reply = self.holder.on_tick(self.now);
-                self.take(reply);
+                let output = self.holder.on_tick(self.now);
+                self.apply_output(output);
             }
             Action::OwnerTick(i) => {
-                let sends = self.owners[*i].on_tick(self.now);
-                self.post_sends(sends);
+                let envelopes = self.owners[*i].on_tick(self.now);
+                self.send_to_holder(envelopes);
             }
-            Action::Pass => {
-                self.now += STEP;
+            Action::AdvanceTime => {
+                self.now += TIME_STEP;
                 self.bounds.steps -= 1;
             }
         }
         let fault = matches!(
             action,
-            Action::Repeat(_)
+            Action::Duplicate(_)
                 | Action::ChangeOwner
                 | Action::ReplaceOwner(_)
                 | Action::ConnectFails
