--- a/crates/decisions/src/elsewhere.rs
+++ b/crates/decisions/src/remote_load.rs
@@ -7,13 +7,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::id::ShortName;
+use crate::id::NameHash;
 
 /// What an instance has at one replica.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Load {
+pub struct ReplicaLoad {
     /// The replica.
-    pub replica: ShortName,
+    pub replica: NameHash,
     /// Requests of the instance there.
     pub running: u16,
     /// Their prompt tokens that are still to be read.
@@ -22,7 +22,7 @@
 
 /// What all other instances have at one replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Sum {
+pub struct TotalLoad {
     /// Requests there.
     pub running: u32,
     /// Their prompt tokens that are still to be read.
@@ -31,19 +31,19 @@
 
 /// Sums by replica, and which of them have changed since somebody looked.
 #[derive(Debug, Default)]
-pub struct Elsewhere {
-    sums: Vec<(ShortName, Sum)>,
-    changed: Vec<ShortName>,
+pub struct RemoteLoad {
+    sums: Vec<(NameHash, TotalLoad)>,
+    changed: Vec<NameHash>,
 }
 
-impl Elsewhere {
+impl RemoteLoad {
     /// Nobody has anything anywhere.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Replaces what one instance had by what it has. Most of it stays from message to message.
-    pub fn replace(&mut self, before: &[Load], after: &[Load]) {
+    pub fn replace(&mut self, before: &[ReplicaLoad], after: &[ReplicaLoad]) {
         for load in before.iter().filter(|l| !after.contains(l)) {
             let sum = self.change(load.replica);
             sum.running -= u32::from(load.running);
@@ -57,29 +57,29 @@
     }
 
     /// What the others have at a replica.
-    pub fn at(&self, replica: ShortName) -> Sum {
+    pub fn get(&self, replica: NameHash) -> TotalLoad {
         let found = self.sums.binary_search_by(|(r, _)| r.cmp(&replica));
-        found.map_or_else(|_| Sum::default(), |at| self.sums[at].1)
+        found.map_or_else(|_| TotalLoad::default(), |at| self.sums[at].1)
     }
 
     /// All replicas at which the others have or had something.
-    pub fn all(&self) -> &[(ShortName, Sum)] {
+    pub fn totals(&self) -> &[(NameHash, TotalLoad)] {
         &self.sums
     }
 
     /// The replicas whose sums have changed since the last call.
-    pub fn take_changed(&mut self) -> Vec<ShortName> {
+    pub fn take_changed(&mut self) -> Vec<NameHash> {
         let mut changed = std::mem::take(&mut self.changed);
         changed.sort_unstable();
         changed.dedup();
         changed
     }
 
-    fn change(&mut self, replica: ShortName) -> &mut Sum {
+    fn change(&mut self, replica: NameHash) -> &mut TotalLoad {
         self.changed.push(replica);
         let found = self.sums.binary_search_by(|(r, _)| r.cmp(&replica));
         let at = found.unwrap_or_else(|at| {
-            self.sums.insert(at, (replica, Sum::default()));
+            self.sums.insert(at, (replica, TotalLoad::default()));
             at
         });
         &mut self.sums[at].1
--- a/crates/decisions/src/slots/events.rs
+++ b/crates/decisions/src/slots/events.rs
@@ -7,7 +7,7 @@
 use super::feedback::FirstToken;
 use super::used_slots::{SlotState, UsedSlot};
 use super::{GRANT_LEASE, HolderEnvelope, Rejection, RequestOutcome, Reservation, SlotQueue};
-use crate::fairness::{Entry, Size};
+use crate::fairness::{Entry, SizeClass};
 use crate::id::{InstanceId, RequestId, Sequence};
 use crate::work::Work;
 
@@ -29,7 +29,9 @@
         }
         reservation.holder = InstanceId::clone(from);
         let prompt = reservation.work.prefill;
-        reservation.work = self.cache.uncached(reservation.work, &reservation.prefixes);
+        reservation.work = self
+            .cache
+            .uncached_work(reservation.work, &reservation.prefixes);
         if let Some(why) = self.rejection_reason(now, &reservation) {
             messages.push(self.reject(now, &reservation, why));
             return;
@@ -37,7 +39,7 @@
         let deadline = now + reservation.time_left;
         self.waiting.push(reservation, prompt, deadline);
         if self.waiting.len() > self.max_waiting
-            && let Some(last) = self.waiting.remove_last()
+            && let Some(last) = self.waiting.evict()
         {
             messages.push(self.reject(now, &last.reservation, Rejection::Full));
         }
@@ -118,7 +120,7 @@
             holder: InstanceId::clone(holder),
             asked: 0,
             charge: None,
-            size: Size::Short,
+            size: SizeClass::Short,
             work: Work::default(),
             prompt_tokens: 0,
             uncached_tokens_ahead: 0,
@@ -127,7 +129,9 @@
             missed_renewals: 0,
         });
         if self.is_learning(now) {
-            self.feedback.limit.on_learned(self.used_slots.len());
+            self.feedback
+                .limit
+                .on_inherited_slots(self.used_slots.len());
         }
     }
 
--- a/crates/decisions/src/slots/feedback.rs
+++ b/crates/decisions/src/slots/feedback.rs
@@ -6,10 +6,10 @@
 
 use super::RequestOutcome;
 use super::used_slots::{SlotState, UsedSlots};
-use crate::concurrency::Limit;
+use crate::concurrency::ConcurrencyLimit;
 use crate::health::Health;
 use crate::id::Tokens;
-use crate::pace::{FIRST_TOKEN_OVERHEAD, Pace, PaceMeter};
+use crate::pace::{FIRST_TOKEN_OVERHEAD, Pace, PaceEstimator};
 use crate::work::Work;
 
 /// A first token is late after this many times its expected time; then nothing is granted until it
@@ -59,11 +59,11 @@
 /// Concurrency limit, health and pace of one replica.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Feedback {
-    pub(super) limit: Limit,
+    pub(super) limit: ConcurrencyLimit,
     pub(super) health: Health,
     /// Usual pace of the replica's hardware generation.
     pub(super) usual_pace: Option<Pace>,
-    meter: PaceMeter,
+    meter: PaceEstimator,
     /// When the last first token or complete response arrived.
     last_progress: Option<Instant>,
 }
@@ -73,10 +73,10 @@
     pub(super) fn allowed(&self, now: Instant, slots: &UsedSlots) -> u32 {
         let old = self
             .health
-            .fell()
+            .ejected_at()
             .map_or(0, |fell| slots.dispatched_before(fell));
         self.health
-            .allowed(now, self.limit.get(now), slots.len(), old)
+            .allowed_slots(now, self.limit.slots(now), slots.len(), old)
     }
 
     /// Reports a stall if a first token is overdue and nothing else arrived from the replica
@@ -96,7 +96,7 @@
 
     /// Expected time from dispatch to the end of the response; too uncertain to refuse by it alone.
     pub(super) fn expected_service_time(&self, work: Work) -> Duration {
-        self.meter.pace().service(work)
+        self.meter.pace().service_time(work)
     }
 
     /// Expected time to process `tokens` prompt tokens that were sent to the replica.
@@ -133,7 +133,7 @@
 
     /// Expected time to a first token after `uncached_tokens_ahead` prompt tokens.
     fn expected_first_token(&self, uncached_tokens_ahead: Tokens) -> Duration {
-        let expected = self.meter.pace().first_token(uncached_tokens_ahead);
+        let expected = self.meter.pace().time_to_first_token(uncached_tokens_ahead);
         if self.meter.is_trusted() {
             expected
         } else {
@@ -173,7 +173,7 @@
             .on_first_token(now, tokens as f64, elapsed, in_use);
         let usual = self
             .meter
-            .usual_first_token(self.usual_pace, prompt_tokens_ahead);
+            .usual_time_to_first_token(self.usual_pace, prompt_tokens_ahead);
         let slowdown = elapsed.as_secs_f64() / usual.as_secs_f64().max(f64::EPSILON);
         let mean = self.meter.slowdown(self.usual_pace);
         self.health.on_answer(now, dispatched_at, slowdown, mean);
--- a/crates/decisions/src/slots/queue.rs
+++ b/crates/decisions/src/slots/queue.rs
@@ -13,9 +13,9 @@
     GRANT_LEASE, HolderEnvelope, LoadReport, Rejection, ReplicaDigest, Reservation, ToHolder,
     ToOwner,
 };
-use crate::concurrency::Limit;
-use crate::fairness::{Entry, FairQueue, long_slots};
-use crate::health::Stage as HealthStage;
+use crate::concurrency::ConcurrencyLimit;
+use crate::fairness::{Entry, FairQueue, max_long_slots};
+use crate::health::HealthStage;
 use crate::id::{InstanceId, PrefixHash, Rank, RequestId, UpstreamId};
 use crate::pace::Pace;
 use crate::prefixes::{CacheEvent, PrefixCache};
@@ -88,7 +88,7 @@
     }
 
     /// Sets the initial concurrency limit, a configured one or that of an earlier owner.
-    pub fn with_limit(mut self, limit: Limit) -> Self {
+    pub fn with_limit(mut self, limit: ConcurrencyLimit) -> Self {
         self.feedback.limit = limit;
         self
     }
@@ -249,7 +249,7 @@
             0 => Duration::ZERO,
             _ => self
                 .feedback
-                .expected_service_time(self.waiting.work_above(rank)),
+                .expected_service_time(self.waiting.work_at_or_above(rank)),
         };
         wait::expected_wait(ends_in.collect(), slots as usize, waiting).max(prefill)
     }
@@ -284,15 +284,15 @@
             return false;
         }
         // Until all holders have reported, an earlier owner may still grant from the same limit.
-        let own_limit = self.feedback.limit.get(now) / self.zone_size as u32;
+        let own_limit = self.feedback.limit.slots(now) / self.zone_size as u32;
         !self.is_learning(now) || self.own_grants < own_limit.max(1)
     }
 
     fn grant(&mut self, now: Instant, messages: &mut Vec<HolderEnvelope>) {
         while !self.leaving && !self.waiting.is_empty() && self.can_grant(now) {
             let slots = self.feedback.allowed(now, &self.used_slots);
-            let allow_long = self.used_slots.long_count() < long_slots(slots);
-            let Some(entry) = self.waiting.grant_next(allow_long) else {
+            let allow_long = self.used_slots.long_count() < max_long_slots(slots);
+            let Some(entry) = self.waiting.pop_next(allow_long) else {
                 return;
             };
             self.grant_entry(now, &entry, messages);
--- a/crates/decisions/src/slots/used_slots.rs
+++ b/crates/decisions/src/slots/used_slots.rs
@@ -2,7 +2,7 @@
 
 use tokio::time::Instant;
 
-use crate::fairness::{Charge, Size};
+use crate::fairness::{Charge, SizeClass};
 use crate::id::{InstanceId, RequestId, Sequence, Tokens};
 use crate::work::Work;
 
@@ -44,7 +44,7 @@
     pub(super) asked: Sequence,
     /// Charge of the organisation; `None` without a grant of this owner.
     pub(super) charge: Option<Charge>,
-    pub(super) size: Size,
+    pub(super) size: SizeClass,
     /// Expected work, without the cached part of the prompt.
     pub(super) work: Work,
     /// Tokens of the whole prompt, cached or not.
@@ -72,7 +72,10 @@
 
     /// Number of slots with long requests.
     pub(super) fn long_count(&self) -> u32 {
-        let long = self.slots.iter().filter(|slot| slot.size == Size::Long);
+        let long = self
+            .slots
+            .iter()
+            .filter(|slot| slot.size == SizeClass::Long);
         long.count() as u32
     }
 
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -18,14 +18,14 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use crate::account;
-use crate::events::Scanner;
-use crate::exchange::{self, Answer};
-use crate::metrics::Timing;
-use crate::node::{Node, Place, Target};
-use crate::over::{Over, time_over};
+use crate::events::EventScanner;
+use crate::exchange::{self, ReplicaResponse};
+use crate::expiry::{Expiry, wait_for_expiry};
+use crate::metrics::Phase;
+use crate::node::{Node, SlotGuard, Target};
 use crate::pool::Connection;
-use crate::request::{Active, Life};
+use crate::request::{ActiveGuard, RequestContext};
+use crate::request_log;
 
 /// Chunks that may wait for a slow caller before the replica is made to wait.
 const CHUNKS: usize = 8;
@@ -37,15 +37,15 @@
 /// The stream broke off; the caller's connection is closed.
 #[derive(Debug, thiserror::Error)]
 #[error("the stream broke off")]
-pub struct BrokenOff;
+pub struct StreamBroken;
 
 /// Body of an answer: whole, or passed on as it comes.
 #[derive(Debug)]
-pub enum Body {
+pub enum ResponseBody {
     /// All of it.
-    Whole(Option<Bytes>),
+    Complete(Option<Bytes>),
     /// What a relay passes on.
-    Relayed(Relayed),
+    Streamed(RelayedStream),
 }
 
 /// The caller's end of a relay.
@@ -53,53 +53,53 @@
 /// The end of the channel alone doesn't end the answer: a relay that was dropped, or ended while the
 /// channel was full because its caller reads slowly, would leave a stream that looks complete.
 #[derive(Debug)]
-pub struct Relayed {
+pub struct RelayedStream {
     rx: mpsc::Receiver<Bytes>,
     /// Set once the relay has passed everything on.
     whole: Rc<Cell<bool>>,
 }
 
-impl Relayed {
-    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+impl RelayedStream {
+    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, StreamBroken>>> {
         self.rx.poll_recv(cx).map(|chunk| match chunk {
             Some(chunk) => Some(Ok(Frame::data(chunk))),
             None if self.whole.get() => None,
-            None => Some(Err(BrokenOff)),
+            None => Some(Err(StreamBroken)),
         })
     }
 }
 
-impl Body {
+impl ResponseBody {
     /// A body that is there as a whole.
-    pub fn whole(bytes: Bytes) -> Self {
-        Self::Whole(Some(bytes).filter(|b| !b.is_empty()))
+    pub fn complete(bytes: Bytes) -> Self {
+        Self::Complete(Some(bytes).filter(|b| !b.is_empty()))
     }
 }
 
-impl hyper::body::Body for Body {
+impl hyper::body::Body for ResponseBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = StreamBroken;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamBroken>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
-            Self::Relayed(relayed) => relayed.poll(cx),
+            Self::Complete(bytes) => Poll::Ready(bytes.take().map(|b| Ok(Frame::data(b)))),
+            Self::Streamed(relayed) => relayed.poll(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, Self::Whole(None))
+        matches!(self, Self::Complete(None))
     }
 
     fn size_hint(&self) -> hyper::body::SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Complete(bytes) => {
                 hyper::body::SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
-            Self::Relayed(_) => hyper::body::SizeHint::default(),
+            Self::Streamed(_) => hyper::body::SizeHint::default(),
         }
     }
 }
@@ -107,21 +107,21 @@
 /// Starts to pass a stream on.
 pub fn start(
     node: Rc<Node>,
-    life: Life,
+    ctx: RequestContext,
     target: Rc<Target>,
-    place: Place,
-    answer: Answer,
-    active: Option<Active>,
-) -> Response<Body> {
+    place: SlotGuard,
+    answer: ReplicaResponse,
+    active: Option<ActiveGuard>,
+) -> Response<ResponseBody> {
     let (tx, rx) = mpsc::channel(CHUNKS);
     let whole = Rc::new(Cell::new(false));
-    let relayed = Relayed {
+    let relayed = RelayedStream {
         rx,
         whole: Rc::clone(&whole),
     };
-    let mut response = Response::new(Body::Relayed(relayed));
+    let mut response = Response::new(ResponseBody::Streamed(relayed));
     *response.status_mut() = answer.head.status;
-    *response.headers_mut() = node.dialect.answer(&answer.head);
+    *response.headers_mut() = node.protocol.response_headers(&answer.head);
     let run = Run {
         target,
         place,
@@ -131,10 +131,10 @@
     };
     let relay = Relay {
         node,
-        life,
+        ctx,
         tx,
         whole,
-        scanner: Scanner::new(),
+        scanner: EventScanner::new(),
         held: BytesMut::new(),
         last: Instant::now(),
         first: true,
@@ -152,7 +152,7 @@
 /// A run of the request at one replica.
 struct Run {
     target: Rc<Target>,
-    place: Place,
+    place: SlotGuard,
     connection: Connection,
     body: Incoming,
     head: http::response::Parts,
@@ -160,19 +160,19 @@
 
 /// How passing a run on ended.
 enum End {
-    Whole,
+    Complete,
     Broken,
     CallerGone,
-    Over(Over),
+    Expired(Expiry),
 }
 
 struct Relay {
     node: Rc<Node>,
-    life: Life,
+    ctx: RequestContext,
     tx: mpsc::Sender<Bytes>,
     /// Tells the caller's end that nothing is missing.
     whole: Rc<Cell<bool>>,
-    scanner: Scanner,
+    scanner: EventScanner,
     held: BytesMut,
     last: Instant,
     first: bool,
@@ -204,25 +204,27 @@
             let end = self.pass_run(&mut run).await;
             let replica = run.place.upstream.clone();
             match end {
-                End::Whole => {
+                End::Complete => {
                     self.whole.set(true);
                     run.target
                         .pool
-                        .keep(Instant::now(), run.connection, &run.head.headers);
-                    run.place.end(Outcome::Served);
+                        .put_back(Instant::now(), run.connection, &run.head.headers);
+                    run.place.release(Outcome::Served);
                     let status = run.head.status.as_u16();
                     let (first, pause) = (self.first_after, self.longest_pause);
-                    account::answered(&self.node, &self.life, &replica, status, first, pause);
+                    request_log::log_answered(
+                        &self.node, &self.ctx, &replica, status, first, pause,
+                    );
                     return;
                 }
                 End::CallerGone => {
                     self.log("caller_gone", &replica);
                     return;
                 }
-                End::Over(over) => {
+                End::Expired(over) => {
                     let how = match over {
-                        Over::Route => "timed_out",
-                        Over::Process => "cut",
+                        Expiry::RouteTimeout => "timed_out",
+                        Expiry::Shutdown => "cut",
                     };
                     self.log(how, &replica);
                     return;
@@ -232,9 +234,9 @@
             self.log("broke_off", &replica);
             drop(run.connection);
             drop(run.body);
-            run.place.end(Outcome::Failed);
-            let (node, route) = (Rc::clone(&self.node), Rc::clone(&self.life.route));
-            let over = time_over(&node, &route, self.life.received);
+            run.place.release(Outcome::Failed);
+            let (node, route) = (Rc::clone(&self.node), Rc::clone(&self.ctx.route));
+            let over = wait_for_expiry(&node, &route, self.ctx.received);
             let next = tokio::select! {
                 next = self.resume() => next,
                 _ = over => None,
@@ -247,26 +249,26 @@
     }
 
     fn log(&self, how: &'static str, replica: &str) {
-        let last_event = self.scanner.last_id();
-        account::stream_ended(&self.node, &self.life, replica, how, last_event);
+        let last_event = self.scanner.last_event_id();
+        request_log::log_stream_ended(&self.node, &self.ctx, replica, how, last_event);
     }
 
     async fn pass_run(&mut self, run: &mut Run) -> End {
         let node = Rc::clone(&self.node);
-        let route = Rc::clone(&self.life.route);
-        let received = self.life.received;
-        let mut over = std::pin::pin!(time_over(&node, &route, received));
+        let route = Rc::clone(&self.ctx.route);
+        let received = self.ctx.received;
+        let mut over = std::pin::pin!(wait_for_expiry(&node, &route, received));
         loop {
             let frame = tokio::select! {
                 biased;
                 () = self.tx.closed() => return End::CallerGone,
                 frame = run.body.frame() => frame,
-                over = &mut over => return End::Over(over),
+                over = &mut over => return End::Expired(over),
                 () = self.stuck() => return End::Broken,
             };
             let chunk = match frame {
-                None if self.scanner.in_event() => return End::Broken,
-                None => return End::Whole,
+                None if self.scanner.in_partial_event() => return End::Broken,
+                None => return End::Complete,
                 Some(Err(_)) => return End::Broken,
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             };
@@ -277,9 +279,9 @@
                         if sent.is_err() {
                             return End::CallerGone;
                         }
-                        node.metrics.observe(Timing::Pass, came.elapsed());
+                        node.metrics.observe(Phase::Relay, came.elapsed());
                     }
-                    over = &mut over => return End::Over(over),
+                    over = &mut over => return End::Expired(over),
                 }
             }
         }
@@ -291,9 +293,9 @@
         let now = Instant::now();
         if found.events > 0 {
             if self.first {
-                run.place.on_first();
+                run.place.on_first_event();
                 if self.first_after.is_zero() {
-                    self.first_after = self.life.received.elapsed();
+                    self.first_after = self.ctx.received.elapsed();
                 }
             } else {
                 self.longest_pause = self.longest_pause.max(now - self.last);
@@ -302,15 +304,15 @@
             self.first = false;
             self.last = now;
         }
-        if !self.life.route.kind.repeatable() {
+        if !self.ctx.route.kind.is_retryable() {
             return Some(chunk).filter(|c| !c.is_empty());
         }
-        if found.complete == 0 {
+        if found.complete_bytes == 0 {
             self.held.extend_from_slice(&chunk);
             return None;
         }
-        let whole = chunk.slice(..found.complete);
-        let rest = chunk.slice(found.complete..);
+        let whole = chunk.slice(..found.complete_bytes);
+        let rest = chunk.slice(found.complete_bytes..);
         if self.held.is_empty() {
             self.held.extend_from_slice(&rest);
             return Some(whole);
@@ -323,38 +325,36 @@
 
     /// Ends when a stream that may be resumed has brought nothing for too long.
     async fn stuck(&self) {
-        if !self.life.route.kind.repeatable() || self.life.runs >= self.life.route.attempts {
+        if !self.ctx.route.kind.is_retryable() || self.ctx.runs >= self.ctx.route.max_attempts {
             return std::future::pending().await;
         }
-        let pause = self
-            .life
-            .route
-            .longest_pause
-            .max(Duration::from_millis(200));
+        let pause = self.ctx.route.max_event_gap.max(Duration::from_millis(200));
         tokio::time::sleep_until(self.last + pause.mul_f64(STUCK_PAUSES)).await;
     }
 
     /// Runs the rest of the stream at another replica.
     async fn resume(&mut self) -> Option<Run> {
         self.held.clear();
-        self.scanner.forget_unfinished();
+        self.scanner.discard_partial_event();
         loop {
-            if self.tx.is_closed() || !self.life.may_repeat(&self.node) {
+            if self.tx.is_closed() || !self.ctx.try_consume_retry(&self.node) {
                 return None;
             }
-            let (place, target) = self.life.place_again(&self.node).await?;
-            self.life.tried.push(place.upstream.clone());
-            self.life.runs += 1;
-            let after = self.scanner.last_id().map(str::to_owned);
-            let after = after.or_else(|| self.life.call.last_event.clone());
-            let fields = self.life.onward(&self.node, &target, after.as_deref());
+            let (place, target) = self.ctx.place_for_resume(&self.node).await?;
+            self.ctx.tried.push(place.upstream.clone());
+            self.ctx.runs += 1;
+            let after = self.scanner.last_event_id().map(str::to_owned);
+            let after = after.or_else(|| self.ctx.meta.last_event_id.clone());
+            let fields = self
+                .ctx
+                .forward_headers(&self.node, &target, after.as_deref());
             let sent = exchange::send(
                 &target,
-                &*self.node.dialect,
-                &self.life.call.id,
-                &self.life.head,
+                &*self.node.protocol,
+                &self.ctx.meta.attempt_id,
+                &self.ctx.head,
                 fields,
-                self.life.body.clone(),
+                self.ctx.body.clone(),
                 true,
             );
             let answer = tokio::select! {
@@ -374,12 +374,12 @@
                         head: answer.head,
                     });
                 }
-                Ok(_) => place.end(Outcome::Failed),
+                Ok(_) => place.release(Outcome::Failed),
                 Err(e) => {
                     if !e.may_have_run() {
-                        self.life.runs -= 1;
+                        self.ctx.runs -= 1;
                     }
-                    place.end(e.outcome());
+                    place.release(e.outcome());
                 }
             }
         }
--- a/crates/entry/src/request/sending.rs
+++ b/crates/entry/src/request/sending.rs
@@ -1,4 +1,4 @@
-//! One send of a request: to a replica, through its failures, to its answer.
+//! One attempt of a request: sends it to a replica and handles its failure or response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,175 +7,186 @@
 use kingcupfield_decisions::dispatch::Outcome;
 use tokio::time::Instant;
 
-use super::{Active, Life};
-use crate::account;
-use crate::exchange::{self, Answer, Failure};
-use crate::kind::Refusal;
-use crate::metrics::Timing;
-use crate::node::{Node, Place, Target};
-use crate::over::time_over;
-use crate::port::Onward;
-use crate::relay::{self, Body};
-
-/// How often a request that may be repeated looks whether its replica still brings anything to
-/// anybody; a seventh of the shortest objective of the users' streams.
-const RESCUE_CHECK: Duration = Duration::from_millis(150);
-
-/// A connection that ends this soon after a request was written, beside the time to open it and to
-/// hear of its end, is that of a replica which runs nothing: it fails each request at once, looks idle and draws more. Usual
-/// first answers take 60 ms and more.
-const AT_ONCE: Duration = Duration::from_millis(25);
-
-/// A request of a plain service that may be repeated waits for this part of its objective before
-/// another replica is tried: the rest is enough for a usual answer.
-const PLAIN_RESCUE: f64 = 0.6;
-
-/// What to do after one send.
-pub(super) enum Next {
-    Answer(Box<Response<Body>>),
-    Again,
+use super::{ActiveGuard, RequestContext};
+use crate::adapter::ForwardInfo;
+use crate::exchange::{self, ReplicaResponse, SendFailure};
+use crate::expiry::wait_for_expiry;
+use crate::metrics::Phase;
+use crate::node::{Node, SlotGuard, Target};
+use crate::refusal::Refusal;
+use crate::relay::{self, ResponseBody};
+use crate::request_log;
+
+/// Interval at which a retryable request checks whether its replica still sends data to any caller: a
+/// seventh of the shortest latency objective of the users' streams.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(150);
+
+/// If a connection ends this soon after the request was written, not counting the time to open it and
+/// to notice its end, its replica runs nothing. Such a replica fails each request at once, looks idle
+/// and attracts more requests. Usual first responses take 60 ms and more.
+const IMMEDIATE_FAILURE: Duration = Duration::from_millis(25);
+
+/// Fraction of the latency objective after which a retryable request without a streamed response is
+/// sent to another replica: the rest is enough for a usual response.
+const PLAIN_RETRY_FRACTION: f64 = 0.6;
+
+/// Least time left for which another attempt is made.
+const MIN_RETRY_TIME: Duration = Duration::from_millis(100);
+
+/// What to do after one attempt.
+pub(super) enum NextStep {
+    Respond(Box<Response<ResponseBody>>),
+    Retry,
     Refuse(Refusal),
 }
 
-impl Life {
+impl RequestContext {
+    /// Sends the request to the replica of its slot and waits for the response.
     pub(super) async fn send(
         &mut self,
         node: &Rc<Node>,
         target: &Rc<Target>,
-        place: Place,
-        active: &mut Option<Active>,
-    ) -> Next {
-        if self.left(node).is_zero() {
-            place.end(Outcome::Unknown);
-            return Next::Refuse(self.too_late());
+        place: SlotGuard,
+        active: &mut Option<ActiveGuard>,
+    ) -> NextStep {
+        if self.time_left(node).is_zero() {
+            place.release(Outcome::Unknown);
+            return NextStep::Refuse(self.timeout_refusal());
         }
-        let at_once = AT_ONCE + node.travel(&target.published.zone) * 2;
-        let began = Instant::now();
-        let fields = self.onward(node, target, None);
+        let immediate = IMMEDIATE_FAILURE + node.rtt(&target.published.zone) * 2;
+        let sent_at = Instant::now();
+        let headers = self.forward_headers(node, target, None);
         self.tried.push(place.upstream.clone());
         self.runs += 1;
         let sent = exchange::send(
             target,
-            &*node.dialect,
-            &self.call.id,
+            &*node.protocol,
+            &self.meta.attempt_id,
             &self.head,
-            fields,
+            headers,
             self.body.clone(),
-            self.route.kind.repeatable(),
+            self.route.kind.is_retryable(),
         );
         let sent = tokio::select! {
             sent = sent => sent.map_err(|e| match e {
-                Failure::Broken if began.elapsed() < at_once => Failure::Dropped,
+                SendFailure::Broken if sent_at.elapsed() < immediate => SendFailure::Dropped,
                 e => e,
             }),
-            over = time_over(node, &self.route, self.received) => {
-                place.end(Outcome::Unknown);
-                return Next::Refuse(self.is_over(node, over));
+            expiry = wait_for_expiry(node, &self.route, self.received) => {
+                place.release(Outcome::Unknown);
+                return NextStep::Refuse(self.expiry_refusal(node, expiry));
             }
-            () = self.rescue(node, &place) => Err(Failure::Abandoned),
+            () = self.wait_for_retry(node, &place) => Err(SendFailure::Abandoned),
         };
         match sent {
-            Ok(answer) => self.answered(node, target, place, answer, active).await,
-            Err(failure) => self.failed(node, place, failure),
+            Ok(answer) => self.on_response(node, target, place, answer, active).await,
+            Err(failure) => self.on_failure(node, place, failure),
         }
     }
 
-    /// Ends when the request had better be sent to another replica, with a repeat taken for it; never
-    /// if it may not. A request that is given up with nothing in its place helps nobody.
-    async fn rescue(&self, node: &Node, place: &Place) {
-        if !self.route.kind.repeatable() || self.runs >= self.route.attempts {
+    /// Completes when the request should be sent to another replica, after it has consumed one retry
+    /// of the budget; never completes if no retry is allowed, because an attempt is abandoned only in
+    /// favour of another one.
+    async fn wait_for_retry(&self, node: &Node, place: &SlotGuard) {
+        if !self.route.kind.is_retryable() || self.runs >= self.route.max_attempts {
             return std::future::pending().await;
         }
         let sent = Instant::now();
         loop {
-            tokio::time::sleep(RESCUE_CHECK).await;
+            tokio::time::sleep(STALL_CHECK_INTERVAL).await;
             let plain = !self.route.kind.is_stream();
-            let slow = sent.elapsed() > self.route.objective.mul_f64(PLAIN_RESCUE);
-            if (place.is_silent() || (plain && slow)) && self.may_repeat(node) {
+            let slow = sent.elapsed() > self.route.latency_objective.mul_f64(PLAIN_RETRY_FRACTION);
+            if (place.is_replica_stalled() || (plain && slow)) && self.try_consume_retry(node) {
                 return;
             }
         }
     }
 
-    fn failed(&mut self, node: &Node, place: Place, failure: Failure) -> Next {
-        account::send_failed(node, self, &place.upstream, failure);
-        place.end(failure.outcome());
+    /// Handles an attempt without a response: decides between a retry and a refusal.
+    fn on_failure(&mut self, node: &Node, place: SlotGuard, failure: SendFailure) -> NextStep {
+        request_log::log_send_failed(node, self, &place.upstream, failure);
+        place.release(failure.outcome());
         if failure.may_have_run() {
-            return if failure == Failure::Abandoned || self.may_repeat(node) {
-                Next::Again
+            return if failure == SendFailure::Abandoned || self.try_consume_retry(node) {
+                NextStep::Retry
             } else {
-                Next::Refuse(self.broke(failure))
+                NextStep::Refuse(self.no_retry_refusal(failure))
             };
         }
         self.runs -= 1;
-        // A connection that could not be made reached no replica, so it draws on no budget.
-        if failure == Failure::NotSent || self.take_repeat(node) {
-            Next::Again
+        // A connection that could not be opened reached no replica, so no retry budget is consumed.
+        if failure == SendFailure::NotSent || self.consume_retry_budget(node) {
+            NextStep::Retry
         } else {
-            Next::Refuse(self.give_up(node))
+            NextStep::Refuse(self.no_slot_refusal(node))
         }
     }
 
-    async fn answered(
+    /// Handles the head of a response: a successful stream is relayed, anything else is read to its
+    /// end first.
+    async fn on_response(
         &mut self,
         node: &Rc<Node>,
         target: &Rc<Target>,
-        place: Place,
-        answer: Answer,
-        active: &mut Option<Active>,
-    ) -> Next {
+        place: SlotGuard,
+        answer: ReplicaResponse,
+        active: &mut Option<ActiveGuard>,
+    ) -> NextStep {
         if self.route.kind.is_stream() && answer.head.status.is_success() {
-            node.metrics.observe(Timing::First, self.received.elapsed());
-            let life = self.take();
+            node.metrics
+                .observe(Phase::FirstByte, self.received.elapsed());
+            let ctx = self.take_for_relay();
             let active = active.take();
             let response = relay::start(
                 Rc::clone(node),
-                life,
+                ctx,
                 Rc::clone(target),
                 place,
                 answer,
                 active,
             );
-            return Next::Answer(Box::new(response));
+            return NextStep::Respond(Box::new(response));
         }
-        self.answered_whole(node, target, place, answer).await
+        self.respond_buffered(node, target, place, answer).await
     }
 
-    /// Passes an answer on that is held until all of it is there.
-    async fn answered_whole(
+    /// Buffers a response until it is complete and returns it to the caller.
+    async fn respond_buffered(
         &mut self,
         node: &Rc<Node>,
         target: &Rc<Target>,
-        place: Place,
-        answer: Answer,
-    ) -> Next {
-        let Answer {
+        place: SlotGuard,
+        answer: ReplicaResponse,
+    ) -> NextStep {
+        let ReplicaResponse {
             head,
             body,
             connection,
         } = answer;
         let body = tokio::select! {
-            body = exchange::whole(body) => body,
-            over = time_over(node, &self.route, self.received) => {
-                return Next::Refuse(self.is_over(node, over));
+            body = exchange::read_body(body) => body,
+            expiry = wait_for_expiry(node, &self.route, self.received) => {
+                return NextStep::Refuse(self.expiry_refusal(node, expiry));
             }
         };
         let Ok(body) = body else {
-            return self.failed(node, place, Failure::Broken);
+            return self.on_failure(node, place, SendFailure::Broken);
         };
-        target.pool.keep(Instant::now(), connection, &head.headers);
+        target
+            .pool
+            .put_back(Instant::now(), connection, &head.headers);
         let failed = head.status.is_server_error();
-        place.end(if failed {
+        place.release(if failed {
             Outcome::Failed
         } else {
             Outcome::Served
         });
-        if failed && self.may_repeat(node) {
-            return Next::Again;
+        if failed && self.try_consume_retry(node) {
+            return NextStep::Retry;
         }
         let first = self.received.elapsed();
         let status = head.status.as_u16();
-        account::answered(
+        request_log::log_answered(
             node,
             self,
             &target.published.id,
@@ -183,16 +194,16 @@
             first,
             Duration::ZERO,
         );
-        let mut response = Response::new(Body::whole(body));
+        let mut response = Response::new(ResponseBody::complete(body));
         *response.status_mut() = head.status;
-        *response.headers_mut() = node.dialect.answer(&head);
-        Next::Answer(Box::new(response))
+        *response.headers_mut() = node.protocol.response_headers(&head);
+        NextStep::Respond(Box::new(response))
     }
 
-    /// Moves this request's life into a relay.
-    fn take(&mut self) -> Life {
-        Life {
-            call: std::mem::take(&mut self.call),
+    /// Moves the context of this request into a relay.
+    fn take_for_relay(&mut self) -> RequestContext {
+        RequestContext {
+            meta: std::mem::take(&mut self.meta),
             head: self.head.clone(),
             body: self.body.clone(),
             received: self.received,
@@ -207,29 +218,36 @@
         }
     }
 
-    /// Whether one more replica may be tried after one that may have run the request.
-    pub fn may_repeat(&self, node: &Node) -> bool {
-        self.route.kind.repeatable()
-            && self.runs < self.route.attempts
-            && self.left(node) > Duration::from_millis(100)
-            && self.take_repeat(node)
+    /// Returns whether another replica may be tried after one that may have run the request, and
+    /// consumes one retry of the budget if so.
+    pub fn try_consume_retry(&self, node: &Node) -> bool {
+        self.route.kind.is_retryable()
+            && self.runs < self.route.max_attempts
+            && self.time_left(node) > MIN_RETRY_TIME
+            && self.consume_retry_budget(node)
     }
 
-    pub(super) fn take_repeat(&self, node: &Node) -> bool {
-        let instances = node.peers.borrow().known();
-        node.repeats
+    /// Consumes one retry of the service's budget; returns false if none is left.
+    pub(super) fn consume_retry_budget(&self, node: &Node) -> bool {
+        let instances = node.peers.borrow().instance_count();
+        node.retry_budget
             .borrow_mut()
-            .take(Instant::now(), &self.service, instances)
+            .try_spend(Instant::now(), &self.service, instances)
     }
 
-    /// Head fields for the replica.
-    pub fn onward(&self, node: &Node, target: &Target, last_event: Option<&str>) -> HeaderMap {
-        let onward = Onward {
+    /// Builds the headers with which the request is forwarded to a replica.
+    pub fn forward_headers(
+        &self,
+        node: &Node,
+        target: &Target,
+        last_event_id: Option<&str>,
+    ) -> HeaderMap {
+        let info = ForwardInfo {
             replica: &target.published.id,
-            left: Some(self.left(node)),
+            time_left: Some(self.time_left(node)),
             organisation: self.organisation.as_ref().map(|o| &*o.name),
-            last_event,
+            last_event_id,
         };
-        node.dialect.onward(&self.head, &onward)
+        node.protocol.forward_headers(&self.head, &info)
     }
 }
--- /dev/null
+++ b/crates/entry/src/server.rs
@@ -0,0 +1,216 @@
+//! HTTP servers for callers, for the load balancer's readiness checks and for peers.
+
+use std::convert::Infallible;
+use std::rc::Rc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http::{Request, Response, StatusCode, header};
+use http_body_util::Full;
+use hyper::body::Incoming;
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper_util::rt::{TokioIo, TokioTimer};
+use kingcupfield_decisions::store_view::Revision;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::time::sleep;
+
+use crate::accept_queue::AcceptQueue;
+use crate::log::Priority;
+use crate::node::{Node, ProcessState};
+use crate::request;
+use crate::snapshot::{SNAPSHOT_PATH, Snapshot};
+
+/// Path of the metrics, on the address for peers and operators.
+const METRICS_PATH: &str = "/metrics";
+
+/// Idle timeout of a caller's connection while no table has been received.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+
+/// Longest time until a connection accepted by a closing instance must have sent its request head.
+const LATE_HEAD_TIMEOUT: Duration = Duration::from_secs(1);
+
+/// Size limit in bytes of a request head while no table has been received.
+const DEFAULT_HEAD_BYTES: usize = 16 * 1024;
+
+/// Smallest size limit in bytes of a request head.
+const MIN_HEAD_BYTES: usize = 8 * 1024;
+
+/// Delay before the next attempt after a connection could not be accepted.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// Counts an open connection of a caller until all its data is written.
+#[derive(Debug)]
+struct ConnectionGuard(Rc<Node>);
+
+impl ConnectionGuard {
+    fn new(node: &Rc<Node>) -> Self {
+        node.open_connections.send_modify(|open| *open += 1);
+        Self(Rc::clone(node))
+    }
+}
+
+impl Drop for ConnectionGuard {
+    fn drop(&mut self) {
+        self.0.open_connections.send_modify(|open| *open -= 1);
+    }
+}
+
+/// Accepts connections of callers until the stage `Shut`, then those left in the accept queue.
+pub async fn serve_callers(node: Rc<Node>, listener: TcpListener) {
+    let mut stage = node.process_state.subscribe();
+    loop {
+        tokio::select! {
+            accepted = listener.accept() => match accepted {
+                Ok((stream, _)) => spawn_connection(&node, stream),
+                // Out of file descriptors: some become free when open connections end.
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
+            },
+            _ = stage.wait_for(|stage| *stage >= ProcessState::Shut) => break,
+        }
+    }
+    drain_accept_queue(&node, listener);
+}
+
+/// Accepts the connections in the listener's queue, then closes the listener. Connections still in
+/// the queue when it closes are reset, although their callers may have sent a request already.
+fn drain_accept_queue(node: &Rc<Node>, listener: TcpListener) {
+    let result = AcceptQueue::new(listener).and_then(|queue| {
+        while let Some(stream) = queue.next()? {
+            spawn_connection(node, stream);
+        }
+        Ok(())
+    });
+    if let Err(e) = result {
+        // The rest of the queue is reset; its callers may retry at another instance.
+        node.log
+            .line(Priority::High, format_args!("event=queue_cut reason={e:?}"));
+    }
+}
+
+/// Serves a connection in a task of its own, counted as open until the task ends.
+fn spawn_connection(node: &Rc<Node>, stream: TcpStream) {
+    let guard = ConnectionGuard::new(node);
+    let connection = serve_connection(Rc::clone(node), stream);
+    tokio::task::spawn_local(async move {
+        connection.await;
+        drop(guard);
+    });
+}
+
+/// Serves the requests of one connection. Once the instance is closing, the connection ends after its
+/// current request.
+async fn serve_connection(node: Rc<Node>, stream: TcpStream) {
+    if stream.set_nodelay(true).is_err() {
+        return;
+    }
+    let mut stage = node.process_state.subscribe();
+    // A connection accepted this late may send one request, at once, and is never kept idle.
+    let late = node.process_state() >= ProcessState::Closing;
+    let limits = node.table().map(|t| t.limits);
+    let idle_timeout = limits.map_or(DEFAULT_IDLE_TIMEOUT, |l| l.idle_timeout.max(l.head_timeout));
+    let head_bytes = limits
+        .map_or(DEFAULT_HEAD_BYTES, |l| l.head_bytes)
+        .max(MIN_HEAD_BYTES);
+    let service = {
+        let node = Rc::clone(&node);
+        service_fn(move |req| {
+            let node = Rc::clone(&node);
+            async move { Ok::<_, Infallible>(request::serve(node, req).await) }
+        })
+    };
+    let connection = http1::Builder::new()
+        .timer(TokioTimer::new())
+        .header_read_timeout(if late {
+            idle_timeout.min(LATE_HEAD_TIMEOUT)
+        } else {
+            idle_timeout
+        })
+        .keep_alive(!late)
+        .max_buf_size(head_bytes * 2)
+        .serve_connection(TokioIo::new(stream), service);
+    let mut connection = std::pin::pin!(connection);
+    if !late {
+        tokio::select! {
+            biased;
+            // An error means that the caller disconnected or sent no valid request.
+            _ = connection.as_mut() => return,
+            _ = stage.wait_for(|stage| *stage >= ProcessState::Closing) => {}
+        }
+        connection.as_mut().graceful_shutdown();
+    }
+    let _ = connection.await;
+}
+
+/// Serves the load balancer's readiness checks: 200 if ready, 503 otherwise.
+pub async fn serve_readiness(node: Rc<Node>, listener: TcpListener) {
+    serve_with(node, listener, |node, _| {
+        let status = if node.is_ready() {
+            StatusCode::OK
+        } else {
+            StatusCode::SERVICE_UNAVAILABLE
+        };
+        request::empty_response(status)
+    })
+    .await;
+}
+
+/// Serves peers and operators: the directory snapshot and the metrics.
+pub async fn serve_peers(node: Rc<Node>, listener: TcpListener) {
+    serve_with(node, listener, |node, req| match req.uri().path() {
+        SNAPSHOT_PATH => snapshot_response(node, req.uri().query().unwrap_or_default()),
+        METRICS_PATH => text_response(node.metrics.render(node)),
+        _ => request::empty_response(StatusCode::NOT_FOUND),
+    })
+    .await;
+}
+
+/// Returns the directory entries that changed after a revision; the query is that revision.
+fn snapshot_response(node: &Node, after: &str) -> Response<Full<Bytes>> {
+    let after: Revision = after.parse().unwrap_or(0);
+    let known = node.directory.borrow();
+    let changed = known.entries().iter().filter(|e| e.revision > after);
+    let snapshot = Snapshot {
+        upto: known.complete_up_to(),
+        store_trouble: node.directory_reader.borrow().store_failed_recently(),
+        entries: changed.cloned().collect(),
+    };
+    match rmp_serde::to_vec(&snapshot) {
+        Ok(bytes) => Response::new(Full::new(bytes.into())),
+        Err(_) => request::empty_response(StatusCode::INTERNAL_SERVER_ERROR),
+    }
+}
+
+/// Returns a text in the Prometheus exposition format.
+fn text_response(text: String) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(text.into()));
+    let plain = http::HeaderValue::from_static("text/plain; version=0.0.4");
+    response.headers_mut().insert(header::CONTENT_TYPE, plain);
+    response
+}
+
+/// Builds the response to a request whose body is ignored.
+type Handler = fn(&Node, &Request<Incoming>) -> Response<Full<Bytes>>;
+
+/// Accepts connections until the process ends and passes each request to `handler`.
+async fn serve_with(node: Rc<Node>, listener: TcpListener, handler: Handler) {
+    loop {
+        let Ok((stream, _)) = listener.accept().await else {
+            // Out of file descriptors: an immediate retry would fail the same way.
+            sleep(ACCEPT_RETRY_DELAY).await;
+            continue;
+        };
+        let node = Rc::clone(&node);
+        tokio::task::spawn_local(async move {
+            let service = service_fn(move |req| {
+                let response = handler(&node, &req);
+                async move { Ok::<_, Infallible>(response) }
+            });
+            // An error means that the peer disconnected.
+            let _ = http1::Builder::new()
+                .timer(TokioTimer::new())
+                .serve_connection(TokioIo::new(stream), service)
+                .await;
+        });
+    }
+}
--- a/crates/entry/tests/peers.rs
+++ b/crates/entry/tests/peers.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::credit::Distance;
-use kingcupfield_decisions::elsewhere::{Load, Sum};
+use kingcupfield_decisions::remote_load::{ReplicaLoad, TotalLoad};
 use kingcupfield_entry::peers::{Digest, Nearness, PeerMessage, Peers};
 use proptest::prelude::*;
 use tokio::time::Instant;
@@ -23,7 +23,7 @@
         region: 1,
         store_age_ms: Some(100),
         zone_size: 1,
-        loads: vec![Load {
+        loads: vec![ReplicaLoad {
             replica: 4,
             running: 3,
             prompt: 500,
@@ -37,10 +37,10 @@
 #[test]
 fn a_silent_peer_keeps_its_share_but_not_its_load() {
     let now = Instant::now();
-    let mut peers = Peers::new(now, OWN, true).with_zones([(1, Distance::Home)]);
+    let mut peers = Peers::new(now, OWN, true).with_zones([(1, Distance::SameZone)]);
     peers.on_digest(now, address(1), digest(1));
     peers.on_digest(now, address(2), digest(1));
-    let load = |running, prompt| Sum { running, prompt };
+    let load = |running, prompt| TotalLoad { running, prompt };
     assert_eq!(peers.load_at(4), load(6, 1000));
     let later = now + Duration::from_secs(3);
     peers.on_digest(later, address(2), digest(1));
@@ -48,8 +48,8 @@
     assert_eq!(peers.take_changed_loads(), [4]);
     let home = &mut peers.roster(later).zones[0];
     assert_eq!((home.size, home.members.len()), (3, 1));
-    peers.forget(now + Duration::from_secs(61));
-    assert_eq!(peers.known(), 2);
+    peers.remove_gone(now + Duration::from_secs(61));
+    assert_eq!(peers.instance_count(), 2);
 }
 
 /// An instance starts behind a cut and hears nobody. It mints nothing, as the others may have its share,
@@ -61,8 +61,8 @@
 )]
 fn an_instance_that_hears_nobody_does_not_mint(contacts: bool, after: Duration, mints: bool) {
     let now = Instant::now();
-    let mut peers = Peers::new(now, OWN, contacts).with_zones([(1, Distance::Home)]);
-    assert_eq!(peers.roster(now + after).mints_since.is_some(), mints);
+    let mut peers = Peers::new(now, OWN, contacts).with_zones([(1, Distance::SameZone)]);
+    assert_eq!(peers.roster(now + after).accrues_since.is_some(), mints);
 }
 
 /// An instance started behind a cut and heard nobody for seconds. When the cut heals it hears one after the
@@ -71,18 +71,18 @@
 #[test]
 fn an_instance_claims_nothing_of_the_time_behind_a_cut() {
     let start = Instant::now();
-    let mut peers = Peers::new(start, OWN, true).with_zones([(1, Distance::Home)]);
+    let mut peers = Peers::new(start, OWN, true).with_zones([(1, Distance::SameZone)]);
     let healed = start + Duration::from_secs(10);
-    assert_eq!(peers.roster(healed).mints_since, None);
+    assert_eq!(peers.roster(healed).accrues_since, None);
     let mut elsewhere = digest(1);
     elsewhere.zone = 2;
     peers.on_digest(healed, address(9), elsewhere);
-    assert_eq!(peers.roster(healed).mints_since, None);
+    assert_eq!(peers.roster(healed).accrues_since, None);
     let now = healed + Duration::from_millis(500);
     let mut near = digest(1);
     near.zone_size = 2;
     peers.on_digest(healed, address(1), near);
-    assert_eq!(peers.roster(now).mints_since, Some(now));
+    assert_eq!(peers.roster(now).accrues_since, Some(now));
 }
 
 /// A fleet starts at once. Each instance mints once those of its zone know as many as it does: one that
@@ -90,34 +90,34 @@
 #[test]
 fn an_instance_mints_once_its_zone_knows_it() {
     let start = Instant::now();
-    let mut peers = Peers::new(start, OWN, true).with_zones([(1, Distance::Home)]);
+    let mut peers = Peers::new(start, OWN, true).with_zones([(1, Distance::SameZone)]);
     let now = start + Duration::from_secs(1);
     let mut elsewhere = digest(1);
     elsewhere.zone = 2;
     peers.on_digest(start, address(9), elsewhere);
-    assert_eq!(peers.roster(start).mints_since, None);
+    assert_eq!(peers.roster(start).accrues_since, None);
     assert_eq!(
-        peers.roster(now).mints_since,
+        peers.roster(now).accrues_since,
         None,
         "it hears nobody of its zone"
     );
     peers.on_digest(start, address(1), digest(1));
     assert_eq!(
-        peers.roster(now).mints_since,
+        peers.roster(now).accrues_since,
         None,
         "the other one knows itself alone"
     );
     let mut knows = digest(1);
     knows.zone_size = 2;
     peers.on_digest(now, address(1), knows);
-    assert!(peers.roster(now).mints_since.is_some());
-    assert_eq!(peers.roster(now).size(), 2);
+    assert!(peers.roster(now).accrues_since.is_some());
+    assert_eq!(peers.roster(now).zone_size(), 2);
     peers.on_digest(now, address(2), digest(1));
     assert!(
-        peers.roster(now).mints_since.is_some(),
+        peers.roster(now).accrues_since.is_some(),
         "it goes on when another one joins"
     );
-    assert_eq!(peers.roster(now).size(), 3);
+    assert_eq!(peers.roster(now).zone_size(), 3);
 }
 
 struct Readers {
@@ -145,7 +145,10 @@
         digest.store_age_ms = *age;
         peers.on_digest(now, address(*last), digest);
     }
-    assert_eq!(peers.reads(now, 1, Duration::from_secs(5)), case.reads);
+    assert_eq!(
+        peers.reads_store(now, 1, Duration::from_secs(5)),
+        case.reads
+    );
 }
 
 /// A fleet starts at once. Whoever is heard for the first time is told everything, once, so that
@@ -153,7 +156,7 @@
 #[test]
 fn new_instances_are_greeted_once() {
     let now = Instant::now();
-    let mut peers = Peers::new(now, OWN, true).with_zones([(1, Distance::Home)]);
+    let mut peers = Peers::new(now, OWN, true).with_zones([(1, Distance::SameZone)]);
     let mut first = digest(1);
     first.members = vec![(1, vec![address(7), OWN])];
     assert_eq!(
@@ -161,7 +164,7 @@
         [address(7), address(1)]
     );
     assert_eq!(peers.on_digest(now, address(1), digest(1)).greet.len(), 0);
-    peers.on_told(now, address(7));
+    peers.record_greeting(now, address(7));
     assert_eq!(peers.on_digest(now, address(7), digest(1)).greet.len(), 0);
     assert_eq!(peers.all()[0].nearness(1, 1), Nearness::Zone);
     assert_eq!(peers.all()[0].nearness(2, 1), Nearness::Region);
@@ -173,8 +176,8 @@
 #[test]
 fn those_of_other_zones_are_greeted_if_they_ask() {
     let now = Instant::now();
-    let mut peers =
-        Peers::new(now, OWN, true).with_zones([(7, Distance::Home), (1, Distance::Far)]);
+    let mut peers = Peers::new(now, OWN, true)
+        .with_zones([(7, Distance::SameZone), (1, Distance::OtherRegion)]);
     let mut asks = digest(1);
     asks.greeting = true;
     asks.members = vec![(1, vec![address(3)])];
@@ -230,7 +233,7 @@
         if let Ok(PeerMessage::Digest(digest, _)) = rmp_serde::from_slice(&bytes) {
             peers.on_digest(now, address(1), *digest);
         }
-        prop_assert!(peers.known() >= 1);
+        prop_assert!(peers.instance_count() >= 1);
     }
 }
 
@@ -246,5 +249,5 @@
     let later = start + Duration::from_secs(5);
     let heard = peers.on_digest(later, address(2), digest(1));
     assert!(heard.silent.contains(&address(1)), "{:?}", heard.silent);
-    assert_eq!(peers.silence(later), Vec::<Ipv4Addr>::new());
+    assert_eq!(peers.drop_silent(later), Vec::<Ipv4Addr>::new());
 }
--- a/src/scheduler/placing.rs
+++ b/src/scheduler/placing.rs
@@ -6,15 +6,15 @@
 use kingcupfield_decisions::id::{InstanceId, RequestId, UpstreamId};
 use kingcupfield_decisions::pace::Pace;
 use kingcupfield_decisions::regions::Regions;
-use kingcupfield_decisions::routing::{Candidate, RouteRequest, choose};
-use kingcupfield_decisions::shedding::{Estimate, is_hopeless};
+use kingcupfield_decisions::routing::{Candidate, RouteRequest, choose_replicas};
+use kingcupfield_decisions::shedding::{Estimate, is_unmeetable};
 use kingcupfield_decisions::slots::{Rejection, Reservation};
 use kingcupfield_decisions::values::ServiceKind;
 use kingcupfield_decisions::work::Work;
 use tokio::time::Instant;
 
 use super::{Decision, GivenUp, Need, PLAIN_WORK, Scheduler, Waiter};
-use crate::error::{Kind, Refusal};
+use crate::error::{Refusal, RefusalKind};
 use crate::fleet::Snapshot;
 use crate::members::View;
 use crate::record::Step;
@@ -25,22 +25,26 @@
     /// Lets a request wait for a grant; the decision comes through `decision`.
     pub fn acquire(&mut self, now: Instant, meta: Arc<Meta>, need: Need, decision: Decision) {
         let rank = meta.rank;
-        if !self.pool_mut(&meta.service).member.allowed(now, rank) {
+        if !self.pool_mut(&meta.service).member.admits(now, rank) {
             let after = self.retry_after(now, &meta.service, Duration::ZERO);
             decision
-                .send(Err(Refusal::new(Kind::Shed).with_retry_after(after)))
+                .send(Err(Refusal::new(RefusalKind::Shed).with_retry_after(after)))
                 .ok();
             return;
         }
         let request = meta.request.clone();
         let Err(at) = self.waiter_at(&request) else {
-            decision.send(Err(Refusal::new(Kind::Unknown))).ok();
+            decision.send(Err(Refusal::new(RefusalKind::Unknown))).ok();
             return;
         };
-        if !self.pool_mut(&meta.service).member.wait(&request, rank) {
+        if !self
+            .pool_mut(&meta.service)
+            .member
+            .add_waiting(&request, rank)
+        {
             let after = self.retry_after(now, &meta.service, Duration::ZERO);
             decision
-                .send(Err(Refusal::new(Kind::Shed).with_retry_after(after)))
+                .send(Err(Refusal::new(RefusalKind::Shed).with_retry_after(after)))
                 .ok();
             return;
         }
@@ -168,7 +172,7 @@
             bytes: need.bytes,
         };
         let lowest = self.bottom();
-        choose(
+        choose_replicas(
             now,
             &route,
             candidates,
@@ -210,7 +214,7 @@
         wait: Duration::ZERO,
         service: best_service(candidates, work).unwrap_or_default(),
     };
-    is_hopeless(time_left, estimate).then_some(Rejection::Late)
+    is_unmeetable(time_left, estimate).then_some(Rejection::Late)
 }
 
 /// Time from dispatch to the end of the answer on the fastest candidate whose pace is known.
@@ -222,5 +226,5 @@
     if known.len() < candidates.len() {
         return None;
     }
-    known.iter().map(|pace| pace.service(work)).min()
+    known.iter().map(|pace| pace.service_time(work)).min()
 }
