--- a/crates/decisions/src/holder.rs
+++ b/crates/decisions/src/holder.rs
@@ -48,7 +48,7 @@
     Refuse {
         /// The request.
         request: RequestId,
-        /// Why the last owner refused, or the owner with the shortest wait.
+        /// Reason of the owner that estimated the shortest wait.
         why: Rejection,
         /// Shortest wait that an owner estimated.
         wait: Duration,
--- a/crates/decisions/src/idempotency/issuer.rs
+++ b/crates/decisions/src/idempotency/issuer.rs
@@ -328,7 +328,7 @@
                 Permission::Granted
             }
             (KeyState::Waiting, Some(witness)) => {
-                let ask = Permission::AskWitness {
+                let permission = Permission::AskWitness {
                     to: Arc::clone(&witness.instance),
                     message: WitnessRequest::Permit {
                         key: record.key.id(),
@@ -337,7 +337,7 @@
                     },
                 };
                 record.state = KeyState::Asking { upstream };
-                ask
+                permission
             }
             // Already asked: the replies to two requests could not be told apart.
             _ => Permission::NotRun(self.abandon_at(i, NotRun::NoWitness)),
--- a/crates/decisions/src/slots/events.rs
+++ b/crates/decisions/src/slots/events.rs
@@ -12,6 +12,7 @@
 use crate::work::Work;
 
 impl SlotQueue {
+    /// Queues a new reservation or rejects it; renews the grant of a request that has a slot.
     pub(super) fn on_reserve(
         &mut self,
         now: Instant,
@@ -82,6 +83,7 @@
         late.then_some(Rejection::Late)
     }
 
+    /// Removes a waiting request or frees its unused grant.
     pub(super) fn on_withdraw(&mut self, from: &InstanceId, request: &RequestId) {
         self.waiting.remove(request);
         let granted = self.used_slots.get_mut(request);
@@ -92,6 +94,7 @@
         }
     }
 
+    /// Marks a granted request as sent to the replica.
     pub(super) fn on_dispatched(&mut self, now: Instant, from: &InstanceId, request: RequestId) {
         let uncached_ahead = self.used_slots.awaited_prefill();
         let prompts_ahead = self.used_slots.awaited_prompts();
@@ -135,6 +138,7 @@
         }
     }
 
+    /// Records the first token of a running request.
     pub(super) fn on_started(&mut self, now: Instant, request: &RequestId, first_token: Duration) {
         let in_use = self.used_slots.len();
         let Some(slot) = self.used_slots.get_mut(request) else {
@@ -154,6 +158,7 @@
         self.feedback.on_first_token(now, first);
     }
 
+    /// Frees the slot of a request that ended and records its outcome.
     pub(super) fn on_finished(
         &mut self,
         now: Instant,
@@ -181,6 +186,7 @@
         }
     }
 
+    /// Applies a holder's list of running requests.
     pub(super) fn on_renew(
         &mut self,
         now: Instant,
@@ -202,17 +208,20 @@
         }
     }
 
+    /// Removes and returns the waiting requests of a holder.
     pub(super) fn drop_waiting_of(&mut self, holder: &InstanceId) -> Vec<Entry> {
         self.waiting
             .remove_if(|entry| entry.reservation.holder == *holder)
     }
 
+    /// Frees all slots of a holder.
     pub(super) fn free_slots_of(&mut self, holder: &InstanceId) {
         for slot in self.used_slots.remove_if(|slot| slot.holder == *holder) {
             self.refund(&slot, Work::default());
         }
     }
 
+    /// Drops the reservations of holders whose lease expired, and frees the slots of dead ones.
     pub(super) fn drop_silent_holders(&mut self, now: Instant, messages: &mut Vec<HolderEnvelope>) {
         for known in self.holders.lease_expired(now) {
             // A holder that was only paused reserves again when it receives this rejection.
--- a/crates/decisions/src/slots/queue.rs
+++ b/crates/decisions/src/slots/queue.rs
@@ -45,9 +45,11 @@
 pub struct SlotQueue {
     pub(super) upstream: UpstreamId,
     generation: Option<String>,
+    /// Time from which this instance owns the replica.
     owned_since: Instant,
     /// Number of live entry instances in the availability zone.
     zone_size: usize,
+    /// Maximum number of waiting reservations.
     pub(super) max_waiting: usize,
     pub(super) holders: KnownHolders,
     pub(super) waiting: FairQueue,
@@ -58,6 +60,7 @@
     pub(super) cache: PrefixCache,
     /// Lowest tier that is granted; higher ranks are lower tiers.
     pub(super) lowest_rank: Rank,
+    /// Whether the replica is leaving; then nothing is granted.
     pub(super) leaving: bool,
 }
 
@@ -288,6 +291,7 @@
         !self.is_learning(now) || self.own_grants < own_limit.max(1)
     }
 
+    /// Grants slots to waiting requests while there is room.
     fn grant(&mut self, now: Instant, messages: &mut Vec<HolderEnvelope>) {
         while !self.leaving && !self.waiting.is_empty() && self.can_grant(now) {
             let slots = self.feedback.allowed(now, &self.used_slots);
@@ -299,6 +303,7 @@
         }
     }
 
+    /// Grants a slot to a request that was removed from the waiting ones.
     fn grant_entry(&mut self, now: Instant, entry: &Entry, messages: &mut Vec<HolderEnvelope>) {
         let reservation = &entry.reservation;
         let known = self.holders.get(&reservation.holder);
@@ -370,6 +375,7 @@
         self.rejection(&reservation.holder, &reservation.request, why, wait)
     }
 
+    /// The message that rejects a request.
     pub(super) fn rejection(
         &self,
         to: &InstanceId,
