--- a/crates/decisions/src/holder.rs
+++ b/crates/decisions/src/holder.rs
@@ -125,13 +125,13 @@
         }
     }
 
-    /// Reserves at the first candidate alone, and at the others only `after` that time without a
+    /// Reserves at the first candidate alone, and at the others only after `delay` without a
     /// grant or when the first one refuses.
     ///
     /// If the first replica has a free slot, its owner grants in one round trip: the cached prefix
     /// is used and the other owners get no message.
-    pub fn with_widen_delay(mut self, after: Duration) -> Self {
-        self.widen_delay = after;
+    pub fn with_widen_delay(mut self, delay: Duration) -> Self {
+        self.widen_delay = delay;
         self
     }
 
--- a/crates/decisions/src/idempotency/receiver.rs
+++ b/crates/decisions/src/idempotency/receiver.rs
@@ -77,8 +77,8 @@
 impl Receiver {
     /// Starts the call; its key was verified.
     ///
-    /// `latest_incarnation` is the latest incarnation of the issuer that this instance has seen. If it is later
-    /// than the key's, the issuer has restarted and the witness is asked at once.
+    /// `latest_incarnation` is the latest incarnation of the issuer that this instance has seen. If
+    /// it is later than the key's, the issuer has restarted and the witness is asked at once.
     pub fn start(key: Key, latest_incarnation: Option<Incarnation>) -> StartedReceiver {
         let mut receiver = Self {
             key,
--- a/crates/decisions/src/slots.rs
+++ b/crates/decisions/src/slots.rs
@@ -1,9 +1,9 @@
 //! Queue of reservations for one replica, which decides which request may be sent to it next.
 //!
 //! Each replica has one *owner*, an instance that runs its queue. The entry instance that received
-//! a request is its *holder*: it reserves the request at the owners of several replicas and keeps the
-//! payload. An owner with a free slot grants it to one waiting request under a short lease, and the
-//! holder sends the request to the replica if the lease is still valid.
+//! a request is its *holder*: it reserves the request at the owners of several replicas and keeps
+//! the payload. An owner with a free slot grants it to one waiting request under a short lease, and
+//! the holder sends the request to the replica if the lease is still valid.
 //!
 //! Load pattern: bursts and overload on engines that know no priorities and admit requests in order
 //! of arrival. Without this queue a request of a low tier that arrived first runs first inside the
--- a/crates/decisions/tests/idempotency.rs
+++ b/crates/decisions/tests/idempotency.rs
@@ -225,7 +225,7 @@
 #[parameterized(
     fresh = { KEY_LIFETIME.mul_f32(0.99), UseDecision::First },
     expired = { KEY_LIFETIME, not_run(NotRun::Expired) },
-    forgotten = { RECORD_RETENTION, UseDecision::Answer(IssuerReply::Outcome(KeyOutcome::Unknown { upstream: None })) },
+    record_dropped = { RECORD_RETENTION, UseDecision::Answer(IssuerReply::Outcome(KeyOutcome::Unknown { upstream: None })) },
 )]
 fn an_unused_key_expires(age: Duration, expected: UseDecision) {
     let mut harness = Harness::new();
@@ -249,7 +249,7 @@
     assert_eq!(
         harness.close(&unused),
         WitnessReply::Lost,
-        "older than a forgotten one"
+        "older than a dropped record"
     );
     assert!(harness.issuer.is_empty() && harness.witness.is_empty());
     let later = harness.issue();
