--- a/crates/decisions/src/idempotency/outcome.rs
+++ b/crates/decisions/src/idempotency/outcome.rs
@@ -58,7 +58,7 @@
 pub enum NotRun {
     /// The caller's deadline passed before the first byte could be sent.
     Late,
-    /// The key was first used after [`KEY_LIFETIME`](super::KEY_LIFETIME).
+    /// The key was not dispatched within [`KEY_LIFETIME`](super::KEY_LIFETIME) of its issue.
     Expired,
     /// The witness closed the key because its issuer was unreachable.
     Closed,
--- a/crates/decisions/src/idempotency/receiver.rs
+++ b/crates/decisions/src/idempotency/receiver.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum IssuerReply {
-    /// The outcome of the key is final.
+    /// The outcome of the call.
     Outcome(KeyOutcome),
     /// The call did not run, as it was shed or exceeded a limit; the key may be used again.
     Refused,
