--- a/crates/decisions/src/dispatch.rs
+++ b/crates/decisions/src/dispatch.rs
@@ -1,21 +1,21 @@
-//! Which waiting request goes next, and to which replica.
+//! Decides which waiting request is dispatched next, and to which replica.
 //!
 //! Load pattern: bursts beyond capacity, replicas of differing speed, long prompts among short
-//! ones. Engines admit in order of arrival, so a request that is sent to a full engine waits
-//! behind cheaper work and its place in line can't be changed. Requests therefore wait here, the
-//! most urgent first, until a replica has a free place; then the replica is chosen at which the
-//! first token comes soonest, counted with what it costs the streams that already run there.
+//! ones. Engines admit requests in order of arrival: a request sent to a full engine waits behind
+//! less urgent work and can't be reordered there. Requests therefore wait in this queue, ordered by
+//! priority, until a replica has a free slot. The replica with the lowest cost is chosen: the
+//! expected time to the first token plus the delay caused to the streams already running there.
 //!
-//! Load is counted, not reported: this instance knows its own requests exactly, and the others
-//! tell theirs several times a second. A count that is a little old overfills an engine by one or
-//! two requests for a moment; nothing else depends on it.
+//! Load is counted rather than read from the replicas: each instance knows its own requests exactly
+//! and receives the counts of the other instances several times a second. A stale count overfills
+//! an engine by one or two requests for a moment; nothing else depends on it.
 
 mod choice;
 mod job;
-pub mod pace;
+mod latency;
+mod priority;
 mod size;
 mod upstream;
-mod urgency;
 
 use std::time::Duration;
 
@@ -25,60 +25,64 @@
 use crate::id::{InstanceAddress, ServiceId, UpstreamId};
 use crate::regions::Regions;
 
-use size::{Reading, Sizes};
+use priority::Waiting;
+use size::{PromptCost, SizeStats};
 use upstream::{Running, Upstream};
-use urgency::Waiting;
 
 pub use job::{
     Assignment, ChoiceDetails, Job, Outcome, ReplicaCounts, ReplicaUsage, ServiceAvailability,
 };
+pub use priority::{Competitor, PriorityClass};
 pub use upstream::Replica;
-pub use urgency::{Competitor, PriorityClass};
 
-/// Number of a request at this instance.
+/// Identifies a request within this instance.
 pub type JobId = u64;
 
-/// The waiting requests and the replicas of one instance.
+/// Queue of waiting requests and load of each replica, as seen by one instance.
 #[derive(Debug, Default)]
 pub struct Dispatcher {
     upstreams: Vec<Upstream>,
     waiting: Vec<Waiting>,
-    /// What is learned of each service's requests.
-    sizes: Vec<(ServiceId, Sizes)>,
-    /// What waits at the other instances of the zone.
-    contenders: Vec<Competitor>,
-    /// This instance, by a number that all give it alike.
-    key: u32,
-    /// The instances of this zone with this one, while they are known.
+    /// Request sizes and prompt costs learned for each service, sorted by service.
+    size_stats: Vec<(ServiceId, SizeStats)>,
+    /// Highest priority that waits at each other instance of the zone.
+    competitors: Vec<Competitor>,
+    /// Address of this instance, by which the other instances identify it.
+    own_address: u32,
+    /// Instances of this zone including this one; `None` while they are unknown.
     members: Option<Vec<InstanceAddress>>,
 }
 
 impl Dispatcher {
-    /// Nothing waits, no replica is known.
+    /// Creates a dispatcher without requests and replicas.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Gives the instance the number by which the others know it.
-    pub fn with_address(mut self, key: u32) -> Self {
-        self.key = key;
+    /// Sets the address by which the other instances identify this one.
+    pub fn with_address(mut self, own_address: u32) -> Self {
+        self.own_address = own_address;
         self
     }
 
-    /// Takes the published replicas; what was learned of those that stay is kept.
+    /// Replaces the list of replicas. What was learned about a replica stays while its incarnation
+    /// does.
     pub fn update_replicas(&mut self, now: Instant, replicas: &[Replica]) {
         let old = std::mem::take(&mut self.upstreams);
         let ids: Vec<UpstreamId> = old.iter().map(|u| u.replica.id.clone()).collect();
         let mut old: Vec<Option<Upstream>> = old.into_iter().map(Some).collect();
         for replica in replicas {
             let known = ids.binary_search(&replica.id).ok();
-            let known = known.and_then(|at| old[at].take());
+            let known = known.and_then(|i| old[i].take());
             let upstream = match known.filter(|u| u.replica.incarnation == replica.incarnation) {
                 Some(mut known) => {
                     known.replica = replica.clone();
                     known
                 }
-                None => Upstream::new(replica.clone(), ColdGate::new(now, self.keeps(replica))),
+                None => Upstream::new(
+                    replica.clone(),
+                    ColdGate::new(now, self.is_designated(replica)),
+                ),
             };
             self.upstreams.push(upstream);
         }
@@ -86,359 +90,403 @@
             .sort_by(|a, b| a.replica.id.cmp(&b.replica.id));
     }
 
-    /// Takes the instances of this zone, with this one and the silent ones; `None` while they are not
-    /// known, or this one ends.
+    /// Replaces the list of instances in this zone, which includes this one and those that don't
+    /// respond. `None` if the list is unknown or this instance is shutting down.
     pub fn update_members(&mut self, now: Instant, members: Option<Vec<InstanceAddress>>) {
         if self.members == members {
             return;
         }
         self.members = members;
-        let keeps: Vec<bool> = self
+        let designated: Vec<bool> = self
             .upstreams
             .iter()
-            .map(|u| self.keeps(&u.replica))
+            .map(|u| self.is_designated(&u.replica))
             .collect();
-        for (u, keeps) in self.upstreams.iter_mut().zip(keeps) {
-            u.gate.set_designated(now, keeps);
+        for (u, designated) in self.upstreams.iter_mut().zip(designated) {
+            u.cold_gate.set_designated(now, designated);
         }
     }
 
-    /// Whether the replica is reached through this instance while it is cold.
-    fn keeps(&self, replica: &Replica) -> bool {
+    /// Whether this instance is the one that may send requests to the replica while it is cold.
+    fn is_designated(&self, replica: &Replica) -> bool {
         let members = self.members.as_deref().filter(|_| replica.in_own_zone);
         members.is_some_and(|members| {
-            cold::designated_instance(&replica.id, members) == Some(self.key)
+            cold::designated_instance(&replica.id, members) == Some(self.own_address)
         })
     }
 
-    /// Takes what the other instances have at a replica.
-    pub fn update_remote_load(&mut self, upstream: &UpstreamId, running: u32, prompt: f64) {
+    /// Updates the number of requests, and their unread prompt tokens, that other instances have
+    /// running at a replica.
+    pub fn update_remote_load(&mut self, upstream: &UpstreamId, running: u32, prompt_tokens: f64) {
         if let Some(u) = self.find(upstream) {
-            u.elsewhere = running;
-            u.prompt_elsewhere = prompt;
+            u.remote_running = running;
+            u.remote_prompt_tokens = prompt_tokens;
         }
     }
 
-    /// Takes what waits at the other instances of the zone.
-    pub fn update_competitors(&mut self, contenders: Vec<Competitor>) {
-        self.contenders = contenders;
+    /// Updates the highest priorities that wait at the other instances of the zone.
+    pub fn update_competitors(&mut self, competitors: Vec<Competitor>) {
+        self.competitors = competitors;
     }
 
-    /// The most urgent class that waits here, by service.
+    /// Highest priority waiting at this instance for each service, sorted by service.
     pub fn highest_waiting_priorities(&self, now: Instant) -> Vec<(ServiceId, PriorityClass)> {
-        let mut urgent: Vec<(ServiceId, PriorityClass)> = Vec::new();
+        let mut highest: Vec<(ServiceId, PriorityClass)> = Vec::new();
         for w in &self.waiting {
             let class = w.class(now);
-            match urgent.binary_search_by(|(s, _)| s.cmp(&w.job.service)) {
-                Ok(at) => urgent[at].1 = urgent[at].1.min(class),
-                Err(at) => urgent.insert(at, (w.job.service.clone(), class)),
+            match highest.binary_search_by(|(s, _)| s.cmp(&w.job.service)) {
+                Ok(i) => highest[i].1 = highest[i].1.min(class),
+                Err(i) => highest.insert(i, (w.job.service.clone(), class)),
             }
         }
-        urgent
+        highest
     }
 
-    /// Takes a peer's word on how fast a replica is.
+    /// Stores the batch step time that a peer measured at a replica, if none was measured here.
     pub fn on_peer_step_time(&mut self, upstream: &UpstreamId, step_ms: f64) {
         if let Some(u) = self.find(upstream) {
-            u.pace.hint_step_ms(step_ms);
+            u.pace.on_peer_step_ms(step_ms);
         }
     }
 
-    /// Replicas that could not be reached just now.
+    /// Replicas in backoff because a connection to them failed.
     pub fn unreachable_replicas(&self, now: Instant) -> impl Iterator<Item = &UpstreamId> {
         self.upstreams
             .iter()
-            .filter(move |u| u.missed > 0 && u.shunned(now))
+            .filter(move |u| u.connect_failures > 0 && u.in_backoff(now))
             .map(|u| &u.replica.id)
     }
 
-    /// Takes a peer's word that a replica could not be reached.
+    /// Puts a replica into backoff because a peer failed to connect to it.
     pub fn on_peer_unreachable(&mut self, now: Instant, upstream: &UpstreamId) {
         if let Some(u) = self.find(upstream) {
-            u.hint_unreachable(now);
+            u.on_peer_unreachable(now);
         }
     }
 
-    /// Places at each replica.
+    /// Requests running at each replica, beside its slots.
     pub fn replica_usage(&self) -> impl Iterator<Item = ReplicaUsage<'_>> {
         self.upstreams.iter().map(|u| ReplicaUsage {
             upstream: &u.replica.id,
             own_running: u.running.len() as u32,
-            remote_running: u.elsewhere,
+            remote_running: u.remote_running,
             slots: u.replica.slots,
         })
     }
 
-    /// How many replicas may get how much now.
+    /// Counts the replicas by whether they accept requests now.
     pub fn replica_counts(&self, now: Instant) -> ReplicaCounts {
-        let mut openness = ReplicaCounts::default();
+        let mut counts = ReplicaCounts::default();
         for u in &self.upstreams {
-            let count = match (u.replica.usable, u.is_cold(now), u.is_closed(now)) {
-                (false, _, _) => &mut openness.unusable,
-                (true, _, true) => &mut openness.cold_not_designated,
-                (true, true, false) => &mut openness.cold_designated,
-                (true, false, false) => &mut openness.accepting,
+            let count = match (
+                u.replica.usable,
+                u.is_cold(now),
+                u.is_cold_not_designated(now),
+            ) {
+                (false, _, _) => &mut counts.unusable,
+                (true, _, true) => &mut counts.cold_not_designated,
+                (true, true, false) => &mut counts.cold_designated,
+                (true, false, false) => &mut counts.accepting,
             };
             *count += 1;
         }
-        openness
+        counts
     }
 
-    /// Own requests, their unread prompt tokens and the learned step of each replica.
+    /// For each replica: requests of this instance, their unread prompt tokens and the measured
+    /// step time in ms.
     pub fn own_load(&self) -> impl Iterator<Item = (&UpstreamId, u32, f64, Option<f64>)> {
         self.upstreams.iter().map(|u| {
-            let prompt = u.running.iter().map(|r| r.prompt).sum();
+            let unread_prompt_tokens = u.running.iter().map(|r| r.unread_prompt_tokens).sum();
             let running = u.running.len() as u32;
-            (&u.replica.id, running, prompt, u.pace.learned_step_ms())
+            (
+                &u.replica.id,
+                running,
+                unread_prompt_tokens,
+                u.pace.learned_step_ms(),
+            )
         })
     }
 
-    /// By how many halves of a tier a request stands back for its size, beside those of its service.
-    pub fn size_demotion(&self, service: &ServiceId, prompt: f64, output: f64) -> u32 {
-        self.learned(service)
-            .map_or(0, |s| s.setback(s.size(prompt, output)))
+    /// Half tiers by which a request is demoted for its size relative to other requests of its
+    /// service.
+    pub fn size_demotion(
+        &self,
+        service: &ServiceId,
+        prompt_tokens: f64,
+        output_tokens: f64,
+    ) -> u32 {
+        self.find_size_stats(service).map_or(0, |s| {
+            s.demotion(s.log2_steps(prompt_tokens, output_tokens))
+        })
     }
 
-    /// Adds a request.
+    /// Adds a request to the queue.
     pub fn enqueue(&mut self, job: Job) {
-        let engine = |u: &&Upstream| u.replica.is_engine && u.replica.service == job.service;
-        let slots = self.upstreams.iter().find(engine).map(|u| u.replica.slots);
-        let setback = slots.map_or(0, |slots| {
-            let sizes = self.sizes(&job.service);
-            sizes.on_request(job.prompt_tokens, job.expected_output_tokens, slots)
+        let is_engine_of_service =
+            |u: &&Upstream| u.replica.is_engine && u.replica.service == job.service;
+        let slots = self
+            .upstreams
+            .iter()
+            .find(is_engine_of_service)
+            .map(|u| u.replica.slots);
+        let size_demotion = slots.map_or(0, |slots| {
+            let size_stats = self.size_stats_mut(&job.service);
+            size_stats.on_request(job.prompt_tokens, job.expected_output_tokens, slots)
         });
-        self.waiting.push(Waiting { job, setback });
+        self.waiting.push(Waiting { job, size_demotion });
     }
 
-    /// Takes a request out whose caller went away.
+    /// Removes a request whose caller disconnected.
     pub fn cancel(&mut self, job: JobId) {
         self.waiting.retain(|w| w.job.id != job);
     }
 
-    /// Number of waiting requests.
+    /// Number of requests in the queue.
     pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Places as many waiting requests as there is room for.
+    /// Assigns waiting requests to replicas until no replica can accept another one.
     pub fn assign(&mut self, now: Instant) -> Vec<Assignment> {
         self.assign_preferring_connected(now, |_| false)
     }
 
-    /// Places as many waiting requests as there is room for; `warm` tells to which replicas a
-    /// connection is open already.
-    pub fn assign_preferring_connected<W>(&mut self, now: Instant, warm: W) -> Vec<Assignment>
+    /// Assigns waiting requests to replicas until no replica can accept another one. All else
+    /// equal, a replica is preferred for which `is_connected` reports an open connection.
+    pub fn assign_preferring_connected<W>(
+        &mut self,
+        now: Instant,
+        is_connected: W,
+    ) -> Vec<Assignment>
     where
         W: Fn(&UpstreamId) -> bool,
     {
-        let mut placed = Vec::new();
-        let mut open = self.open(now);
+        let mut assignments = Vec::new();
+        let mut accepting = self.accepting_replicas(now);
         if self.waiting.is_empty() {
-            return placed;
+            return assignments;
         }
         let mut last_resorts = self.last_resorts(now);
         self.waiting
             .sort_by_key(|w| (w.class(now), w.job.received_at));
-        let mut at = 0;
-        while at < self.waiting.len() && !(open.is_empty() && last_resorts.is_empty()) {
-            let w = &self.waiting[at];
+        let mut i = 0;
+        while i < self.waiting.len() && !(accepting.is_empty() && last_resorts.is_empty()) {
+            let w = &self.waiting[i];
             let resorts: &[usize] = match &last_resorts[..] {
                 [] => &[],
-                _ if self.takes_work(now, &w.job) => &[],
+                _ if self.any_accepts_work(now, &w.job) => &[],
                 resorts => resorts,
             };
-            let candidates = open.iter().chain(resorts).copied();
-            match self.choose(now, w, candidates, &warm) {
-                Some((index, why)) => {
-                    let job = self.waiting.remove(at).job;
-                    placed.push(self.start(now, &job, index, why));
-                    if !self.upstreams[index].note_room(now) {
-                        open.retain(|i| *i != index);
+            let candidates = accepting.iter().chain(resorts).copied();
+            match self.choose_replica(now, w, candidates, &is_connected) {
+                Some((index, details)) => {
+                    let job = self.waiting.remove(i).job;
+                    assignments.push(self.start(now, &job, index, details));
+                    if !self.upstreams[index].update_free_since(now) {
+                        accepting.retain(|i| *i != index);
                     }
                     last_resorts.retain(|i| *i != index);
                 }
-                None => at += 1,
+                None => i += 1,
             }
         }
-        placed
+        assignments
     }
 
-    /// Whether some replica of a service would end an answer within `left`, once it has a place there.
+    /// Whether some replica of a service would finish the response within `time_left` of its
+    /// dispatch.
     ///
-    /// Load pattern: streams of many seconds that come to an instance which ends in a few. Taken all
-    /// the same, they hold a place until the end and are cut, though another instance could serve
-    /// them whole.
+    /// Load pattern: long streams that arrive shortly before an instance shuts down. If it accepted
+    /// them, they would hold a slot until they are cut off, though another instance could serve
+    /// them to the end. Without any usable replica of the service the answer is `true`.
     pub fn can_finish_within(
         &self,
-        left: Duration,
+        time_left: Duration,
         service: &ServiceId,
-        prompt: f64,
-        output: f64,
+        prompt_tokens: f64,
+        output_tokens: f64,
     ) -> bool {
-        let reading = self.reading(service);
-        let ends: Vec<bool> = self
+        let prompt_cost = self.prompt_cost(service);
+        let can_finish: Vec<bool> = self
             .upstreams
             .iter()
             .filter(|u| u.replica.usable && u.replica.service == *service)
-            .map(|u| u.could_end(left, prompt, output, &reading))
+            .map(|u| u.can_finish_within(time_left, prompt_tokens, output_tokens, &prompt_cost))
             .collect();
-        ends.is_empty() || ends.contains(&true)
+        can_finish.is_empty() || can_finish.contains(&true)
     }
 
-    /// How the replicas of a service stand now for a request that may be served in `regions`.
+    /// Counts the replicas of a service by what keeps them from a request restricted to `regions`.
     pub fn availability(
         &self,
         now: Instant,
         service: &ServiceId,
         regions: &Regions,
     ) -> ServiceAvailability {
-        let mut standing = ServiceAvailability::default();
+        let mut availability = ServiceAvailability::default();
         let usable = self
             .upstreams
             .iter()
             .filter(|u| u.replica.usable && u.replica.service == *service);
         for u in usable {
-            standing.usable += 1;
+            availability.usable += 1;
             if !regions.allows(&u.replica.region) {
-                standing.region_not_allowed += 1;
-            } else if u.is_closed(now) {
-                standing.cold_not_designated += 1;
-            } else if !u.takes_work(now) {
-                standing.ejected += 1;
+                availability.region_not_allowed += 1;
+            } else if u.is_cold_not_designated(now) {
+                availability.cold_not_designated += 1;
+            } else if !u.accepts_work(now) {
+                availability.ejected += 1;
             } else if !u.has_room() {
-                standing.full += 1;
+                availability.full += 1;
             }
         }
         let waiting = self.waiting.iter().filter(|w| w.job.service == *service);
-        standing.waiting = waiting.count() as u32;
-        standing
+        availability.waiting = waiting.count() as u32;
+        availability
     }
 
-    /// Takes out the requests whose time to wait is over.
+    /// Removes and returns the requests that reached their queue deadline.
     pub fn take_timed_out(&mut self, now: Instant) -> Vec<JobId> {
-        let mut gone = Vec::new();
+        let mut timed_out = Vec::new();
         self.waiting.retain(|w| {
-            let over = now >= w.job.queue_deadline;
-            if over {
-                gone.push(w.job.id);
+            let expired = now >= w.job.queue_deadline;
+            if expired {
+                timed_out.push(w.job.id);
             }
-            !over
+            !expired
         });
-        gone
+        timed_out
     }
 
-    /// Notes that the replica has begun to answer.
+    /// Records the first event of a response.
     pub fn on_first_event(&mut self, now: Instant, upstream: &UpstreamId, job: JobId) {
         let Some(u) = self.find(upstream) else {
             return;
         };
-        u.heard_at = Some(now);
-        u.missed = 0;
+        u.last_response_at = Some(now);
+        u.connect_failures = 0;
         let Some(r) = u.running.iter_mut().find(|r| r.job == job) else {
             return;
         };
-        let prompt = std::mem::take(&mut r.prompt);
-        r.heard = true;
-        if !r.undelayed {
+        let prompt_tokens = std::mem::take(&mut r.unread_prompt_tokens);
+        r.has_responded = true;
+        if !r.prompt_started_at_once {
             return;
         }
-        let after = now.saturating_duration_since(r.since);
-        let after = after.saturating_sub(u.replica.network_round_trip);
+        let time_to_first_event = now.saturating_duration_since(r.dispatched_at);
+        let time_to_first_event = time_to_first_event.saturating_sub(u.replica.network_round_trip);
         if let Some(step_ms) = u.pace.learned_step_ms() {
             let service = u.replica.service.clone();
-            self.sizes(&service).on_first(prompt, after, step_ms);
+            self.size_stats_mut(&service).on_first_event(
+                prompt_tokens,
+                time_to_first_event,
+                step_ms,
+            );
         }
     }
 
-    /// Notes events of a stream that came `gap` after the ones before.
+    /// Records events of a stream that arrived `gap` after the previous ones.
     pub fn on_events(&mut self, now: Instant, upstream: &UpstreamId, events: u32, gap: Duration) {
         if let Some(u) = self.find(upstream) {
-            u.heard_at = Some(now);
+            u.last_response_at = Some(now);
             let tokens = events.max(1) * u.replica.tokens_per_event.max(1);
             u.pace.on_gap(gap / tokens);
         }
     }
 
-    /// Frees the place of a request and learns from its outcome.
+    /// Releases the slot of a request and updates the replica's statistics from the outcome.
     pub fn on_end(&mut self, now: Instant, upstream: &UpstreamId, job: JobId, outcome: Outcome) {
         let Some(u) = self.find(upstream) else {
             return;
         };
-        let since = u.running.iter().find(|r| r.job == job).map(|r| r.since);
+        let dispatched_at = u
+            .running
+            .iter()
+            .find(|r| r.job == job)
+            .map(|r| r.dispatched_at);
         u.running.retain(|r| r.job != job);
         match outcome {
             Outcome::Served => {
-                u.heard_at = Some(now);
-                u.missed = 0;
+                u.last_response_at = Some(now);
+                u.connect_failures = 0;
                 u.pace.on_outcome(now, false);
-                if let Some(since) = since.filter(|_| !u.replica.is_engine) {
-                    u.pace.on_served(now.saturating_duration_since(since));
+                if let Some(dispatched_at) = dispatched_at.filter(|_| !u.replica.is_engine) {
+                    u.pace
+                        .on_completed(now.saturating_duration_since(dispatched_at));
                 }
             }
             Outcome::Failed => u.pace.on_outcome(now, true),
             Outcome::Unreachable => {
                 u.pace.on_outcome(now, true);
-                u.shun_unreachable(now);
+                u.back_off_unreachable(now);
             }
-            Outcome::Full => u.shun_full(now),
+            Outcome::Full => u.back_off_full(now),
             Outcome::Unknown => {}
         }
     }
 
-    /// Whether the replica has brought nothing for so long that it is likely dead.
+    /// Whether the replica has sent nothing for so long that it is likely dead.
     pub fn is_unresponsive(&self, now: Instant, upstream: &UpstreamId) -> bool {
         self.upstreams
             .binary_search_by(|u| u.replica.id.cmp(upstream))
-            .is_ok_and(|at| self.upstreams[at].silent(now))
+            .is_ok_and(|i| self.upstreams[i].is_unresponsive(now))
     }
 
-    fn start(&mut self, now: Instant, job: &Job, index: usize, why: ChoiceDetails) -> Assignment {
+    fn start(
+        &mut self,
+        now: Instant,
+        job: &Job,
+        index: usize,
+        details: ChoiceDetails,
+    ) -> Assignment {
         let u = &mut self.upstreams[index];
-        let turn = if u.replica.is_engine {
-            u.longest_turn(job)
+        let queueing_allowance = if u.replica.is_engine {
+            u.queueing_allowance(job)
         } else {
             Duration::ZERO
         };
-        let undelayed = u.replica.is_engine && u.reads_nothing();
-        u.gate.on_dispatch(now);
+        let prompt_started_at_once = u.replica.is_engine && u.starts_prompt_at_once();
+        u.cold_gate.on_dispatch(now);
         u.running.push(Running {
             job: job.id,
-            prompt: if u.replica.is_engine {
+            unread_prompt_tokens: if u.replica.is_engine {
                 job.prompt_tokens
             } else {
                 0.0
             },
-            since: now,
-            heard: false,
-            undelayed,
-            turn,
+            dispatched_at: now,
+            has_responded: false,
+            prompt_started_at_once,
+            queueing_allowance,
         });
         Assignment {
             job: job.id,
             upstream: u.replica.id.clone(),
-            details: why,
+            details,
         }
     }
 
-    /// What is learned of a service's requests.
-    fn sizes(&mut self, service: &ServiceId) -> &mut Sizes {
-        let found = self.sizes.binary_search_by(|(s, _)| s.cmp(service));
+    /// Size statistics of a service, created if absent.
+    fn size_stats_mut(&mut self, service: &ServiceId) -> &mut SizeStats {
+        let found = self.size_stats.binary_search_by(|(s, _)| s.cmp(service));
         let at = found.unwrap_or_else(|at| {
-            self.sizes.insert(at, (service.clone(), Sizes::new()));
+            self.size_stats
+                .insert(at, (service.clone(), SizeStats::new()));
             at
         });
-        &mut self.sizes[at].1
+        &mut self.size_stats[at].1
     }
 
-    /// How a service's engines read prompts.
-    fn reading(&self, service: &ServiceId) -> Reading {
-        self.learned(service)
-            .map_or(Reading::UNKNOWN, |s| s.reading)
+    /// Prompt cost of a service's engines, or the default while none was measured.
+    fn prompt_cost(&self, service: &ServiceId) -> PromptCost {
+        self.find_size_stats(service)
+            .map_or(PromptCost::DEFAULT, |s| s.prompt_cost)
     }
 
-    fn learned(&self, service: &ServiceId) -> Option<&Sizes> {
-        let found = self.sizes.binary_search_by(|(s, _)| s.cmp(service));
-        found.ok().map(|at| &self.sizes[at].1)
+    fn find_size_stats(&self, service: &ServiceId) -> Option<&SizeStats> {
+        let found = self.size_stats.binary_search_by(|(s, _)| s.cmp(service));
+        found.ok().map(|at| &self.size_stats[at].1)
     }
 
     fn find(&mut self, upstream: &UpstreamId) -> Option<&mut Upstream> {
--- a/crates/decisions/src/dispatch/job.rs
+++ b/crates/decisions/src/dispatch/job.rs
@@ -1,4 +1,4 @@
-//! Requests, the places that they get, and what becomes of them there.
+//! Requests in the queue, their assignment to replicas and their outcome, and replica statistics.
 
 use std::time::Duration;
 
@@ -8,117 +8,117 @@
 use crate::id::{ServiceId, UpstreamId};
 use crate::regions::Regions;
 
-/// A request that waits for a replica.
+/// A request that waits for a replica, with the properties that scheduling depends on.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// Its number.
+    /// Identifier of the request, unique within this instance.
     pub id: JobId,
-    /// Urgency, the lowest first.
+    /// Rank of the organisation and rank of the tier; the lowest pair is served first.
     pub priority: (u32, u32),
-    /// When it came.
+    /// Time at which the request arrived.
     pub received_at: Instant,
-    /// Until when its answer is on time.
+    /// Latest time at which the response still meets its latency objective.
     pub slo_deadline: Instant,
-    /// When its whole answer must have come.
+    /// Latest time at which the complete response is of use to the caller.
     pub deadline: Instant,
-    /// When its caller is told to come back.
+    /// Time at which the request, if still in the queue, is rejected with a hint to retry later.
     pub queue_deadline: Instant,
-    /// The service that may run it.
+    /// Service that must process it.
     pub service: ServiceId,
-    /// The regions in which it may be served.
+    /// Regions in which it may be processed.
     pub regions: Regions,
-    /// Tokens of its prompt.
+    /// Tokens in the prompt.
     pub prompt_tokens: f64,
-    /// Tokens that it likely generates.
+    /// Tokens that the response is expected to have.
     pub expected_output_tokens: f64,
-    /// Longest pause between events that streams of its kind bear; zero for plain requests.
+    /// Longest acceptable gap between two events of the stream; zero for plain requests.
     pub max_event_gap: Duration,
-    /// Replicas that it was sent to already.
+    /// Replicas it was already sent to, which are not chosen again.
     pub tried_replicas: Vec<UpstreamId>,
-    /// A random number of its own, by which it picks among far replicas.
+    /// Random number that varies the sample of distant replicas from request to request.
     pub salt: u64,
 }
 
-/// A request and the replica that it goes to.
+/// Assignment of a request to a replica.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Assignment {
-    /// The request.
+    /// The assigned request.
     pub job: JobId,
-    /// The replica.
+    /// Replica that the request is to be sent to.
     pub upstream: UpstreamId,
-    /// What decided for the replica.
+    /// Figures behind the choice, for the log.
     pub details: ChoiceDetails,
 }
 
-/// What decided for a replica, for those who ask later.
+/// Figures behind the choice of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct ChoiceDetails {
-    /// What the place was reckoned to cost, in milliseconds; the least of those with room.
+    /// Cost of the chosen replica in milliseconds, the lowest among the candidates with room.
     pub cost_ms: f64,
-    /// Replicas that had room.
+    /// Number of candidates with room.
     pub replicas_with_room: u32,
-    /// Own requests that stood there already.
+    /// Requests of this instance that already ran at the chosen replica.
     pub own_running: u32,
-    /// Requests of other instances there, by their last word.
+    /// Requests of other instances at the chosen replica, from their latest reports.
     pub remote_running: u32,
-    /// Whether the replica is cold, so that it gets few.
+    /// Whether the chosen replica was cold, and its request rate therefore limited.
     pub is_cold: bool,
 }
 
-/// Places at a replica.
+/// Slots of a replica and the requests that occupy them.
 #[derive(Debug, Clone, Copy)]
 pub struct ReplicaUsage<'a> {
-    /// The replica.
+    /// Replica that the numbers apply to.
     pub upstream: &'a UpstreamId,
-    /// Own requests that stand there.
+    /// Requests of this instance that run there.
     pub own_running: u32,
-    /// Requests of other instances, by their last word.
+    /// Requests of other instances that run there, from their latest reports.
     pub remote_running: u32,
-    /// Requests that it runs at once.
+    /// Requests that the replica processes concurrently.
     pub slots: u32,
 }
 
-/// How many replicas may get how much.
+/// Number of replicas by whether they accept requests from this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ReplicaCounts {
-    /// As many requests as they have room for.
+    /// Replicas limited only by their slots.
     pub accepting: u32,
-    /// Cold ones that are reached through this instance, at their pace.
+    /// Cold replicas this instance is designated for, limited by their request rate.
     pub cold_designated: u32,
-    /// Cold ones that are reached through another instance.
+    /// Cold replicas another instance is designated for, which accept nothing from this one.
     pub cold_not_designated: u32,
-    /// Leaving ones, and those of emptied zones.
+    /// Replicas that are shutting down or whose zone is drained.
     pub unusable: u32,
 }
 
-/// How the replicas of a service stand, for those who ask why a request got no place.
+/// Number of replicas of one service by the first reason that keeps a request from them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ServiceAvailability {
-    /// Replicas that may get work.
+    /// Replicas neither shutting down nor in a drained zone. The counts below split up this one.
     pub usable: u32,
-    /// Those of them that stand in a region where the request may not be served.
+    /// Replicas in a region where the request may not be processed.
     pub region_not_allowed: u32,
-    /// Those of the others that are left alone after a failure, on trial or silent.
+    /// Replicas in backoff after a failure, being probed, or unresponsive.
     pub ejected: u32,
-    /// Those of the rest that are cold, and reached through another instance.
+    /// Cold replicas another instance is designated for.
     pub cold_not_designated: u32,
-    /// Those of the rest that are full.
+    /// Replicas without room for another request.
     pub full: u32,
-    /// Requests that wait here for the service.
+    /// Requests for the service in this instance's queue.
     pub waiting: u32,
 }
 
-/// What became of a request at a replica.
+/// Result of a request at a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// A whole answer.
+    /// The replica sent a complete response.
     Served,
-    /// The replica failed.
+    /// The replica returned an error or a broken response.
     Failed,
-    /// No connection could be made, or another replica answered in its place.
+    /// No connection could be established, or another replica answered at the address.
     Unreachable,
-    /// The replica said that it has no room.
+    /// The replica rejected the request for lack of capacity.
     Full,
-    /// The caller went away, or the answer tells nothing about the replica.
+    /// The caller disconnected, or the response says nothing about the replica.
     Unknown,
 }
--- /dev/null
+++ b/crates/decisions/src/dispatch/latency.rs
@@ -0,0 +1,94 @@
+//! Latency and failure rate of a replica, estimated from the responses that pass through this
+//! instance.
+
+use std::time::Duration;
+
+use tokio::time::Instant;
+
+/// Number of gaps between events whose median is the step time. Few enough that a slowdown shows
+/// within a second of one stream, and enough that a stall caused by one long prompt doesn't show.
+const MEDIAN_WINDOW_GAPS: usize = 15;
+
+/// Step time assumed without measurements, between those of the users' fast and slow engines.
+const DEFAULT_STEP_MS: f64 = 9.0;
+
+/// Time in which the recorded failure share falls by half.
+const FAILURE_HALF_LIFE_S: f64 = 4.0;
+
+/// Weight of a new outcome in the moving average of failures.
+const FAILURE_GAIN: f64 = 0.2;
+
+/// Moving estimates of a replica's step time, service time and failure share.
+#[derive(Debug, Default)]
+pub struct LatencyEstimate {
+    gaps_ms: Vec<f64>,
+    next_index: usize,
+    step_ms: Option<f64>,
+    service_ms: Option<f64>,
+    recorded_failure_share: f64,
+    last_outcome_at: Option<Instant>,
+}
+
+impl LatencyEstimate {
+    /// Milliseconds per step of the replica's batch; a default if nothing was measured.
+    pub fn step_ms(&self) -> f64 {
+        self.step_ms.unwrap_or(DEFAULT_STEP_MS)
+    }
+
+    /// Milliseconds per step, if measured here or reported by a peer.
+    pub fn learned_step_ms(&self) -> Option<f64> {
+        self.step_ms
+    }
+
+    /// Stores a peer's step time unless this instance has measurements of its own.
+    pub fn on_peer_step_ms(&mut self, step_ms: f64) {
+        if self.gaps_ms.is_empty() {
+            self.step_ms = Some(step_ms);
+        }
+    }
+
+    /// Milliseconds that a plain service takes for a request; 50 without measurements.
+    pub fn service_ms(&self) -> f64 {
+        self.service_ms.unwrap_or(50.0)
+    }
+
+    /// Records the time per token between two events of a stream.
+    pub fn on_gap(&mut self, per_token: Duration) {
+        let gap_ms = per_token.as_secs_f64() * 1000.0;
+        if self.gaps_ms.len() < MEDIAN_WINDOW_GAPS {
+            self.gaps_ms.push(gap_ms);
+        } else {
+            self.gaps_ms[self.next_index] = gap_ms;
+        }
+        self.next_index = (self.next_index + 1) % MEDIAN_WINDOW_GAPS;
+        if self.next_index.is_multiple_of(5) || self.gaps_ms.len() < 5 {
+            let mut sorted = self.gaps_ms.clone();
+            sorted.sort_by(f64::total_cmp);
+            self.step_ms = Some(sorted[sorted.len() / 2].max(0.5));
+        }
+    }
+
+    /// Records the processing time of a complete response from a plain service.
+    pub fn on_completed(&mut self, elapsed: Duration) {
+        let ms = elapsed.as_secs_f64() * 1000.0;
+        let mean_ms = self.service_ms.unwrap_or(ms);
+        self.service_ms = Some(mean_ms + (ms - mean_ms) * 0.1);
+    }
+
+    /// Records whether a request failed.
+    pub fn on_outcome(&mut self, now: Instant, failed: bool) {
+        let share = self.failure_share(now);
+        let outcome = if failed { 1.0 } else { 0.0 };
+        self.recorded_failure_share = share + (outcome - share) * FAILURE_GAIN;
+        self.last_outcome_at = Some(now);
+    }
+
+    /// Share of failed requests, from 0 to 1. It decays over time so that the replica is tried
+    /// again.
+    pub fn failure_share(&self, now: Instant) -> f64 {
+        let age = self
+            .last_outcome_at
+            .map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
+        self.recorded_failure_share * (-age * std::f64::consts::LN_2 / FAILURE_HALF_LIFE_S).exp()
+    }
+}
--- a/crates/decisions/src/dispatch/size.rs
+++ b/crates/decisions/src/dispatch/size.rs
@@ -1,163 +1,174 @@
-//! How much of an engine's time a request takes, against the usual request of its service.
+//! Demotes requests by the engine time they take, relative to the mean request of their service.
 //!
-//! Load pattern: more work than the engines can do for ten seconds and longer, in requests whose
-//! lengths differ a hundredfold. In order of arrival, a report that holds a place for three seconds
-//! makes ten short checks late or lost; the other way round, the checks delay the report by a
-//! fraction of a second. Within its organisation's rank a request therefore sinks by half a tier
-//! for each doubling of its size. On the users' heaviest days at opticians, with everything else
-//! alike, this took the requests that were lost from 15 in 100 to 10, the reports' own share being
-//! unchanged, and raised the share of each kind that was on time.
+//! Load pattern: overload for ten seconds and longer, with requests whose lengths differ a
+//! hundredfold. In order of arrival, a report that holds a slot for three seconds makes ten short
+//! checks late or lost; in the opposite order, the checks delay the report by a fraction of a
+//! second. Among requests of the same organisation rank, a request is therefore demoted by half a
+//! tier for each doubling of its size. On the heaviest days of the opticians' load this alone
+//! reduced lost requests from 15 in 100 to 10 without losing more reports, and raised the share of
+//! each kind of request that was on time.
 //!
-//! Size is counted in steps of the engine's batch, learned from first events: how many tokens of a
-//! prompt are read in the time of a step differs between engines by more than twofold.
+//! Size is measured in batch steps of the engine, estimated from the first events of responses: the
+//! number of prompt tokens processed in the time of a step differs more than twofold between
+//! engines.
 
 use std::time::Duration;
 
-/// First events from which the reading is learned: enough for two halves whose medians are steady.
-const SEEN: usize = 48;
+/// First events kept for the fit: enough for two halves with stable medians.
+const MAX_SAMPLES: usize = 48;
 
-/// The fewest that are learned from.
-const FEWEST: usize = 16;
+/// Fewest first events from which a fit is made.
+const MIN_SAMPLES: usize = 16;
 
-/// New first events after which the reading is learned anew.
-const ANEW: usize = 8;
+/// Number of new first events after which the fit is repeated.
+const REFIT_INTERVAL_SAMPLES: usize = 8;
 
-/// The prompts of the upper half must be this many times as long as those of the lower one, so that
-/// the difference between them tells more than the noise.
-const APART: f64 = 2.0;
+/// Least ratio between the median prompt lengths of the two halves; below it, noise outweighs the
+/// difference between them.
+const MIN_PROMPT_LENGTH_RATIO: f64 = 2.0;
 
-/// Prompt length at which attention over the prompt itself doubles the time of reading it. Engines
-/// differ, but requests that long are one in a hundred.
-const QUADRATIC_TOKENS: f64 = 61_000.0;
+/// Prompt length in tokens at which attention doubles the processing time per token. Engines
+/// differ, but only one request in a hundred is that long.
+const ATTENTION_DOUBLING_TOKENS: f64 = 61_000.0;
 
-/// Weight of one request in the usual size: a hundred requests come within some seconds.
-const USUAL_WEIGHT: f64 = 0.02;
+/// Weight of a new request in the mean size; a hundred requests arrive within seconds.
+const MEAN_SIZE_GAIN: f64 = 0.02;
 
-/// A request of the usual size is set back by this many halves of a tier, so that one of a quarter
-/// of it is not set back at all.
-const USUAL_SETBACK: f64 = 2.0;
+/// Demotion of a request of mean size, in half tiers; a request a quarter of that size isn't
+/// demoted.
+const MEAN_SIZE_DEMOTION: f64 = 2.0;
 
-/// The most that a request is set back by for its size: the largest still come before those of two
-/// tiers further down that are late.
-const MOST_SETBACK: f64 = 7.0;
+/// Largest demotion for size, in half tiers: the largest requests still precede late requests two
+/// tiers below.
+const MAX_SIZE_DEMOTION: f64 = 7.0;
 
-/// How an engine reads prompts, in steps of its batch.
+/// Processing time of prompts, in batch steps of the engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct Reading {
-    /// Steps before the first token beside the prompt itself.
+pub(super) struct PromptCost {
+    /// Steps until the first token, besides those for the prompt.
     pub(super) first_steps: f64,
-    /// Prompt tokens that are read in the time of a step.
-    pub(super) tokens_a_step: f64,
+    /// Prompt tokens processed in the time of one step.
+    pub(super) tokens_per_step: f64,
 }
 
-impl Reading {
-    /// Until it is learned: 120 ms at 7 ms a step, and 62 tokens a millisecond at 6.9 ms a step, as
-    /// the engines of the first users do.
-    pub(super) const UNKNOWN: Self = Self {
+impl PromptCost {
+    /// Used until a fit exists: 120 ms at 7 ms per step, and 62 tokens per millisecond at 6.9 ms
+    /// per step, as on the engines of the first users.
+    pub(super) const DEFAULT: Self = Self {
         first_steps: 17.0,
-        tokens_a_step: 430.0,
+        tokens_per_step: 430.0,
     };
 
-    /// Steps in whose time a prompt is read.
+    /// Steps that processing a prompt of `tokens` takes.
     pub(super) fn prompt_steps(&self, tokens: f64) -> f64 {
-        tokens / self.tokens_a_step * (1.0 + tokens / QUADRATIC_TOKENS)
+        tokens / self.tokens_per_step * (1.0 + tokens / ATTENTION_DOUBLING_TOKENS)
     }
 
-    /// By how much a long prompt is read more slowly than a short one.
-    pub(super) fn slower_by(tokens: f64) -> f64 {
-        1.0 + 2.0 * tokens / QUADRATIC_TOKENS
+    /// Factor by which the last tokens of a prompt of `tokens` are slower than those of a short
+    /// one.
+    pub(super) fn attention_slowdown(tokens: f64) -> f64 {
+        1.0 + 2.0 * tokens / ATTENTION_DOUBLING_TOKENS
     }
 }
 
-/// What is learned of the requests and engines of one service.
+/// Request sizes and prompt cost of one service.
 #[derive(Debug)]
-pub(super) struct Sizes {
-    pub(super) reading: Reading,
-    seen: Vec<(f64, f64)>,
-    next: usize,
-    /// Requests that its replicas run at once.
+pub(super) struct SizeStats {
+    pub(super) prompt_cost: PromptCost,
+    /// Prompt tokens and steps until the first event of recent requests.
+    samples: Vec<(f64, f64)>,
+    sample_count: usize,
+    /// Requests that one replica of the service processes concurrently.
     slots: f64,
-    /// Usual size, as the logarithm to the base 2 of the steps.
-    usual: Option<f64>,
+    /// Moving average of the base-2 logarithm of request sizes in steps.
+    mean_log2_steps: Option<f64>,
 }
 
-impl Sizes {
+impl SizeStats {
     pub(super) fn new() -> Self {
         Self {
-            reading: Reading::UNKNOWN,
-            seen: Vec::new(),
-            next: 0,
+            prompt_cost: PromptCost::DEFAULT,
+            samples: Vec::new(),
+            sample_count: 0,
             slots: 1.0,
-            usual: None,
+            mean_log2_steps: None,
         }
     }
 
-    /// Notes the first event of a request that nothing delayed at its replica.
-    pub(super) fn on_first(&mut self, prompt: f64, after: Duration, step_ms: f64) {
-        let steps = after.as_secs_f64() * 1e3 / step_ms;
-        if self.seen.len() < SEEN {
-            self.seen.push((prompt, steps));
+    /// Records the time to the first event of a request whose prompt was processed without delay.
+    pub(super) fn on_first_event(
+        &mut self,
+        prompt_tokens: f64,
+        time_to_first_event: Duration,
+        step_ms: f64,
+    ) {
+        let steps = time_to_first_event.as_secs_f64() * 1e3 / step_ms;
+        if self.samples.len() < MAX_SAMPLES {
+            self.samples.push((prompt_tokens, steps));
         } else {
-            self.seen[self.next % SEEN] = (prompt, steps);
+            self.samples[self.sample_count % MAX_SAMPLES] = (prompt_tokens, steps);
         }
-        self.next += 1;
-        if self.seen.len() >= FEWEST && self.next.is_multiple_of(ANEW) {
-            self.learn();
+        self.sample_count += 1;
+        if self.samples.len() >= MIN_SAMPLES
+            && self.sample_count.is_multiple_of(REFIT_INTERVAL_SAMPLES)
+        {
+            self.refit();
         }
     }
 
-    /// Draws a line through the medians of the shorter and of the longer prompts. Medians bear the
-    /// requests that other instances delayed unseen.
-    fn learn(&mut self) {
-        let mut seen = self.seen.clone();
-        seen.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let (short, long) = seen.split_at(seen.len() / 2);
+    /// Fits a line through the medians of the shorter and of the longer prompts. Medians tolerate
+    /// the requests that were delayed by other instances without this one knowing.
+    fn refit(&mut self) {
+        let mut samples = self.samples.clone();
+        samples.sort_by(|a, b| a.0.total_cmp(&b.0));
+        let (short, long) = samples.split_at(samples.len() / 2);
         let (short, long) = (medians(short), medians(long));
         let slope = (long.1 - short.1) / (long.0 - short.0);
-        // Prompts of unknown length count as empty: no line goes through them.
-        if long.0 < short.0 * APART || !slope.is_finite() || slope <= 0.0 {
+        // Prompts of unknown length have length 0 and can't be fitted.
+        if long.0 < short.0 * MIN_PROMPT_LENGTH_RATIO || !slope.is_finite() || slope <= 0.0 {
             return;
         }
-        self.reading = Reading {
+        self.prompt_cost = PromptCost {
             first_steps: (short.1 - short.0 * slope).max(1.0),
-            tokens_a_step: 1.0 / slope,
+            tokens_per_step: 1.0 / slope,
         };
     }
 
-    /// Notes a request, and returns by how many halves of a tier it is set back for its size.
-    pub(super) fn on_request(&mut self, prompt: f64, output: f64, slots: u32) -> u32 {
+    /// Updates the mean size with a request and returns its demotion in half tiers.
+    pub(super) fn on_request(&mut self, prompt_tokens: f64, output_tokens: f64, slots: u32) -> u32 {
         self.slots = f64::from(slots.max(1));
-        let size = self.size(prompt, output);
-        let setback = self.setback(size);
-        if let Some(size) = size {
-            let usual = self.usual.unwrap_or(size);
-            self.usual = Some(usual + (size - usual) * USUAL_WEIGHT);
+        let log2_steps = self.log2_steps(prompt_tokens, output_tokens);
+        let demotion = self.demotion(log2_steps);
+        if let Some(log2_steps) = log2_steps {
+            let mean = self.mean_log2_steps.unwrap_or(log2_steps);
+            self.mean_log2_steps = Some(mean + (log2_steps - mean) * MEAN_SIZE_GAIN);
         }
-        setback
+        demotion
     }
 
-    /// The steps of a whole batch that a request takes, as the logarithm to the base 2.
-    pub(super) fn size(&self, prompt: f64, output: f64) -> Option<f64> {
-        let steps = self.reading.prompt_steps(prompt) + output / self.slots;
+    /// Base-2 logarithm of the batch steps that a request takes; `None` if it takes none.
+    pub(super) fn log2_steps(&self, prompt_tokens: f64, output_tokens: f64) -> Option<f64> {
+        let steps = self.prompt_cost.prompt_steps(prompt_tokens) + output_tokens / self.slots;
         (steps > 0.0).then(|| steps.log2())
     }
 
-    /// By how many halves of a tier a request of the size is set back.
-    pub(super) fn setback(&self, size: Option<f64>) -> u32 {
-        let Some(size) = size else {
+    /// Demotion in half tiers of a request of the given size.
+    pub(super) fn demotion(&self, log2_steps: Option<f64>) -> u32 {
+        let Some(log2_steps) = log2_steps else {
             return 0;
         };
-        let usual = self.usual.unwrap_or(size);
-        (size - usual + USUAL_SETBACK).clamp(0.0, MOST_SETBACK) as u32
+        let mean = self.mean_log2_steps.unwrap_or(log2_steps);
+        (log2_steps - mean + MEAN_SIZE_DEMOTION).clamp(0.0, MAX_SIZE_DEMOTION) as u32
     }
 }
 
-fn medians(seen: &[(f64, f64)]) -> (f64, f64) {
+/// Medians of the prompt tokens and of the steps.
+fn medians(samples: &[(f64, f64)]) -> (f64, f64) {
     let median = |values: &mut Vec<f64>| {
         values.sort_by(f64::total_cmp);
         values[values.len() / 2]
     };
-    let mut prompts = seen.iter().map(|s| s.0).collect();
-    let mut steps = seen.iter().map(|s| s.1).collect();
+    let mut prompts = samples.iter().map(|s| s.0).collect();
+    let mut steps = samples.iter().map(|s| s.1).collect();
     (median(&mut prompts), median(&mut steps))
 }
--- a/crates/decisions/src/dispatch/upstream.rs
+++ b/crates/decisions/src/dispatch/upstream.rs
@@ -1,344 +1,388 @@
-//! One replica as the dispatcher sees it: its places, what stands there and what it costs to add.
+//! Load, availability and expected cost of one replica.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
 use crate::cold::{ColdGate, ColdLimit};
-use crate::dispatch::{Job, JobId, pace::Pace, size::Reading};
+use crate::dispatch::{Job, JobId, latency::LatencyEstimate, size::PromptCost};
 use crate::id::{RegionId, ServiceId, UpstreamId};
 
-/// Steps within which a replica is expected to bring something to somebody: four times what an
-/// engine needs for a first token beside the prompt, about 120 ms at 7 ms a step.
-const SILENT_STEPS: f64 = 68.0;
+/// Batch steps within which a replica should send something for at least one of its requests: four
+/// times what an engine needs for a first token on top of the prompt, which is about 120 ms at 7 ms
+/// per step.
+const RESPONSE_TIMEOUT_STEPS: f64 = 68.0;
 
-/// Tokens of a prompt that an engine reads between two events of the streams beside it: two
-/// chunks of 4,096.
-const STALL_TOKENS: f64 = 8_192.0;
+/// Most prompt tokens an engine processes between two events of the other streams: two chunks of
+/// 4,096.
+const MAX_PROMPT_TOKENS_BETWEEN_EVENTS: f64 = 8_192.0;
 
-/// Milliseconds of a wait that a share of failures of one counts as.
-const FAILURE_MS: f64 = 2_500.0;
+/// Waiting time in milliseconds that a failure share of 1 is worth.
+const FAILURE_PENALTY_MS: f64 = 2_500.0;
 
-/// Milliseconds that one stream weighs which is likely to pause beyond its bound by a new prompt.
-const STALL_MS: f64 = 400.0;
+/// Cost in milliseconds of each running stream that a new prompt is likely to stall beyond its
+/// longest acceptable gap.
+const STALL_PENALTY_PER_STREAM_MS: f64 = 400.0;
 
-/// An answer may well be this many times as long as its caller guessed: the guesses are right in the
-/// middle and off by half either way as a rule.
-const LENGTH_DOUBT: f64 = 1.5;
+/// Factor by which a response may be longer than expected: the estimates are right on average and
+/// usually off by half in either direction.
+const OUTPUT_LENGTH_MARGIN: f64 = 1.5;
 
-/// A request that stands behind others gets its turn in this many times the usual time: answers
-/// differ in length by far more than their mean.
-const TURN_DOUBT: f64 = 8.0;
+/// Factor by which a queued request may wait longer than expected for its slot: response lengths
+/// differ from each other by far more than their mean.
+const QUEUE_WAIT_MARGIN: f64 = 8.0;
 
-/// A replica that has answered none of its requests for this long is taken to be dead or stuck.
-const SILENT: Duration = Duration::from_millis(900);
+/// A replica that has responded to none of its requests for this long is presumed dead or stuck.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// How long a replica is left alone after a connection to it failed or another one answered in its
-/// place. It grows with each failure in a row: a dead replica stays listed for three of its
-/// heartbeats, and each try costs a caller the time of a connection.
-const UNREACHABLE: Duration = Duration::from_secs(1);
+/// First backoff after a connection to a replica failed or another replica answered at its address.
+/// It doubles with each consecutive failure: a dead replica stays listed for three of its heartbeat
+/// intervals, and each attempt costs a caller the time of a connection.
+const UNREACHABLE_BACKOFF: Duration = Duration::from_secs(1);
 
-/// When no other replica of its service takes work, an unreachable one is tried again this soon after
-/// its last failure: leaving it alone for longer spares nobody anything then.
-const LAST_RESORT: Duration = Duration::from_millis(500);
+/// Delay after the last failure until an unreachable replica is tried again while no other replica
+/// of its service accepts work. A longer backoff would then spare nobody a failure.
+const LAST_RESORT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// How long a replica is left alone on a peer's word, which is repeated while it holds.
-const HINTED: Duration = Duration::from_millis(600);
+/// Backoff after a peer reported a replica unreachable. Peers repeat the report while it holds.
+const PEER_REPORT_BACKOFF: Duration = Duration::from_millis(600);
 
-/// A replica that was heard here this lately is not left alone on a peer's word.
-const HEARD_HERE: Duration = Duration::from_millis(300);
+/// A replica that responded to this instance within this time is kept despite a peer's report.
+const RECENT_RESPONSE: Duration = Duration::from_millis(300);
 
-/// Longest time that an unreachable replica is left alone.
-const LONGEST_UNREACHABLE: Duration = Duration::from_secs(4);
+/// Longest backoff of an unreachable replica.
+const MAX_UNREACHABLE_BACKOFF: Duration = Duration::from_secs(4);
 
-/// How long a replica that said that it is full is left alone.
-const FULL: Duration = Duration::from_millis(150);
+/// Backoff of a replica that rejected a request for lack of capacity.
+const FULL_BACKOFF: Duration = Duration::from_millis(150);
 
-/// Requests that may stand in an engine beyond its slots: news of a free place takes a tenth of a
-/// second to come round, in which the place would idle.
-const ENGINE_SPARE: u32 = 1;
+/// Requests sent to an engine beyond its slots. The report of a free slot takes a tenth of a second
+/// to reach all instances, during which the slot would idle.
+const ENGINE_EXTRA_REQUESTS: u32 = 1;
 
-/// Requests that may stand in a plain service's replica for each of its slots: these serve in
-/// tens of milliseconds, so a short queue there costs less than a slot that idles.
-const PLAIN_DEPTH: u32 = 2;
+/// Requests sent to a plain service's replica for each of its slots. Plain requests take tens of
+/// milliseconds, so a short queue at the replica costs less than an idle slot.
+const PLAIN_REQUESTS_PER_SLOT: u32 = 2;
 
-/// What is published of a replica.
+/// Published properties of a replica, and its distance from this instance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Replica {
-    /// Its name.
+    /// Unique name of the replica.
     pub id: UpstreamId,
-    /// Its start, which tells two lives of one name apart.
+    /// Start time, which tells a restarted replica from its predecessor of the same name.
     pub incarnation: u64,
-    /// Its service.
+    /// Service that the replica belongs to.
     pub service: ServiceId,
     /// Region of its availability zone.
     pub region: RegionId,
-    /// Requests that it runs at once.
+    /// Requests that the replica processes concurrently.
     pub slots: u32,
-    /// Time of a message there and back.
+    /// Network round trip plus the price of the transferred bytes, expressed as time.
     pub weighted_round_trip: Duration,
-    /// Time of a message there and back without what the way costs the users.
+    /// Network round trip alone.
     pub network_round_trip: Duration,
-    /// Time in which a change of its load becomes known here; zero in its own zone, where each
-    /// change is told at once.
+    /// Time until a change of the replica's load is known here; zero in this instance's own zone,
+    /// where every change is sent at once.
     pub propagation_delay: Duration,
-    /// Whether it generates tokens in a batch.
+    /// Whether the replica generates tokens for a batch of requests, unlike a plain service.
     pub is_engine: bool,
-    /// Tokens in one event of its streams.
+    /// Tokens in each event of its streams.
     pub tokens_per_event: u32,
-    /// Whether it may get new work.
+    /// Whether it may receive new requests: it isn't shutting down and its zone isn't drained.
     pub usable: bool,
-    /// Whether it stands in the zone of this instance.
+    /// Whether it is in the same availability zone as this instance.
     pub in_own_zone: bool,
-    /// Until when it is cold.
+    /// Time until which the replica is cold: started recently, and overloaded by its usual request
+    /// rate.
     pub cold_until: Option<Instant>,
-    /// What it bears until then; everything if it is not told.
+    /// Requests it can take while cold; `None` if a cold start needs no limit.
     pub cold_limit: Option<ColdLimit>,
 }
 
+/// A request of this instance that was sent to the replica.
 #[derive(Debug)]
 pub(super) struct Running {
     pub(super) job: JobId,
-    /// Prompt tokens still to be read, 0 after the first event.
-    pub(super) prompt: f64,
-    pub(super) since: Instant,
-    pub(super) heard: bool,
-    /// Whether no other prompt was being read there when it was sent.
-    pub(super) undelayed: bool,
-    /// How much longer than usual it may wait for its first event, as it stands behind others.
-    pub(super) turn: Duration,
+    /// Prompt tokens the engine has yet to process; 0 after the first event.
+    pub(super) unread_prompt_tokens: f64,
+    pub(super) dispatched_at: Instant,
+    pub(super) has_responded: bool,
+    /// Whether no other prompt was being processed at the replica when this request was sent.
+    pub(super) prompt_started_at_once: bool,
+    /// Extra time allowed for the first event because other requests are ahead of this one.
+    pub(super) queueing_allowance: Duration,
 }
 
-/// A replica with what is known of its load.
+/// A replica, the requests running there and what was learned from their responses.
 #[derive(Debug)]
 pub(super) struct Upstream {
     pub(super) replica: Replica,
-    pub(super) pace: Pace,
+    pub(super) pace: LatencyEstimate,
     pub(super) running: Vec<Running>,
-    pub(super) elsewhere: u32,
-    pub(super) prompt_elsewhere: f64,
-    pub(super) heard_at: Option<Instant>,
-    pub(super) shunned_until: Option<Instant>,
-    /// Since when it has had room.
+    pub(super) remote_running: u32,
+    pub(super) remote_prompt_tokens: f64,
+    pub(super) last_response_at: Option<Instant>,
+    pub(super) backoff_until: Option<Instant>,
+    /// Time since which the replica has had room for another request; `None` while it is full.
     free_since: Option<Instant>,
-    /// Failures to reach it in a row.
-    pub(super) missed: u32,
-    /// When it could not be reached last.
-    missed_at: Option<Instant>,
-    /// What is sent to it while it is cold.
-    pub(super) gate: ColdGate,
+    /// Consecutive failures to connect.
+    pub(super) connect_failures: u32,
+    /// Time of the last failure to connect, seen here or reported by a peer.
+    last_connect_failure_at: Option<Instant>,
+    /// Counts the requests sent while the replica is cold.
+    pub(super) cold_gate: ColdGate,
 }
 
 impl Upstream {
-    pub(super) fn new(replica: Replica, gate: ColdGate) -> Self {
+    pub(super) fn new(replica: Replica, cold_gate: ColdGate) -> Self {
         Self {
             replica,
-            pace: Pace::default(),
+            pace: LatencyEstimate::default(),
             running: Vec::new(),
-            elsewhere: 0,
-            prompt_elsewhere: 0.0,
-            heard_at: None,
-            shunned_until: None,
+            remote_running: 0,
+            remote_prompt_tokens: 0.0,
+            last_response_at: None,
+            backoff_until: None,
             free_since: None,
-            missed: 0,
-            missed_at: None,
-            gate,
+            connect_failures: 0,
+            last_connect_failure_at: None,
+            cold_gate,
         }
     }
 
-    pub(super) fn total(&self) -> u32 {
-        self.running.len() as u32 + self.elsewhere
+    /// Requests of all instances that run at the replica.
+    pub(super) fn running_total(&self) -> u32 {
+        self.running.len() as u32 + self.remote_running
     }
 
-    /// Whether one more request may stand there.
+    /// Whether another request fits into the slots and the permitted queue of the replica.
     pub(super) fn has_room(&self) -> bool {
         let room = if self.replica.is_engine {
-            self.replica.slots + ENGINE_SPARE
+            self.replica.slots + ENGINE_EXTRA_REQUESTS
         } else {
-            self.replica.slots * PLAIN_DEPTH
+            self.replica.slots * PLAIN_REQUESTS_PER_SLOT
         };
-        self.total() < room
+        self.running_total() < room
     }
 
-    /// Whether nothing that happened there lately keeps requests away.
-    pub(super) fn takes_work(&self, now: Instant) -> bool {
-        !self.shunned(now) && !self.on_trial() && !self.silent(now) && !self.is_closed(now)
+    /// Whether neither recent failures nor a cold start keep requests of this instance away.
+    pub(super) fn accepts_work(&self, now: Instant) -> bool {
+        !self.in_backoff(now)
+            && !self.is_being_probed()
+            && !self.is_unresponsive(now)
+            && !self.is_cold_not_designated(now)
     }
 
-    /// What it bears, while it is cold.
-    fn bears(&self, now: Instant) -> Option<ColdLimit> {
+    /// Request limit that applies now, `None` unless the replica is cold.
+    fn current_cold_limit(&self, now: Instant) -> Option<ColdLimit> {
         let is_cold = self.replica.cold_until.is_some_and(|until| now < until);
         self.replica.cold_limit.filter(|_| is_cold)
     }
 
-    /// Whether it is cold and bears few requests.
+    /// Whether the replica is cold and therefore limited.
     pub(super) fn is_cold(&self, now: Instant) -> bool {
-        self.bears(now).is_some()
+        self.current_cold_limit(now).is_some()
     }
 
-    /// Whether it is cold and another instance is its keeper.
-    pub(super) fn is_closed(&self, now: Instant) -> bool {
-        self.is_cold(now) && !self.gate.is_designated()
+    /// Whether the replica is cold and another instance is designated for it.
+    pub(super) fn is_cold_not_designated(&self, now: Instant) -> bool {
+        self.is_cold(now) && !self.cold_gate.is_designated()
     }
 
-    /// Whether it bears one more request now.
-    fn admits(&self, now: Instant) -> bool {
-        let bears = self.bears(now);
-        bears.is_none_or(|bears| self.gate.admits(now, bears.per_instance_limit()))
+    /// Whether the cold start limit, if one applies, permits another request now.
+    fn cold_limit_admits(&self, now: Instant) -> bool {
+        let limit = self.current_cold_limit(now);
+        limit.is_none_or(|limit| self.cold_gate.admits(now, limit.per_instance_limit()))
     }
 
-    /// Whether one request may try it though it is left alone, as no other replica takes work.
+    /// Whether one request may be sent despite the backoff, for want of a replica that accepts
+    /// work.
     pub(super) fn is_last_resort(&self, now: Instant) -> bool {
         let rested = self
-            .missed_at
-            .is_some_and(|at| now.saturating_duration_since(at) >= LAST_RESORT);
-        let may_try = self.shunned(now) && !self.on_trial() && !self.silent(now);
-        rested && may_try && self.replica.usable && self.has_room() && self.admits(now)
+            .last_connect_failure_at
+            .is_some_and(|at| now.saturating_duration_since(at) >= LAST_RESORT_RETRY_DELAY);
+        let may_try = self.in_backoff(now) && !self.is_being_probed() && !self.is_unresponsive(now);
+        rested && may_try && self.replica.usable && self.has_room() && self.cold_limit_admits(now)
     }
 
-    /// Notes since when it has room, and returns whether it can take one more request now.
-    pub(super) fn note_room(&mut self, now: Instant) -> bool {
+    /// Records since when the replica has had room; returns whether it can accept another request
+    /// now.
+    pub(super) fn update_free_since(&mut self, now: Instant) -> bool {
         if !self.has_room() {
             self.free_since = None;
             return false;
         }
         self.free_since.get_or_insert(now);
-        self.replica.usable && self.takes_work(now) && self.admits(now)
+        self.replica.usable && self.accepts_work(now) && self.cold_limit_admits(now)
     }
 
-    /// For how long it has had room.
-    pub(super) fn free_for(&self, now: Instant) -> Duration {
+    /// How long the replica has had room.
+    pub(super) fn free_duration(&self, now: Instant) -> Duration {
         self.free_since
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at))
     }
 
-    pub(super) fn shun_unreachable(&mut self, now: Instant) {
-        let pause = UNREACHABLE * 2_u32.saturating_pow(self.missed.min(4));
-        self.missed += 1;
-        self.missed_at = Some(now);
-        self.shunned_until = Some(now + pause.min(LONGEST_UNREACHABLE));
+    /// Starts a backoff after a failure to connect.
+    pub(super) fn back_off_unreachable(&mut self, now: Instant) {
+        let backoff = UNREACHABLE_BACKOFF * 2_u32.saturating_pow(self.connect_failures.min(4));
+        self.connect_failures += 1;
+        self.last_connect_failure_at = Some(now);
+        self.backoff_until = Some(now + backoff.min(MAX_UNREACHABLE_BACKOFF));
     }
 
-    /// Takes a peer's word that it could not be reached, unless it was heard here just now.
-    pub(super) fn hint_unreachable(&mut self, now: Instant) {
-        let heard = self
-            .heard_at
-            .is_some_and(|at| now.saturating_duration_since(at) < HEARD_HERE);
-        if !heard && !self.shunned(now) {
-            self.missed_at = Some(now);
-            self.shunned_until = Some(now + HINTED);
+    /// Starts a backoff because a peer failed to connect, unless the replica responded here
+    /// recently.
+    pub(super) fn on_peer_unreachable(&mut self, now: Instant) {
+        let recently_responded = self
+            .last_response_at
+            .is_some_and(|at| now.saturating_duration_since(at) < RECENT_RESPONSE);
+        if !recently_responded && !self.in_backoff(now) {
+            self.last_connect_failure_at = Some(now);
+            self.backoff_until = Some(now + PEER_REPORT_BACKOFF);
         }
     }
 
-    /// Whether it is tried again after it could not be reached: by one request at a time.
-    pub(super) fn on_trial(&self) -> bool {
-        self.missed > 0 && !self.running.is_empty()
+    /// Whether a request is probing the replica after failures to connect; only one may do so at a
+    /// time.
+    pub(super) fn is_being_probed(&self) -> bool {
+        self.connect_failures > 0 && !self.running.is_empty()
     }
 
-    pub(super) fn shun_full(&mut self, now: Instant) {
-        self.shunned_until = Some(now + FULL);
+    /// Starts a backoff after a rejection for lack of capacity.
+    pub(super) fn back_off_full(&mut self, now: Instant) {
+        self.backoff_until = Some(now + FULL_BACKOFF);
     }
 
-    pub(super) fn shunned(&self, now: Instant) -> bool {
-        self.shunned_until.is_some_and(|until| now < until)
+    pub(super) fn in_backoff(&self, now: Instant) -> bool {
+        self.backoff_until.is_some_and(|until| now < until)
     }
 
-    /// Whether requests stand there and none of them has brought anything for long.
-    pub(super) fn silent(&self, now: Instant) -> bool {
-        let slowest = Duration::from_secs_f64(self.pace.step_ms() * SILENT_STEPS / 1e3);
-        let patience = SILENT.max(slowest);
-        let waited = self
-            .running
-            .iter()
-            .filter(|r| !r.heard)
-            .any(|r| now.saturating_duration_since(r.since) > patience + r.turn);
+    /// Whether a request is overdue and the replica has sent nothing else within the timeout
+    /// either.
+    pub(super) fn is_unresponsive(&self, now: Instant) -> bool {
+        let slowest_response =
+            Duration::from_secs_f64(self.pace.step_ms() * RESPONSE_TIMEOUT_STEPS / 1e3);
+        let timeout = RESPONSE_TIMEOUT.max(slowest_response);
+        let overdue = self.running.iter().filter(|r| !r.has_responded).any(|r| {
+            now.saturating_duration_since(r.dispatched_at) > timeout + r.queueing_allowance
+        });
         let quiet = self
-            .heard_at
-            .is_none_or(|at| now.saturating_duration_since(at) > patience);
-        waited && quiet
+            .last_response_at
+            .is_none_or(|at| now.saturating_duration_since(at) > timeout);
+        overdue && quiet
     }
 
-    /// Whether it has a free place and no prompt is being read there.
-    pub(super) fn reads_nothing(&self) -> bool {
-        self.unread() <= 0.0 && self.total() < self.replica.slots
+    /// Whether a slot is free and no prompt is being processed there.
+    pub(super) fn starts_prompt_at_once(&self) -> bool {
+        self.unread_prompt_tokens() <= 0.0 && self.running_total() < self.replica.slots
     }
 
-    /// Prompt tokens that are still to be read there.
-    fn unread(&self) -> f64 {
-        self.running.iter().map(|r| r.prompt).sum::<f64>() + self.prompt_elsewhere
+    /// Prompt tokens at the replica that have yet to be processed, of all instances.
+    fn unread_prompt_tokens(&self) -> f64 {
+        self.running
+            .iter()
+            .map(|r| r.unread_prompt_tokens)
+            .sum::<f64>()
+            + self.remote_prompt_tokens
     }
 
-    /// Milliseconds until the first byte of the job's answer, and what it costs the others there.
+    /// Cost in milliseconds: the time to the first byte of the response, and the delay of other
+    /// requests.
     pub(super) fn cost_ms(
         &self,
         now: Instant,
         job: &Job,
-        reading: &Reading,
-        usual_failing: f64,
+        prompt_cost: &PromptCost,
+        lowest_failure_share: f64,
     ) -> f64 {
-        let travel = self.replica.weighted_round_trip.as_secs_f64() * 1000.0;
-        let failing = (self.pace.failing(now) - usual_failing).max(0.0) * FAILURE_MS;
+        let round_trip_ms = self.replica.weighted_round_trip.as_secs_f64() * 1000.0;
+        let failure_penalty_ms =
+            (self.pace.failure_share(now) - lowest_failure_share).max(0.0) * FAILURE_PENALTY_MS;
         if !self.replica.is_engine {
-            let ahead = f64::from(self.total()) / f64::from(self.replica.slots.max(1));
-            return travel + self.pace.service_ms() * (1.0 + ahead) + failing;
+            let requests_per_slot =
+                f64::from(self.running_total()) / f64::from(self.replica.slots.max(1));
+            return round_trip_ms
+                + self.pace.service_ms() * (1.0 + requests_per_slot)
+                + failure_penalty_ms;
         }
-        let step = self.pace.step_ms();
-        let read = reading.prompt_steps(job.prompt_tokens) + reading.prompt_steps(self.unread());
-        let first = (reading.first_steps + read) * step + self.queue_ms(job);
-        let stall = self.stall_ms(job, reading);
-        travel + first + failing + stall + self.late_end_ms(now, job, first)
+        let step_ms = self.pace.step_ms();
+        let prompt_steps = prompt_cost.prompt_steps(job.prompt_tokens)
+            + prompt_cost.prompt_steps(self.unread_prompt_tokens());
+        let first_token_ms =
+            (prompt_cost.first_steps + prompt_steps) * step_ms + self.queue_wait_ms(job);
+        let stall_penalty_ms = self.stall_penalty_ms(job, prompt_cost);
+        round_trip_ms
+            + first_token_ms
+            + failure_penalty_ms
+            + stall_penalty_ms
+            + self.deadline_overrun_ms(now, job, first_token_ms)
     }
 
-    /// By how much a long answer would end after its deadline here.
-    fn late_end_ms(&self, now: Instant, job: &Job, first: f64) -> f64 {
-        let left = job.deadline.saturating_duration_since(now).as_secs_f64() * 1000.0;
-        let whole = first + job.expected_output_tokens * LENGTH_DOUBT * self.pace.step_ms();
-        (whole - left).max(0.0)
+    /// Milliseconds by which the response is expected to exceed its deadline.
+    fn deadline_overrun_ms(&self, now: Instant, job: &Job, first_token_ms: f64) -> f64 {
+        let time_left_ms = job.deadline.saturating_duration_since(now).as_secs_f64() * 1000.0;
+        let total_ms = first_token_ms
+            + job.expected_output_tokens * OUTPUT_LENGTH_MARGIN * self.pace.step_ms();
+        (total_ms - time_left_ms).max(0.0)
     }
 
-    /// Whether a long answer would end before its deadline, once it has a place here.
-    pub(super) fn ends_in_time(&self, now: Instant, job: &Job, reading: &Reading) -> bool {
-        let left = job.deadline.saturating_duration_since(now);
-        self.could_end(left, job.prompt_tokens, job.expected_output_tokens, reading)
+    /// Whether the response is expected to be complete by its deadline if it gets a slot now.
+    pub(super) fn finishes_by_deadline(
+        &self,
+        now: Instant,
+        job: &Job,
+        prompt_cost: &PromptCost,
+    ) -> bool {
+        let time_left = job.deadline.saturating_duration_since(now);
+        self.can_finish_within(
+            time_left,
+            job.prompt_tokens,
+            job.expected_output_tokens,
+            prompt_cost,
+        )
     }
 
-    /// Whether an answer of `output` tokens would end within `left`, once it has a place here.
-    pub(super) fn could_end(
+    /// Whether a response of `output_tokens` would be complete within `time_left`, once it has a
+    /// slot.
+    pub(super) fn can_finish_within(
         &self,
-        left: Duration,
-        prompt: f64,
-        output: f64,
-        reading: &Reading,
+        time_left: Duration,
+        prompt_tokens: f64,
+        output_tokens: f64,
+        prompt_cost: &PromptCost,
     ) -> bool {
-        let steps = reading.first_steps + reading.prompt_steps(prompt) + output * LENGTH_DOUBT;
-        !self.replica.is_engine || steps * self.pace.step_ms() <= left.as_secs_f64() * 1000.0
+        let steps = prompt_cost.first_steps
+            + prompt_cost.prompt_steps(prompt_tokens)
+            + output_tokens * OUTPUT_LENGTH_MARGIN;
+        !self.replica.is_engine || steps * self.pace.step_ms() <= time_left.as_secs_f64() * 1000.0
     }
 
-    /// How long a request may stand behind others here before its turn.
-    pub(super) fn longest_turn(&self, job: &Job) -> Duration {
-        Duration::from_secs_f64(self.queue_ms(job) * TURN_DOUBT / 1e3)
+    /// How long a request may have to queue in the engine before it gets a slot.
+    pub(super) fn queueing_allowance(&self, job: &Job) -> Duration {
+        Duration::from_secs_f64(self.queue_wait_ms(job) * QUEUE_WAIT_MARGIN / 1e3)
     }
 
-    fn queue_ms(&self, job: &Job) -> f64 {
-        let over = (self.total() + 1).saturating_sub(self.replica.slots);
-        let turn = job.expected_output_tokens.max(60.0) * self.pace.step_ms()
+    /// Milliseconds until a slot is expected to be free for the request; 0 if one is free now.
+    fn queue_wait_ms(&self, job: &Job) -> f64 {
+        let excess_requests = (self.running_total() + 1).saturating_sub(self.replica.slots);
+        let ms_per_request = job.expected_output_tokens.max(60.0) * self.pace.step_ms()
             / f64::from(self.replica.slots.max(1));
-        f64::from(over) * turn
+        f64::from(excess_requests) * ms_per_request
     }
 
-    /// What reading the prompt costs the streams that run there, if they pause for too long.
-    fn stall_ms(&self, job: &Job, reading: &Reading) -> f64 {
-        let chunk = job.prompt_tokens.min(STALL_TOKENS);
-        let waiting = self.unread();
-        let both = (chunk + waiting).min(STALL_TOKENS);
-        let slower = Reading::slower_by(job.prompt_tokens.max(waiting));
-        let pause = both / reading.tokens_a_step * slower * self.pace.step_ms();
-        let bound = job.max_event_gap.as_secs_f64() * 1000.0;
-        if bound <= 0.0 || pause < bound * 0.8 {
+    /// Cost of the streams that processing the prompt delays beyond their longest acceptable gap.
+    fn stall_penalty_ms(&self, job: &Job, prompt_cost: &PromptCost) -> f64 {
+        let own_tokens = job.prompt_tokens.min(MAX_PROMPT_TOKENS_BETWEEN_EVENTS);
+        let unread_tokens = self.unread_prompt_tokens();
+        let tokens = (own_tokens + unread_tokens).min(MAX_PROMPT_TOKENS_BETWEEN_EVENTS);
+        let slowdown = PromptCost::attention_slowdown(job.prompt_tokens.max(unread_tokens));
+        let gap_ms = tokens / prompt_cost.tokens_per_step * slowdown * self.pace.step_ms();
+        let max_gap_ms = job.max_event_gap.as_secs_f64() * 1000.0;
+        if max_gap_ms <= 0.0 || gap_ms < max_gap_ms * 0.8 {
             return 0.0;
         }
-        let streams = f64::from(self.total());
-        let excess = (pause / bound).min(3.0);
-        STALL_MS * streams * excess
+        let streams = f64::from(self.running_total());
+        let excess = (gap_ms / max_gap_ms).min(3.0);
+        STALL_PENALTY_PER_STREAM_MS * streams * excess
     }
 }
--- a/crates/decisions/tests/dispatch.rs
+++ b/crates/decisions/tests/dispatch.rs
@@ -170,10 +170,10 @@
     assert_eq!(&*dispatch.assign(later)[0].upstream, "b");
 }
 
-/// All slots of a replica are taken by other instances' requests, and one of ours stands behind them.
-/// It hears nothing for a second because it waits its turn. Taken for a sign of death, it would be
-/// abandoned and run again elsewhere, and under load each instance would do so at replica after
-/// replica.
+/// All slots of a replica are taken by other instances' requests, and one of ours stands behind
+/// them. It hears nothing for a second because it waits its turn. Taken for a sign of death, it
+/// would be abandoned and run again elsewhere, and under load each instance would do so at replica
+/// after replica.
 #[test]
 fn a_request_behind_others_is_no_sign_of_silence() {
     let now = Instant::now();
@@ -240,9 +240,9 @@
     }
 }
 
-/// A burst fills an engine and requests wait at ten instances of a zone. When a place comes free all
-/// hear of it at once. If all took it, nine requests would stand inside a full engine, where the most
-/// urgent can't be served first any more.
+/// A burst fills an engine and requests wait at ten instances of a zone. When a place comes free
+/// all hear of it at once. If all took it, nine requests would stand inside a full engine, where
+/// the most urgent can't be served first any more.
 #[test]
 fn a_free_place_is_taken_by_one_instance() {
     let now = Instant::now();
@@ -298,8 +298,8 @@
     assert!(taken >= 15, "{taken} of 100");
 }
 
-/// A place comes free in another zone, whose instances hear of it at once while this one hears late.
-/// It is left to them for as long as news takes, and taken when nobody there wanted it.
+/// A place comes free in another zone, whose instances hear of it at once while this one hears
+/// late. It is left to them for as long as news takes, and taken when nobody there wanted it.
 #[test]
 fn a_place_in_another_zone_is_left_to_that_zone_first() {
     let now = Instant::now();
@@ -318,8 +318,8 @@
 }
 
 /// All replicas of a service were out of reach for a while and are back. Each was left alone for
-/// longer with each failure; if that held for all at once, callers would be refused for seconds after
-/// the trouble is over, with nobody to send them to.
+/// longer with each failure; if that held for all at once, callers would be refused for seconds
+/// after the trouble is over, with nobody to send them to.
 #[parameterized(
     nobody_else = { Return { other: false, tried: true } },
     another_serves = { Return { other: true, tried: false } },
@@ -352,8 +352,8 @@
 
 /// Work beyond what the engines can do waits for ten seconds, in requests whose lengths differ a
 /// hundredfold. A report that would hold a place for seconds stands behind a check that needs a
-/// twentieth of that, also one of the next tier; in order of arrival ten callers would wait for one.
-/// Among requests of usual length the tiers decide, so that a draft never yields to a brief.
+/// twentieth of that, also one of the next tier; in order of arrival ten callers would wait for
+/// one. Among requests of usual length the tiers decide, so that a draft never yields to a brief.
 #[parameterized(
     long_behind_short_of_its_tier = { Sizes { waiting: vec![(0, 30_000.0, 900.0), (0, 300.0, 10.0)], expected: vec![1, 0] } },
     long_behind_short_of_the_next = { Sizes { waiting: vec![(0, 30_000.0, 900.0), (1, 300.0, 10.0)], expected: vec![1, 0] } },
@@ -389,8 +389,8 @@
     first: f64,
 }
 
-/// A customer's engines read prompts two and a half times as slowly, beside their steps, as those of
-/// the customer before. Judged by figures of the latter, a long prompt looks cheap at a slow
+/// A customer's engines read prompts two and a half times as slowly, beside their steps, as those
+/// of the customer before. Judged by figures of the latter, a long prompt looks cheap at a slow
 /// engine and its caller's first word comes late. What first events show is used instead.
 #[parameterized(
     large_steps = { Engine { step: 7.0, reads: 62.0, first: 120.0 } },
@@ -468,9 +468,9 @@
     assert_eq!(at.as_deref(), case.expected);
 }
 
-/// Callers of an engine tell no token counts, so all prompts count as empty. Nothing can be learned of
-/// how it reads them; a reading drawn from them anyway would make every cost not a number, and all
-/// requests would go to the same replica.
+/// Callers of an engine tell no token counts, so all prompts count as empty. Nothing can be learned
+/// of how it reads them; a reading drawn from them anyway would make every cost not a number, and
+/// all requests would go to the same replica.
 #[test]
 fn nothing_is_learned_from_prompts_of_unknown_length() {
     let now = Instant::now();
@@ -499,9 +499,9 @@
     expected: bool,
 }
 
-/// An instance that is about to end is asked for a stream. One that no replica ends in time would be
-/// cut in its middle, and its caller would have waited for nothing; one that some replica ends is not
-/// to be refused because another one is slow.
+/// An instance that is about to end is asked for a stream. One that no replica ends in time would
+/// be cut in its middle, and its caller would have waited for nothing; one that some replica ends
+/// is not to be refused because another one is slow.
 #[parameterized(
     short = { Ends { steps: [5, 23], left: Duration::from_secs(4), output: 100.0, expected: true } },
     long_for_the_slow_one = { Ends { steps: [5, 23], left: Duration::from_secs(4), output: 200.0, expected: true } },
@@ -596,7 +596,8 @@
     tolerated_per_s: 13.4,
 };
 
-/// A replica of the zone of `members` that is cold for three seconds, as the instance `key` sees it.
+/// A replica of the zone of `members` that is cold for three seconds, as the instance `key` sees
+/// it.
 fn cold(now: Instant, key: u32, members: Option<Vec<u32>>) -> Dispatcher {
     let mut dispatch = Dispatcher::new().with_address(key);
     dispatch.update_members(now, members);
@@ -610,8 +611,8 @@
     dispatch
 }
 
-/// Work waits at all instances of a zone while a replica is cold. It gets what it bears, from the one
-/// instance through which it is reached; before, each filled it and it crashed.
+/// Work waits at all instances of a zone while a replica is cold. It gets what it bears, from the
+/// one instance through which it is reached; before, each filled it and it crashed.
 #[test]
 fn a_cold_replica_gets_what_it_bears_from_a_whole_zone() {
     let now = Instant::now();
