--- a/crates/decisions/src/drained_zones.rs
+++ b/crates/decisions/src/drained_zones.rs
@@ -1,38 +1,38 @@
-//! Availability zones that the operator wants emptied: their replicas get nothing new.
+//! Availability zones that the operator has drained: their replicas receive no new requests.
 //!
-//! Load pattern: a sixth of the places goes at once, and comes back at once with cold replicas. A zone
-//! counts as emptied while the operator lists it, whatever is published of its replicas meanwhile. Work
-//! that runs there goes on.
+//! Load pattern: a sixth of all slots disappears at once, and comes back at once with cold
+//! replicas. A zone is drained while the operator lists it, whatever its replicas publish
+//! meanwhile. Requests that run there continue.
 
 use tokio::time::Instant;
 
 use crate::id::ZoneId;
 
-/// The emptied zones, and when zones were taken into use again.
+/// The drained zones, and the times at which zones were put back into use.
 #[derive(Debug, Default)]
 pub struct DrainedZones {
-    /// Sorted.
-    emptied: Vec<ZoneId>,
-    /// Sorted by zone.
-    refilled: Vec<(ZoneId, Instant)>,
+    /// Sorted by name.
+    drained: Vec<ZoneId>,
+    /// Time at which each zone was last put back into use, sorted by zone.
+    restored: Vec<(ZoneId, Instant)>,
 }
 
-/// What a new list of emptied zones changes.
+/// Difference between two lists of drained zones.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Change {
-    /// Zones that are emptied from now on.
+    /// Zones that became drained.
     pub drained: Vec<ZoneId>,
-    /// Zones that are in use again.
+    /// Zones that were put back into use.
     pub restored: Vec<ZoneId>,
 }
 
 impl DrainedZones {
-    /// No zone is emptied.
+    /// Creates an empty list.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the zones that are to be empty now.
+    /// Replaces the list of drained zones and returns what changed.
     pub fn update<I>(&mut self, now: Instant, zones: I) -> Change
     where
         I: IntoIterator<Item = ZoneId>,
@@ -40,41 +40,42 @@
         let mut zones: Vec<ZoneId> = zones.into_iter().collect();
         zones.sort_unstable();
         zones.dedup();
-        let missing = |from: &[ZoneId], of: &[ZoneId]| -> Vec<ZoneId> {
-            let missing = of.iter().filter(|z| from.binary_search(z).is_err());
+        let missing_from = |list: &[ZoneId], zones: &[ZoneId]| -> Vec<ZoneId> {
+            let missing = zones.iter().filter(|z| list.binary_search(z).is_err());
             missing.cloned().collect()
         };
         let change = Change {
-            drained: missing(&self.emptied, &zones),
-            restored: missing(&zones, &self.emptied),
+            drained: missing_from(&self.drained, &zones),
+            restored: missing_from(&zones, &self.drained),
         };
-        self.emptied = zones;
+        self.drained = zones;
         for zone in &change.restored {
-            self.note_refilled(now, zone);
+            self.record_restored(now, zone);
         }
         change
     }
 
-    /// Whether the replicas of a zone get nothing new.
+    /// Whether the zone is drained.
     pub fn contains(&self, zone: &str) -> bool {
-        self.emptied.binary_search_by(|z| (**z).cmp(zone)).is_ok()
+        self.drained.binary_search_by(|z| (**z).cmp(zone)).is_ok()
     }
 
-    /// The emptied zones, sorted.
+    /// All drained zones, sorted by name.
     pub fn all(&self) -> &[ZoneId] {
-        &self.emptied
+        &self.drained
     }
 
-    /// When a zone was taken into use again last: what its replicas kept may be gone since.
+    /// Time at which the zone was last put back into use; caches of its replicas may be lost since
+    /// then.
     pub fn restored_at(&self, zone: &str) -> Option<Instant> {
-        let at = self.refilled.binary_search_by(|(z, _)| (**z).cmp(zone));
-        at.ok().map(|at| self.refilled[at].1)
+        let i = self.restored.binary_search_by(|(z, _)| (**z).cmp(zone));
+        i.ok().map(|i| self.restored[i].1)
     }
 
-    fn note_refilled(&mut self, now: Instant, zone: &ZoneId) {
-        match self.refilled.binary_search_by(|(z, _)| z.cmp(zone)) {
-            Ok(at) => self.refilled[at].1 = now,
-            Err(at) => self.refilled.insert(at, (zone.clone(), now)),
+    fn record_restored(&mut self, now: Instant, zone: &ZoneId) {
+        match self.restored.binary_search_by(|(z, _)| z.cmp(zone)) {
+            Ok(i) => self.restored[i].1 = now,
+            Err(i) => self.restored.insert(i, (zone.clone(), now)),
         }
     }
 }
--- a/crates/decisions/src/regions.rs
+++ b/crates/decisions/src/regions.rs
@@ -1,25 +1,26 @@
-//! The regions in which a request may be served.
+//! Regions in which a request may be processed.
 //!
-//! Load pattern: organisations and routes that are tied to some regions, while these are full, emptied or
-//! cut off and others have room. Chosen by load alone, a replica of another region gets the
-//! request; kept to one of the two lists, a request leaves the regions of the other.
+//! Load pattern: organisations and routes restricted to some regions, while these are full, drained
+//! or unreachable and others have room. If load alone decided, a replica of another region would
+//! get the request; if only one of the two lists were applied, the request would leave the regions
+//! of the other.
 
 use std::fmt;
 use std::sync::Arc;
 
 use crate::id::RegionId;
 
-/// Regions in which a request may be served: all of them, or the ones that are named.
+/// Set of regions in which a request may be processed: all regions, or the named ones.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Regions(Option<Arc<[RegionId]>>);
 
 impl Regions {
-    /// Every region.
+    /// Permits every region.
     pub fn all() -> Self {
         Self::default()
     }
 
-    /// The named regions; every region if none is named.
+    /// Permits the named regions, or every region if `names` is empty.
     pub fn named<I>(names: I) -> Self
     where
         I: IntoIterator<Item = RegionId>,
@@ -33,7 +34,7 @@
         Self(Some(names.into()))
     }
 
-    /// The regions that both allow, which may be none.
+    /// Intersection of both sets, which may be empty.
     #[must_use]
     pub fn and(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
@@ -46,12 +47,12 @@
         }
     }
 
-    /// Whether no region is left.
+    /// Whether the set is empty.
     pub fn is_none(&self) -> bool {
         self.0.as_deref().is_some_and(<[RegionId]>::is_empty)
     }
 
-    /// Whether a request may be served in the region.
+    /// Whether the set contains the region.
     pub fn allows(&self, region: &str) -> bool {
         let Some(names) = &self.0 else {
             return true;
--- a/crates/decisions/src/remote_load.rs
+++ b/crates/decisions/src/remote_load.rs
@@ -1,73 +1,75 @@
-//! What the other instances have at each replica, kept as sums.
+//! Load that the other instances put on each replica, kept as running totals.
 //!
-//! Load pattern: sixty instances that tell each other of each change, before a hundred and more
-//! replicas. Adding all words up anew at each message took seven tenths of an instance's processor
-//! time, so that small machines fell behind in everything else, the operator's table included. Here
-//! a message changes the sums of the replicas that it names and no others.
+//! Load pattern: sixty instances that send each other every change of their load, with more than a
+//! hundred replicas. Recomputing all totals for each message took seven tenths of an instance's CPU
+//! time, so that small machines fell behind with everything else, the operator's table included.
+//! Here a message only updates the totals of the replicas it changes.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::NameHash;
 
-/// What an instance has at one replica.
+/// Load that one instance puts on one replica.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ReplicaLoad {
-    /// The replica.
+    /// Hash of the replica's name.
     pub replica: NameHash,
-    /// Requests of the instance there.
+    /// Number of requests that run there.
     pub running: u16,
-    /// Their prompt tokens that are still to be read.
+    /// Prompt tokens of these requests that the replica has yet to process.
     pub prompt: u32,
 }
 
-/// What all other instances have at one replica.
+/// Load that all other instances put on one replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct TotalLoad {
-    /// Requests there.
+    /// Number of requests that run there.
     pub running: u32,
-    /// Their prompt tokens that are still to be read.
+    /// Prompt tokens of these requests that the replica has yet to process.
     pub prompt: u64,
 }
 
-/// Sums by replica, and which of them have changed since somebody looked.
+/// Total load by replica, and the replicas whose total changed since [`RemoteLoad::take_changed`].
 #[derive(Debug, Default)]
 pub struct RemoteLoad {
-    sums: Vec<(NameHash, TotalLoad)>,
+    /// Sorted by replica.
+    totals: Vec<(NameHash, TotalLoad)>,
     changed: Vec<NameHash>,
 }
 
 impl RemoteLoad {
-    /// Nobody has anything anywhere.
+    /// Creates empty totals.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Replaces what one instance had by what it has. Most of it stays from message to message.
-    pub fn replace(&mut self, before: &[ReplicaLoad], after: &[ReplicaLoad]) {
-        for load in before.iter().filter(|l| !after.contains(l)) {
-            let sum = self.change(load.replica);
-            sum.running -= u32::from(load.running);
-            sum.prompt -= u64::from(load.prompt);
+    /// Replaces the load reported by one instance. Most entries are the same in consecutive
+    /// messages.
+    pub fn replace(&mut self, previous: &[ReplicaLoad], current: &[ReplicaLoad]) {
+        for load in previous.iter().filter(|l| !current.contains(l)) {
+            let total = self.total_mut(load.replica);
+            total.running -= u32::from(load.running);
+            total.prompt -= u64::from(load.prompt);
         }
-        for load in after.iter().filter(|l| !before.contains(l)) {
-            let sum = self.change(load.replica);
-            sum.running += u32::from(load.running);
-            sum.prompt += u64::from(load.prompt);
+        for load in current.iter().filter(|l| !previous.contains(l)) {
+            let total = self.total_mut(load.replica);
+            total.running += u32::from(load.running);
+            total.prompt += u64::from(load.prompt);
         }
     }
 
-    /// What the others have at a replica.
+    /// Total load at a replica; zero if none was reported.
     pub fn get(&self, replica: NameHash) -> TotalLoad {
-        let found = self.sums.binary_search_by(|(r, _)| r.cmp(&replica));
-        found.map_or_else(|_| TotalLoad::default(), |at| self.sums[at].1)
+        let found = self.totals.binary_search_by(|(r, _)| r.cmp(&replica));
+        found.map_or_else(|_| TotalLoad::default(), |i| self.totals[i].1)
     }
 
-    /// All replicas at which the others have or had something.
+    /// Totals of all replicas for which load was ever reported, sorted by replica.
     pub fn totals(&self) -> &[(NameHash, TotalLoad)] {
-        &self.sums
+        &self.totals
     }
 
-    /// The replicas whose sums have changed since the last call.
+    /// Returns the replicas whose totals changed since the last call, sorted, and resets the list.
     pub fn take_changed(&mut self) -> Vec<NameHash> {
         let mut changed = std::mem::take(&mut self.changed);
         changed.sort_unstable();
@@ -75,13 +77,14 @@
         changed
     }
 
-    fn change(&mut self, replica: NameHash) -> &mut TotalLoad {
+    /// Total of a replica, marked as changed; inserted if absent.
+    fn total_mut(&mut self, replica: NameHash) -> &mut TotalLoad {
         self.changed.push(replica);
-        let found = self.sums.binary_search_by(|(r, _)| r.cmp(&replica));
-        let at = found.unwrap_or_else(|at| {
-            self.sums.insert(at, (replica, TotalLoad::default()));
-            at
+        let found = self.totals.binary_search_by(|(r, _)| r.cmp(&replica));
+        let i = found.unwrap_or_else(|i| {
+            self.totals.insert(i, (replica, TotalLoad::default()));
+            i
         });
-        &mut self.sums[at].1
+        &mut self.totals[i].1
     }
 }
