--- a/crates/decisions/src/health.rs
+++ b/crates/decisions/src/health.rs
@@ -1,73 +1,75 @@
-//! Judges a replica against its own hardware generation and decides how much it may get.
+//! Health of a replica relative to others of its hardware generation, and the slots it may use.
 //!
 //! Load pattern: a replica that silently runs at a tenth of its speed or stalls. Its load report
-//! still looks idle, so least-load choice would send it everything. Here its own answers, and
-//! first tokens that do not come, cut its share; then single requests find out whether it is back.
+//! still looks idle, so choosing the least loaded replica would send it everything. Its own
+//! responses, and first tokens that don't arrive, reduce its slots here; later, single probe
+//! requests find out whether it has recovered.
 //!
-//! An old generation is slow by nature: it is compared with the usual pace of its own kind.
+//! An old generation is slow by design, so a replica is compared with the usual pace of its own
+//! generation.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Slower than its kind by this factor: suspect.
+/// Slowdown relative to the generation from which a replica is suspect.
 pub const SUSPECT_SLOWDOWN: f64 = 3.0;
 
-/// Slower than its kind by this factor: only probes.
+/// Slowdown relative to the generation from which a replica only receives probes.
 pub const PROBE_SLOWDOWN: f64 = 6.0;
 
-/// A probe within this factor counts as good.
+/// Largest slowdown of a probe that counts as good.
 pub const GOOD_SLOWDOWN: f64 = 2.0;
 
-/// Errors in a row after which a replica is suspect.
+/// Consecutive errors after which a replica is suspect.
 pub const SUSPECT_ERRORS: u32 = 2;
 
-/// Errors in a row after which a replica gets only probes.
+/// Consecutive errors after which a replica only receives probes.
 pub const PROBE_ERRORS: u32 = 4;
 
 /// First pause between probes; it triples up to [`PROBE_PAUSE_MAX`] while they fail.
 ///
-/// What is stuck in a stall tells at once when it is over, so probes may be rare: each costs a
-/// caller the time until its deadline.
+/// Requests caught in a stall show at once when it ends, so probes can be infrequent: each failed
+/// one costs a caller the time until its deadline.
 pub const PROBE_PAUSE: Duration = Duration::from_secs(5);
 
 /// Longest pause between probes.
 pub const PROBE_PAUSE_MAX: Duration = Duration::from_secs(45);
 
-/// Good probes in a row before the share comes back.
+/// Consecutive good probes before recovery starts.
 pub const GOOD_PROBES: u32 = 2;
 
-/// Good answers before each doubling of the share on the way back.
+/// Consecutive good responses before each doubling of the slots during recovery.
 pub const GOOD_ANSWERS: u32 = 4;
 
-/// Steps back: an eighth, a quarter, a half, all.
-const STEPS: u8 = 3;
+/// Doublings during recovery: from an eighth to a quarter, a half and all of the slots.
+const RECOVERY_STEPS: u8 = 3;
 
-/// Stage of a replica's health.
+/// Stage of a replica's health, which determines its usable slots.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthStage {
-    /// Its whole limit.
+    /// All slots are usable.
     Healthy,
-    /// Half of its limit.
+    /// Half of the slots are usable.
     Suspect,
-    /// One request at a time, after pauses.
+    /// Ejected: only one probe request at a time, with pauses between them.
     Probing,
-    /// Its limit halved `steps_left` times.
+    /// The slots are halved `steps_left` times.
     Recovering {
-        /// Doublings to go.
+        /// Doublings left until all slots are usable.
         steps_left: u8,
     },
 }
 
-/// Health of one replica.
+/// Health of one replica, derived from its responses.
 #[derive(Debug, Clone)]
 pub struct Health {
     stage: HealthStage,
-    errors: u32,
-    good: u32,
-    pause: Duration,
-    fell: Option<Instant>,
-    next_probe: Option<Instant>,
+    errors_in_row: u32,
+    good_in_row: u32,
+    probe_pause: Duration,
+    last_ejected_at: Option<Instant>,
+    next_probe_at: Option<Instant>,
 }
 
 impl Default for Health {
@@ -77,15 +79,15 @@
 }
 
 impl Health {
-    /// Makes the health of a replica of which nothing bad is known.
+    /// Creates the health of a replica without known problems.
     pub fn new() -> Self {
         Self {
             stage: HealthStage::Healthy,
-            errors: 0,
-            good: 0,
-            pause: PROBE_PAUSE,
-            fell: None,
-            next_probe: None,
+            errors_in_row: 0,
+            good_in_row: 0,
+            probe_pause: PROBE_PAUSE,
+            last_ejected_at: None,
+            next_probe_at: None,
         }
     }
 
@@ -94,86 +96,110 @@
         self.stage
     }
 
-    /// Slots that may be taken of `limit` when `taken` are in use, `old` of them since before the
-    /// replica fell.
+    /// Slots that may be in use out of `limit`, when `slots_in_use` are, and
+    /// `slots_before_ejection` of these since before the replica was ejected.
     ///
-    /// The old ones do not count against probes: long answers would hold the replica back for
-    /// minutes after it is well again.
-    pub fn allowed_slots(&self, now: Instant, limit: u32, taken: u32, old: u32) -> u32 {
+    /// The latter don't count against probes: long responses would otherwise keep out a replica
+    /// that has recovered for minutes.
+    pub fn allowed_slots(
+        &self,
+        now: Instant,
+        limit: u32,
+        slots_in_use: u32,
+        slots_before_ejection: u32,
+    ) -> u32 {
         match self.stage {
             HealthStage::Healthy => limit,
             HealthStage::Suspect => (limit / 2).max(1),
-            HealthStage::Probing if self.next_probe.is_some_and(|at| now < at) => taken.min(limit),
-            HealthStage::Probing => (old + 1).min(limit),
+            HealthStage::Probing if self.next_probe_at.is_some_and(|at| now < at) => {
+                slots_in_use.min(limit)
+            }
+            HealthStage::Probing => (slots_before_ejection + 1).min(limit),
             HealthStage::Recovering { steps_left } => {
-                (old + (limit >> steps_left).max(1)).min(limit)
+                (slots_before_ejection + (limit >> steps_left).max(1)).min(limit)
             }
         }
     }
 
-    /// When it fell last.
+    /// Time of the last ejection, if there was one.
     pub fn ejected_at(&self) -> Option<Instant> {
-        self.fell
+        self.last_ejected_at
     }
 
-    /// Notes that a probe was granted, so that the next one waits.
+    /// Records that a slot was granted; if it was for a probe, the next one waits for the pause.
     pub fn on_granted(&mut self, now: Instant) {
         if self.stage == HealthStage::Probing {
-            self.next_probe = Some(now + self.pause);
+            self.next_probe_at = Some(now + self.probe_pause);
         }
     }
 
-    /// Notes an answer or first token of a request dispatched at `since` that was `slowdown` times
-    /// slower than usual for its kind, and the moving mean of such slowdowns.
-    pub fn on_answer(&mut self, now: Instant, since: Instant, slowdown: f64, mean_slowdown: f64) {
-        self.errors = 0;
-        if self.fell.is_some_and(|fell| since < fell) {
-            // It was stuck in the stall and tells only that the stall is over: probe at once.
-            self.next_probe = None;
+    /// Records a response or first token of a request dispatched at `dispatched_at`, by how many
+    /// times it was slower than usual for the generation, and the moving average of these
+    /// slowdowns.
+    pub fn on_answer(
+        &mut self,
+        now: Instant,
+        dispatched_at: Instant,
+        slowdown: f64,
+        mean_slowdown: f64,
+    ) {
+        self.errors_in_row = 0;
+        if self
+            .last_ejected_at
+            .is_some_and(|ejected_at| dispatched_at < ejected_at)
+        {
+            // The request was caught in the stall and only shows that it ended: probe at once.
+            self.next_probe_at = None;
             return;
         }
         match self.stage {
-            HealthStage::Healthy | HealthStage::Suspect => self.judge(now, mean_slowdown),
+            HealthStage::Healthy | HealthStage::Suspect => self.update_stage(now, mean_slowdown),
             HealthStage::Probing | HealthStage::Recovering { .. }
                 if slowdown > SUSPECT_SLOWDOWN =>
             {
-                self.fall(now);
+                self.eject(now);
             }
-            HealthStage::Probing => self.climb(GOOD_PROBES, slowdown),
-            HealthStage::Recovering { .. } => self.climb(GOOD_ANSWERS, slowdown),
+            HealthStage::Probing => self.record_answer(GOOD_PROBES, slowdown),
+            HealthStage::Recovering { .. } => self.record_answer(GOOD_ANSWERS, slowdown),
         }
     }
 
-    /// Notes a broken answer.
+    /// Records a broken response.
     pub fn on_error(&mut self, now: Instant) {
-        self.errors = self.errors.saturating_add(1);
+        self.errors_in_row = self.errors_in_row.saturating_add(1);
         match self.stage {
-            HealthStage::Healthy if self.errors >= SUSPECT_ERRORS => {
+            HealthStage::Healthy if self.errors_in_row >= SUSPECT_ERRORS => {
                 self.stage = HealthStage::Suspect;
             }
-            HealthStage::Suspect if self.errors >= PROBE_ERRORS => self.fall(now),
-            HealthStage::Probing | HealthStage::Recovering { .. } => self.fall(now),
+            HealthStage::Suspect if self.errors_in_row >= PROBE_ERRORS => self.eject(now),
+            HealthStage::Probing | HealthStage::Recovering { .. } => self.eject(now),
             HealthStage::Healthy | HealthStage::Suspect => {}
         }
     }
 
-    /// Notes that a first token is overdue: the replica stalls, whatever its report says.
+    /// Records that a first token is overdue: the replica stalls, whatever its load report says.
     pub fn on_overdue(&mut self, now: Instant) {
         if self.stage != HealthStage::Probing {
-            self.fall(now);
+            self.eject(now);
         }
     }
 
-    /// Notes that a request dispatched at `since` got nothing; a probe among them has failed.
-    pub fn on_silent_end(&mut self, now: Instant, since: Instant) {
-        if self.stage != HealthStage::Probing || self.fell.is_some_and(|fell| since >= fell) {
-            self.fall(now);
+    /// Records that a request dispatched at `dispatched_at` ended without any response. If it was a
+    /// probe, the probe failed.
+    pub fn on_silent_end(&mut self, now: Instant, dispatched_at: Instant) {
+        if self.stage != HealthStage::Probing
+            || self
+                .last_ejected_at
+                .is_some_and(|ejected_at| dispatched_at >= ejected_at)
+        {
+            self.eject(now);
         }
     }
 
-    fn judge(&mut self, now: Instant, mean_slowdown: f64) {
+    /// Sets the stage of a replica that isn't ejected from its average slowdown.
+    fn update_stage(&mut self, now: Instant, mean_slowdown: f64) {
         if mean_slowdown >= PROBE_SLOWDOWN {
-            self.fall(now);
+            self.eject(now);
         } else if mean_slowdown >= SUSPECT_SLOWDOWN {
             self.stage = HealthStage::Suspect;
         } else if mean_slowdown <= GOOD_SLOWDOWN {
@@ -181,35 +207,40 @@
         }
     }
 
-    fn fall(&mut self, now: Instant) {
+    /// Restricts the replica to probes; if it already was, a probe failed and the pause grows.
+    fn eject(&mut self, now: Instant) {
         if self.stage == HealthStage::Probing {
-            self.pause = (self.pause * 3).min(PROBE_PAUSE_MAX);
+            self.probe_pause = (self.probe_pause * 3).min(PROBE_PAUSE_MAX);
         }
         self.stage = HealthStage::Probing;
-        self.fell = Some(now);
-        self.good = 0;
-        self.next_probe = Some(now + self.pause);
+        self.last_ejected_at = Some(now);
+        self.good_in_row = 0;
+        self.next_probe_at = Some(now + self.probe_pause);
     }
 
-    fn climb(&mut self, needed: u32, slowdown: f64) {
+    /// Counts a good response and enters the next stage of recovery after `required` of them in a
+    /// row.
+    fn record_answer(&mut self, required: u32, slowdown: f64) {
         if slowdown > GOOD_SLOWDOWN {
-            self.good = 0;
+            self.good_in_row = 0;
             return;
         }
-        self.good += 1;
-        if self.good < needed {
-            self.next_probe = None;
+        self.good_in_row += 1;
+        if self.good_in_row < required {
+            self.next_probe_at = None;
             return;
         }
-        self.good = 0;
+        self.good_in_row = 0;
         self.stage = match self.stage {
             HealthStage::Recovering { steps_left: 1 } => HealthStage::Healthy,
             HealthStage::Recovering { steps_left } => HealthStage::Recovering {
                 steps_left: steps_left - 1,
             },
-            _ => HealthStage::Recovering { steps_left: STEPS },
+            _ => HealthStage::Recovering {
+                steps_left: RECOVERY_STEPS,
+            },
         };
-        self.pause = PROBE_PAUSE;
-        self.next_probe = None;
+        self.probe_pause = PROBE_PAUSE;
+        self.next_probe_at = None;
     }
 }
