--- a/crates/decisions/src/concurrency.rs
+++ b/crates/decisions/src/concurrency.rs
@@ -1,9 +1,10 @@
-//! The concurrency limit of one replica.
+//! Concurrency limit of one replica, adapted to the speed of its responses.
 //!
-//! Load pattern: engines of different speed that slow down without warning. With a fixed limit a
-//! fast engine idles and a slow one queues inside, where no tier counts. The limit rises by one
-//! for each round of answers that stay near the replica's own best pace while it is full, and
-//! falls by a fifth when they do not. A load report only ever lowers it: it is stale.
+//! Load pattern: engines of different speed that slow down without warning. With a fixed limit, a
+//! fast engine idles and requests queue inside a slow one, regardless of their tiers. While the
+//! limit is reached, it rises by one for each round of responses that stay near the best pace
+//! observed at this replica, and it falls by a fifth when they don't. Load reports are stale and
+//! therefore only lower it.
 
 use std::time::Duration;
 
@@ -12,44 +13,44 @@
 use crate::pace::TRUSTED_SAMPLES;
 use crate::slots::LoadReport;
 
-/// Limit of a replica of which nothing is known; it doubles with each round while all goes well.
-pub const START: u32 = 4;
+/// Limit of a replica without history; it doubles with each round of good responses.
+pub const INITIAL_LIMIT: u32 = 4;
 
-/// Highest limit; a batch beyond it gains no throughput on the brief's engines.
+/// Highest limit. Larger batches gain no throughput on the engines this was built for.
 pub const MAX_LIMIT: u32 = 256;
 
-/// First tokens this many times slower than the best pace mean a queue inside the engine.
+/// Slowdown of first tokens relative to the best pace from which requests queue inside the engine.
 pub const FIRST_TOKEN_TOLERANCE: f64 = 3.0;
 
-/// Tokens this many times further apart than at the best pace mean a batch that is too large.
+/// Slowdown between tokens relative to the best pace from which the batch is too large.
 pub const BETWEEN_TOKENS_TOLERANCE: f64 = 2.5;
 
-/// Part that is kept at a decrease.
-const DECREASE: f64 = 0.8;
+/// Factor applied to the limit at a decrease.
+const DECREASE_FACTOR: f64 = 0.8;
 
-/// At most one decrease in this time: the answers in flight all tell of the same moment.
-const DECREASE_EVERY: Duration = Duration::from_millis(500);
+/// Shortest time between two decreases: the responses in flight all show the same overload.
+const DECREASE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A report older than this no longer lowers the limit.
-pub const REPORT_HOLDS: Duration = Duration::from_secs(5);
+/// Time for which a load report limits the slots.
+pub const REPORT_VALIDITY: Duration = Duration::from_secs(5);
 
-/// Part by which the best pace rises towards each slower sample, so that it is not kept for ever.
-const BEST_DRIFT: f64 = 0.002;
+/// Share by which the best pace rises towards a slower sample, so that it doesn't stay for ever.
+const BEST_RISE_GAIN: f64 = 0.002;
 
-/// Part by which the best pace falls towards each faster sample.
-const BEST_FALL: f64 = 0.1;
+/// Share by which the best pace falls towards a faster sample.
+const BEST_FALL_GAIN: f64 = 0.1;
 
-/// Share of a new sample in the recent slowdown; about the last five count.
+/// Weight of a new sample in the recent slowdown; it covers about the last five samples.
 const RECENT_GAIN: f64 = 0.2;
 
-/// Ceiling that a load report has set.
+/// Upper bound set by a load report.
 #[derive(Debug, Clone, Copy)]
 struct Ceiling {
     slots: f64,
-    until: Instant,
+    valid_until: Instant,
 }
 
-/// A time's usual best and how much slower the recent samples were.
+/// Best observed value of a latency, and the slowdown of recent samples relative to it.
 #[derive(Debug, Clone, Copy)]
 struct Slowdown {
     best: f64,
@@ -66,17 +67,17 @@
         }
     }
 
-    /// Notes a sample and tells how many times slower than the best the recent ones are.
-    fn add(&mut self, sample: f64) -> f64 {
+    /// Records a sample and returns the recent slowdown, or 1 while there are too few samples.
+    fn record(&mut self, sample: f64) -> f64 {
         self.samples = self.samples.saturating_add(1);
         if self.samples == 1 {
             self.best = sample;
         }
-        // Down by a part of the way only: one answer that a cache made short is not the new best.
+        // Moves only part of the way: one response made short by a cache hit isn't the new best.
         let gain = if sample < self.best {
-            BEST_FALL
+            BEST_FALL_GAIN
         } else {
-            BEST_DRIFT
+            BEST_RISE_GAIN
         };
         self.best += (sample - self.best) * gain;
         if self.samples < TRUSTED_SAMPLES || self.best <= 0.0 {
@@ -87,16 +88,16 @@
     }
 }
 
-/// Limit of requests in flight at one replica.
+/// Limit of concurrent requests at one replica.
 #[derive(Debug, Clone)]
 pub struct ConcurrencyLimit {
     slots: f64,
-    max: u32,
-    doubling: bool,
+    max_slots: u32,
+    starting_up: bool,
     first_token: Slowdown,
     between_tokens: Slowdown,
     ceiling: Option<Ceiling>,
-    decreased: Option<Instant>,
+    last_decrease_at: Option<Instant>,
 }
 
 impl Default for ConcurrencyLimit {
@@ -106,98 +107,115 @@
 }
 
 impl ConcurrencyLimit {
-    /// Makes the limit of a replica of which nothing is known.
+    /// Creates the limit of a replica without history.
     pub fn new() -> Self {
         Self {
-            slots: f64::from(START),
-            max: MAX_LIMIT,
-            doubling: true,
+            slots: f64::from(INITIAL_LIMIT),
+            max_slots: MAX_LIMIT,
+            starting_up: true,
             first_token: Slowdown::new(),
             between_tokens: Slowdown::new(),
             ceiling: None,
-            decreased: None,
+            last_decrease_at: None,
         }
     }
 
-    /// Starts at `slots`, known from an earlier owner's digest.
+    /// Starts with `slots` from the digest of an earlier owner.
     pub fn with_start(mut self, slots: u32) -> Self {
-        self.slots = f64::from(slots.clamp(1, self.max));
+        self.slots = f64::from(slots.clamp(1, self.max_slots));
         self
     }
 
-    /// Never goes above `max`.
+    /// Caps the limit at `max`.
     pub fn with_max(mut self, max: u32) -> Self {
-        self.max = max.clamp(1, MAX_LIMIT);
-        self.slots = self.slots.min(f64::from(self.max));
+        self.max_slots = max.clamp(1, MAX_LIMIT);
+        self.slots = self.slots.min(f64::from(self.max_slots));
         self
     }
 
-    /// Slots that may be taken now; at least 1.
+    /// Slots that may be in use now; at least 1.
     pub fn slots(&self, now: Instant) -> u32 {
         let slots = match self.ceiling {
-            Some(ceiling) if ceiling.until > now => self.slots.min(ceiling.slots),
+            Some(ceiling) if ceiling.valid_until > now => self.slots.min(ceiling.slots),
             _ => self.slots,
         };
         (slots as u32).max(1)
     }
 
-    /// Learns that `taken` slots are in use that an earlier owner granted.
-    pub fn on_inherited_slots(&mut self, taken: u32) {
-        let taken = f64::from(taken.min(self.max));
-        self.slots = self.slots.max(taken);
+    /// Raises the limit to the slots in use that an earlier owner granted.
+    pub fn on_inherited_slots(&mut self, slots_in_use: u32) {
+        let slots_in_use = f64::from(slots_in_use.min(self.max_slots));
+        self.slots = self.slots.max(slots_in_use);
     }
 
-    /// Notes a first token after `took` behind `tokens` of prefill, with `taken` slots in use.
-    pub fn on_first_token(&mut self, now: Instant, tokens: f64, took: Duration, taken: u32) {
+    /// Records a first token that arrived after `elapsed` with `uncached_tokens` of prefill before
+    /// it.
+    pub fn on_first_token(
+        &mut self,
+        now: Instant,
+        uncached_tokens: f64,
+        elapsed: Duration,
+        slots_in_use: u32,
+    ) {
         let slowdown = self
             .first_token
-            .add(took.as_nanos() as f64 / tokens.max(1.0));
-        self.step(now, slowdown <= FIRST_TOKEN_TOLERANCE, taken);
+            .record(elapsed.as_nanos() as f64 / uncached_tokens.max(1.0));
+        self.adjust(now, slowdown <= FIRST_TOKEN_TOLERANCE, slots_in_use);
     }
 
-    /// Notes an answer's mean time between tokens.
-    pub fn on_between_tokens(&mut self, now: Instant, took: Duration, taken: u32) {
-        let slowdown = self.between_tokens.add(took.as_nanos() as f64);
-        self.step(now, slowdown <= BETWEEN_TOKENS_TOLERANCE, taken);
+    /// Records the mean gap between the tokens of a response.
+    pub fn on_between_tokens(&mut self, now: Instant, gap: Duration, slots_in_use: u32) {
+        let slowdown = self.between_tokens.record(gap.as_nanos() as f64);
+        self.adjust(now, slowdown <= BETWEEN_TOKENS_TOLERANCE, slots_in_use);
     }
 
-    /// Notes an answer that broke.
+    /// Records a broken response.
     pub fn on_error(&mut self, now: Instant) {
         self.decrease(now);
     }
 
-    /// Notes a load report; requests that wait inside the replica lower the limit to its batch.
+    /// Records a load report. Requests queued inside the replica lower the limit to its batch size.
     pub fn on_report(&mut self, now: Instant, report: LoadReport) {
-        let full = report.kv_total > 0 && report.kv_used >= report.kv_total;
-        if report.waiting == 0 && !full {
+        let cache_full = report.kv_total > 0 && report.kv_used >= report.kv_total;
+        if report.waiting == 0 && !cache_full {
             return;
         }
-        let batch = f64::from(report.running.max(1));
+        let batch_size = f64::from(report.running.max(1));
         self.ceiling = Some(Ceiling {
-            slots: batch,
-            until: now + REPORT_HOLDS,
+            slots: batch_size,
+            valid_until: now + REPORT_VALIDITY,
         });
-        // Without this the limit would jump back above the batch when the ceiling ends, and every
-        // few seconds requests of all tiers would queue inside the engine in order of arrival.
-        self.doubling = false;
-        self.slots = self.slots.min(batch);
+        // Otherwise the limit would jump back above the batch size when the bound expires, and
+        // every few seconds requests of all tiers would queue inside the engine in order of
+        // arrival.
+        self.starting_up = false;
+        self.slots = self.slots.min(batch_size);
     }
 
-    fn step(&mut self, now: Instant, good: bool, taken: u32) {
-        if !good {
+    /// Lowers the limit after a bad sample; raises it after a good one if all slots are in use.
+    fn adjust(&mut self, now: Instant, is_good: bool, slots_in_use: u32) {
+        if !is_good {
             self.decrease(now);
-        } else if f64::from(taken) + 1.0 >= self.slots {
-            let gain = if self.doubling { 1.0 } else { 1.0 / self.slots };
-            self.slots = (self.slots + gain).min(f64::from(self.max));
+        } else if f64::from(slots_in_use) + 1.0 >= self.slots {
+            let gain = if self.starting_up {
+                1.0
+            } else {
+                1.0 / self.slots
+            };
+            self.slots = (self.slots + gain).min(f64::from(self.max_slots));
         }
     }
 
+    /// Lowers the limit unless it was lowered within [`DECREASE_INTERVAL`].
     fn decrease(&mut self, now: Instant) {
-        if self.decreased.is_some_and(|at| now < at + DECREASE_EVERY) {
+        if self
+            .last_decrease_at
+            .is_some_and(|at| now < at + DECREASE_INTERVAL)
+        {
             return;
         }
-        self.decreased = Some(now);
-        self.doubling = false;
-        self.slots = (self.slots * DECREASE).max(1.0);
+        self.last_decrease_at = Some(now);
+        self.starting_up = false;
+        self.slots = (self.slots * DECREASE_FACTOR).max(1.0);
     }
 }
--- a/crates/decisions/src/id.rs
+++ b/crates/decisions/src/id.rs
@@ -1,4 +1,4 @@
-//! Names of the things that the decisions speak about.
+//! Identifiers and units shared by all modules.
 
 use std::sync::Arc;
 
@@ -12,32 +12,35 @@
 pub type ZoneId = Arc<str>;
 /// Name of a region, which holds one or more availability zones.
 pub type RegionId = Arc<str>;
-/// An entry instance by its address, as the instances name each other in messages.
+/// IPv4 address of an entry instance as a number, which identifies it in messages between
+/// instances.
 pub type InstanceAddress = u32;
-/// Name of an organisation, whose limits and weight stand in the table.
+/// Name of an organisation, whose limits and weight are in the table.
 pub type OrganisationId = Arc<str>;
 /// Name of a model or plain service.
 pub type ServiceId = Arc<str>;
-/// Name of a tier; its rank decides.
+/// Name of a tier. Its rank, not its name, determines its priority.
 pub type TierId = Arc<str>;
-/// Name of a request: the receiving instance, its incarnation and a counter.
+/// Identifier of a request: receiving instance, its incarnation and a counter.
 pub type RequestId = Arc<str>;
 
-/// Short name of a replica, an organisation or a zone in messages between instances.
+/// Hash of the name of a replica, service, organisation or zone, used in messages between
+/// instances.
 pub type NameHash = u32;
 
-/// The short name of `name`.
+/// Hash of `name`, the same at all instances.
 pub fn name_hash(name: &str) -> NameHash {
     xxh3_64(name.as_bytes()) as NameHash
 }
 
-/// Position of a tier; 0 is the highest.
+/// Rank of a tier; 0 has the highest priority.
 pub type Rank = u8;
-/// Distinguishes the lives of a restarted instance; a later life has a larger number.
+/// Distinguishes an instance from its predecessor before a restart; a later one has a larger
+/// number.
 pub type Incarnation = u64;
-/// Version of a published value; it only grows.
+/// Version of a published value; it only increases.
 pub type Version = u64;
-/// Position in a sequence of messages, chunks or cache events.
+/// Sequence number of a message, chunk or cache event.
 pub type Sequence = u64;
 /// Hash of a prompt prefix that ends at a block boundary.
 pub type PrefixHash = u64;
--- a/crates/decisions/src/length.rs
+++ b/crates/decisions/src/length.rs
@@ -1,166 +1,170 @@
-//! Predicts how many tokens an answer will have.
+//! Predicts the number of tokens in a response.
 //!
-//! Load pattern: long translations among short status checks, hundredfold apart. Callers send a
-//! `max_tokens` that is far above most answers; charging by it would make every request long and
-//! would refuse as late what ends in time.
+//! Load pattern: long translations among short status checks, which differ a hundredfold. Callers
+//! set `max_tokens` far above most response lengths. Charging for it would make every request look
+//! long and would reject requests as late that could finish in time.
 
 use crate::id::{OrganisationId, ServiceId, Tokens};
 
-/// Pairs of organisation and service remembered; beyond it the one used longest ago is forgotten.
+/// Pairs of organisation and service to remember; beyond it, the least recently used one is
+/// evicted.
 ///
 /// 7,100 organisations use a few models each, but one entry instance of 330 sees few of them.
-pub const MAX_LENGTHS: usize = 8192;
+pub const MAX_ENTRIES: usize = 8192;
 
-/// Answer length assumed when neither history nor `max_tokens` tells anything.
-pub const ASSUMED_DECODE: Tokens = 256;
+/// Response length assumed without history and `max_tokens`.
+pub const DEFAULT_OUTPUT_TOKENS: Tokens = 256;
 
-/// Share of `max_tokens` assumed before the first answer was seen.
-const UNSEEN_SHARE: f64 = 0.5;
+/// Share of `max_tokens` assumed without history.
+const UNSEEN_MAX_TOKENS_SHARE: f64 = 0.5;
 
-/// Share of a new answer in the moving mean; about the last ten answers count.
-const GAIN: f64 = 0.1;
+/// Weight of a new response in the mean, which covers about the last ten responses.
+const NEW_RESPONSE_WEIGHT: f64 = 0.1;
 
-/// Prompt-length classes, each four times longer than the one before: up to 64, 256, 1,024, ..
-const CLASSES: usize = 6;
+/// Number of prompt length classes, each four times longer than the one before: up to 64, 256,
+/// 1,024, ..
+const PROMPT_CLASSES: usize = 6;
 
-/// Mean answer length seen for one class of prompt lengths.
+/// Mean response length for one class of prompt lengths.
 #[derive(Debug, Clone, Copy, Default)]
-struct Seen {
-    tokens: f64,
-    answers: u32,
+struct MeanLength {
+    mean_tokens: f64,
+    responses: u32,
 }
 
-impl Seen {
+impl MeanLength {
     fn add(&mut self, tokens: Tokens) {
-        self.answers = self.answers.saturating_add(1);
-        let gain = GAIN.max(1.0 / f64::from(self.answers));
-        self.tokens += (tokens as f64 - self.tokens) * gain;
+        self.responses = self.responses.saturating_add(1);
+        let gain = NEW_RESPONSE_WEIGHT.max(1.0 / f64::from(self.responses));
+        self.mean_tokens += (tokens as f64 - self.mean_tokens) * gain;
     }
 }
 
-/// What was seen of one organisation at one service.
+/// Response lengths of one organisation at one service.
 #[derive(Debug, Clone)]
-struct Length {
+struct History {
     organisation: OrganisationId,
     service: ServiceId,
-    by_prompt: [Seen; CLASSES],
-    all: Seen,
-    used: u64,
+    by_prompt: [MeanLength; PROMPT_CLASSES],
+    all: MeanLength,
+    last_used: u64,
 }
 
-/// Predictor of answer lengths, bounded by [`MAX_LENGTHS`].
+/// Predicts response lengths from the history of at most [`MAX_ENTRIES`] pairs of organisation and
+/// service.
 #[derive(Debug, Clone, Default)]
 pub struct LengthPredictor {
-    lengths: Vec<Length>,
-    uses: u64,
+    entries: Vec<History>,
+    use_count: u64,
 }
 
 impl LengthPredictor {
-    /// Makes a predictor that has seen no answer.
+    /// Creates a predictor without history.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Remembered pairs of organisation and service.
+    /// Number of pairs of organisation and service in the history.
     pub fn len(&self) -> usize {
-        self.lengths.len()
+        self.entries.len()
     }
 
-    /// Whether no answer was seen yet.
+    /// Whether the history is empty.
     pub fn is_empty(&self) -> bool {
-        self.lengths.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Expected answer tokens of a request with `prompt` tokens and the caller's `max_tokens`.
+    /// Expected tokens in the response to a prompt of `prompt_tokens`, bounded by the caller's
+    /// `max_tokens`.
     pub fn predict(
         &self,
         organisation: &OrganisationId,
         service: &ServiceId,
-        prompt: Tokens,
+        prompt_tokens: Tokens,
         max_tokens: Option<Tokens>,
     ) -> Tokens {
-        let seen = self
+        let history = self
             .position(organisation, service)
             .ok()
-            .and_then(|i| self.lengths[i].expected(prompt));
-        let expected = match (seen, max_tokens) {
+            .and_then(|i| self.entries[i].expected(prompt_tokens));
+        let expected = match (history, max_tokens) {
             (Some(tokens), _) => tokens.round() as Tokens,
-            (None, Some(max)) => (max as f64 * UNSEEN_SHARE) as Tokens,
-            (None, None) => ASSUMED_DECODE,
+            (None, Some(max_tokens)) => (max_tokens as f64 * UNSEEN_MAX_TOKENS_SHARE) as Tokens,
+            (None, None) => DEFAULT_OUTPUT_TOKENS,
         };
         expected.clamp(1, max_tokens.unwrap_or(Tokens::MAX).max(1))
     }
 
-    /// Notes that a whole answer to a request with `prompt` tokens had `decode` tokens.
+    /// Records that a complete response to a prompt of `prompt_tokens` had `output_tokens`.
     pub fn on_answer(
         &mut self,
         organisation: &OrganisationId,
         service: &ServiceId,
-        prompt: Tokens,
-        decode: Tokens,
+        prompt_tokens: Tokens,
+        output_tokens: Tokens,
     ) {
-        self.uses += 1;
+        self.use_count += 1;
         let i = match self.position(organisation, service) {
             Ok(i) => i,
             Err(_) => self.insert(organisation, service),
         };
-        let length = &mut self.lengths[i];
-        length.used = self.uses;
-        length.all.add(decode);
-        length.by_prompt[class(prompt)].add(decode);
+        let history = &mut self.entries[i];
+        history.last_used = self.use_count;
+        history.all.add(output_tokens);
+        history.by_prompt[prompt_class(prompt_tokens)].add(output_tokens);
     }
 
     fn position(&self, organisation: &OrganisationId, service: &ServiceId) -> Result<usize, usize> {
-        self.lengths.binary_search_by(|length| {
-            (&length.organisation, &length.service).cmp(&(organisation, service))
+        self.entries.binary_search_by(|history| {
+            (&history.organisation, &history.service).cmp(&(organisation, service))
         })
     }
 
     fn insert(&mut self, organisation: &OrganisationId, service: &ServiceId) -> usize {
-        if self.lengths.len() >= MAX_LENGTHS {
-            self.forget_oldest();
+        if self.entries.len() >= MAX_ENTRIES {
+            self.evict_least_recently_used();
         }
         let i = self
             .position(organisation, service)
-            .unwrap_or_else(|free| free);
-        self.lengths.insert(
+            .unwrap_or_else(|insert_at| insert_at);
+        self.entries.insert(
             i,
-            Length {
+            History {
                 organisation: OrganisationId::clone(organisation),
                 service: ServiceId::clone(service),
-                by_prompt: [Seen::default(); CLASSES],
-                all: Seen::default(),
-                used: self.uses,
+                by_prompt: [MeanLength::default(); PROMPT_CLASSES],
+                all: MeanLength::default(),
+                last_used: self.use_count,
             },
         );
         i
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_least_recently_used(&mut self) {
         let oldest = self
-            .lengths
+            .entries
             .iter()
             .enumerate()
-            .min_by_key(|(_, length)| length.used)
+            .min_by_key(|(_, history)| history.last_used)
             .map(|(i, _)| i);
         if let Some(i) = oldest {
-            self.lengths.remove(i);
+            self.entries.remove(i);
         }
     }
 }
 
-impl Length {
-    /// Mean of the prompt's class, or of all answers while the class was not seen.
-    fn expected(&self, prompt: Tokens) -> Option<f64> {
-        [self.by_prompt[class(prompt)], self.all]
+impl History {
+    /// Mean of the prompt's length class, or of all responses if the class has none.
+    fn expected(&self, prompt_tokens: Tokens) -> Option<f64> {
+        [self.by_prompt[prompt_class(prompt_tokens)], self.all]
             .into_iter()
-            .find(|seen| seen.answers > 0)
-            .map(|seen| seen.tokens)
+            .find(|mean| mean.responses > 0)
+            .map(|mean| mean.mean_tokens)
     }
 }
 
-/// Class of a prompt length.
-fn class(prompt: Tokens) -> usize {
-    let log4 = prompt.max(1).ilog2() as usize / 2;
-    log4.saturating_sub(3).min(CLASSES - 1)
+/// Length class of a prompt.
+fn prompt_class(prompt_tokens: Tokens) -> usize {
+    let log4 = prompt_tokens.max(1).ilog2() as usize / 2;
+    log4.saturating_sub(3).min(PROMPT_CLASSES - 1)
 }
--- a/crates/decisions/src/lib.rs
+++ b/crates/decisions/src/lib.rs
@@ -1,8 +1,8 @@
-//! Every scheduling decision of kingcupfield, as state machines without any network.
+//! All scheduling decisions of kingcupfield, as state machines without I/O.
 //!
-//! A caller passes the time in as [`tokio::time::Instant`] and randomness as a seeded generator,
-//! gets actions back, and carries them out. Nothing here opens a socket, reads a file or spawns
-//! a task, so each decision is read and tested alone.
+//! The caller passes in the current time as [`tokio::time::Instant`] and randomness as a seeded
+//! generator, and carries out the actions that are returned. Nothing here opens a socket, reads a
+//! file or spawns a task, so each decision can be understood and tested alone.
 
 pub mod cold;
 pub mod concurrency;
--- a/crates/decisions/src/prefixes.rs
+++ b/crates/decisions/src/prefixes.rs
@@ -1,54 +1,57 @@
-//! What each replica's prefix cache probably holds.
+//! Estimate of the contents of each replica's prefix cache.
 //!
-//! Load pattern: prompts that share long prefixes, cache events that come late and with gaps.
-//! Without it every replica prefills the same long prompt again; with the events alone the first
-//! seconds of a hot prefix would be spread over all replicas, since the events come after them.
+//! Load pattern: prompts that share long prefixes, and cache events that arrive late and with gaps.
+//! Without an estimate, every replica would process the same long prompt again. With the events
+//! alone, requests in the first seconds of a popular prefix would spread over all replicas, as its
+//! events arrive later.
 //!
-//! The estimate starts from what was granted and is corrected by the events. A gap in their
-//! numbers is taken to have been an eviction of everything not stored since: a prefix wrongly
-//! thought to be absent costs one look elsewhere, one wrongly thought present costs its prefill.
+//! The estimate assumes that granted requests fill the cache and corrects this from the events. A
+//! gap in their sequence numbers counts as an eviction of everything stored before: a prefix
+//! wrongly presumed absent costs a choice of another replica, one wrongly presumed present costs
+//! its prefill.
 
 use crate::id::{PrefixHash, Sequence, Tokens};
 use crate::work::Work;
 
-/// Prefixes remembered for one replica; 16 bytes each.
+/// Prefixes remembered per replica, at 16 bytes each.
 ///
-/// A cache of 4,096 prefixes holds more than the brief's engines do, at 64 KB for a replica.
+/// 4,096 prefixes, which is 64 KB per replica, are more than the cache of the engines in use can
+/// hold.
 pub const MAX_PREFIXES: usize = 4096;
 
-/// What a cache event says.
+/// Kind of a cache event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CacheChange {
-    /// The replica holds the prefix now.
+    /// The replica stored the prefix.
     Stored,
-    /// The replica dropped the prefix.
+    /// The replica evicted the prefix.
     Evicted,
 }
 
-/// One event of a replica's cache feed.
+/// Event from a replica's cache feed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Position in the feed; a jump means lost events.
+    /// Position in the feed; a jump means that events were lost.
     pub seq: Sequence,
-    /// What happened.
+    /// Kind of the event.
     pub change: CacheChange,
-    /// The prefix.
+    /// Hash of the prefix that was stored or evicted.
     pub prefix: PrefixHash,
 }
 
-/// One remembered prefix and when it was last used, counted in uses.
+/// A remembered prefix and the use count at its last use.
 #[derive(Debug, Clone, Copy)]
-struct Cached {
+struct Entry {
     prefix: PrefixHash,
-    used: u64,
+    last_used: u64,
 }
 
-/// Bounded estimate of one replica's prefix cache.
+/// Bounded estimate of the prefixes in one replica's cache.
 #[derive(Debug, Clone)]
 pub struct PrefixCache {
-    entries: Vec<Cached>,
+    entries: Vec<Entry>,
     capacity: usize,
-    uses: u64,
+    use_count: u64,
     last_seq: Option<Sequence>,
 }
 
@@ -59,33 +62,33 @@
 }
 
 impl PrefixCache {
-    /// Makes an empty estimate.
+    /// Creates an empty estimate.
     pub fn new() -> Self {
         Self {
             entries: Vec::new(),
             capacity: MAX_PREFIXES,
-            uses: 0,
+            use_count: 0,
             last_seq: None,
         }
     }
 
-    /// Sets how many prefixes are remembered, where the replica's cache is known to be smaller.
+    /// Sets the number of prefixes to remember, for a replica whose cache is known to be smaller.
     pub fn with_capacity(mut self, capacity: usize) -> Self {
         self.capacity = capacity.clamp(1, MAX_PREFIXES);
         self
     }
 
-    /// Remembered prefixes.
+    /// Number of remembered prefixes.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no prefix is remembered.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Number of leading `prefixes` that the replica probably holds.
+    /// Number of leading `prefixes` that are probably in the cache.
     pub fn cached(&self, prefixes: &[PrefixHash]) -> usize {
         prefixes
             .iter()
@@ -93,25 +96,26 @@
             .count()
     }
 
-    /// Work that is left of `work` when the cached part of `prefixes` is not prefilled again.
+    /// Work left of `work` if the cached part of `prefixes` need not be processed again.
     ///
-    /// The prefixes stand at even distances in the prompt, so the cached part is their share.
+    /// The prefixes end at regular distances in the prompt, so their cached share is that of the
+    /// prompt.
     pub fn uncached_work(&self, work: Work, prefixes: &[PrefixHash]) -> Work {
-        let cached = self.cached(prefixes) as u64;
+        let cached_prefixes = self.cached(prefixes) as u64;
         Work::new(
-            left_to_prefill(work.prefill, cached, prefixes.len() as u64),
+            uncached_tokens(work.prefill, cached_prefixes, prefixes.len() as u64),
             work.decode,
         )
     }
 
-    /// Notes that a request with these `prefixes` goes to the replica.
+    /// Records that a request with these `prefixes` was granted a slot at the replica.
     pub fn on_grant(&mut self, prefixes: &[PrefixHash]) {
         for prefix in prefixes {
-            self.touch(*prefix);
+            self.mark_used(*prefix);
         }
     }
 
-    /// Notes an event of the feed; an old or repeated one changes nothing.
+    /// Records an event of the feed; old and repeated events are ignored.
     pub fn on_event(&mut self, event: CacheEvent) {
         if self.last_seq.is_some_and(|last| event.seq <= last) {
             return;
@@ -121,50 +125,52 @@
         }
         self.last_seq = Some(event.seq);
         match event.change {
-            CacheChange::Stored => self.touch(event.prefix),
-            CacheChange::Evicted => self.forget(event.prefix),
+            CacheChange::Stored => self.mark_used(event.prefix),
+            CacheChange::Evicted => self.remove(event.prefix),
         }
     }
 
     fn position(&self, prefix: PrefixHash) -> Result<usize, usize> {
         self.entries
-            .binary_search_by_key(&prefix, |cached| cached.prefix)
+            .binary_search_by_key(&prefix, |entry| entry.prefix)
     }
 
-    fn touch(&mut self, prefix: PrefixHash) {
-        self.uses += 1;
-        let used = self.uses;
+    fn mark_used(&mut self, prefix: PrefixHash) {
+        self.use_count += 1;
+        let last_used = self.use_count;
         match self.position(prefix) {
-            Ok(i) => self.entries[i].used = used,
+            Ok(i) => self.entries[i].last_used = last_used,
             Err(i) => {
-                self.entries.insert(i, Cached { prefix, used });
-                self.trim();
+                self.entries.insert(i, Entry { prefix, last_used });
+                self.evict_least_recently_used();
             }
         }
     }
 
-    fn forget(&mut self, prefix: PrefixHash) {
+    fn remove(&mut self, prefix: PrefixHash) {
         if let Ok(i) = self.position(prefix) {
             self.entries.remove(i);
         }
     }
 
-    /// Drops the eighth used longest ago when full, so that the scan is paid once in many uses.
-    fn trim(&mut self) {
+    /// When full, evicts the least recently used eighth at once, so that the scan is rarely needed.
+    fn evict_least_recently_used(&mut self) {
         if self.entries.len() <= self.capacity {
             return;
         }
-        let mut used: Vec<_> = self.entries.iter().map(|cached| cached.used).collect();
-        let (_, oldest_kept, _) = used.select_nth_unstable((self.capacity / 8).max(1));
-        let oldest_kept = *oldest_kept;
-        self.entries.retain(|cached| cached.used >= oldest_kept);
+        let mut last_uses: Vec<_> = self.entries.iter().map(|entry| entry.last_used).collect();
+        let (_, oldest_use_kept, _) = last_uses.select_nth_unstable((self.capacity / 8).max(1));
+        let oldest_use_kept = *oldest_use_kept;
+        self.entries
+            .retain(|entry| entry.last_used >= oldest_use_kept);
     }
 }
 
-/// Prompt tokens left when `cached` of `all` evenly spaced prefixes need no prefill.
-fn left_to_prefill(prefill: Tokens, cached: u64, all: u64) -> Tokens {
-    if all == 0 {
-        return prefill;
+/// Prompt tokens left to process when `cached_prefixes` of `all_prefixes` at regular distances are
+/// cached.
+fn uncached_tokens(prompt_tokens: Tokens, cached_prefixes: u64, all_prefixes: u64) -> Tokens {
+    if all_prefixes == 0 {
+        return prompt_tokens;
     }
-    prefill - prefill.saturating_mul(cached) / all
+    prompt_tokens - prompt_tokens.saturating_mul(cached_prefixes) / all_prefixes
 }
--- a/crates/decisions/src/routing.rs
+++ b/crates/decisions/src/routing.rs
@@ -1,12 +1,14 @@
-//! Where a request is reserved: prefix, expected wait, zone.
+//! Chooses the owner instances at which a request reserves a slot, by cached prefix, expected wait
+//! and zone.
 //!
 //! Load pattern: stale load reports, hot prefixes, a zone that is full while another has room.
-//! Without this every instance sends to the replica that reported the least load some seconds
-//! ago, prompts are prefilled again on replicas that never saw them, and a zone that is full
-//! refuses what its neighbour could serve.
+//! Sending each request to the replica with the least reported load would send those of all
+//! instances to the same replica, would prefill prompts again on replicas that don't have them
+//! cached, and would reject requests in a full zone that its neighbour could serve.
 //!
-//! A choice names the owners at which a request is reserved, best first. The queue of the replica
-//! itself decides when it runs, so that a stale estimate costs a detour and not a wrong place.
+//! A choice lists the owners in order of preference. The queue of the replica decides when the
+//! request runs, so that a stale estimate costs a detour but doesn't put the request into a wrong
+//! order.
 
 use std::time::Duration;
 
@@ -19,239 +21,254 @@
 use crate::slots::Digest;
 use crate::work::Work;
 
-/// Most owners at which one request is reserved.
+/// Largest number of owners at which one request makes a reservation.
 pub const MAX_RESERVATIONS: usize = 3;
 
-/// A reservation that was not granted after this time is made at the other owners of the choice.
+/// Delay after which a reservation that has not been granted is also made at the other owners.
 ///
-/// Two round trips inside a zone. With a free slot the first owner has granted by then, so that
-/// the cached prefix is used and the other owners hear nothing; under load the request waits at
-/// all of them.
+/// This is two round trips inside a zone. With a free slot, the first owner has granted the
+/// reservation by then, so that the cached prefix is used and no other owner is involved; under
+/// load, the request waits at all of them.
 pub const WIDEN_AFTER: Duration = Duration::from_millis(5);
 
-/// Part of a prompt that is thought to be cached at its home replica (see [`home`]).
+/// Share of a prompt that is presumed cached at its home replica (see [`home_replica`]).
 ///
-/// Prompts of one service mostly differ in their last block; the home has seen the others unless
-/// the prefix is new.
+/// Prompts of a service mostly differ in their last block only; the home replica has processed the
+/// others unless the prefix is new.
 pub const CACHED_SHARE_AT_HOME: f64 = 0.75;
 
-/// Weight of a second of uncached prefill against a second of wait.
+/// Weight of a second of uncached prefill relative to a second of waiting.
 ///
-/// A prefill that a cache elsewhere would have saved delays everybody behind it at the replica and
-/// pushes other prefixes out of its cache; the wait is the request's alone. Measured with 1, 3 and
-/// 10: see the design note on routing.
+/// Prefill that a cache on another replica would have saved delays all requests behind it and
+/// evicts other prefixes; waiting only affects the request itself. The design note on routing
+/// compares weights of 1, 3 and 10.
 pub const PREFILL_WEIGHT: Tokens = 8;
 
-/// Reservations chosen by expected wait; the third place is the longest cached prefix's.
-const BY_WAIT: usize = 2;
+/// Number of replicas chosen by cost; a third one may be added for the longest cached prefix.
+const REPLICAS_BY_COST: usize = 2;
 
-/// Waits that differ by less than this count as equal and are chosen among at random, so that
-/// instances with the same digests do not all pick the same replica.
-pub const SAME_WAIT: Duration = Duration::from_millis(5);
+/// Costs that differ by less than this count as equal. The order among equals is random, so that
+/// instances with the same digests don't all choose the same replica.
+pub const EQUAL_COST_TOLERANCE: Duration = Duration::from_millis(5);
 
-/// A digest that is older says nothing about the wait any more.
-pub const DIGEST_LIFE: Duration = Duration::from_secs(10);
+/// Age from which a digest no longer says anything about the wait.
+pub const DIGEST_MAX_AGE: Duration = Duration::from_secs(10);
 
-/// Bytes a second that requests may send over the links to other regions, which are paid by
-/// volume; a default until the table can say it.
+/// Default for the bytes per second that requests may send over the links to other regions, which
+/// are billed by volume. The table has no setting for it yet.
 pub const LINK_BYTES_PER_S: f64 = 250_000.0;
 
-/// Unspent link bytes are kept for this long.
-const LINK_BURST: Duration = Duration::from_secs(10);
+/// Time for which unused link bytes can be saved up.
+const LINK_BUDGET_WINDOW: Duration = Duration::from_secs(10);
 
-/// A request to be placed.
+/// A request for which replicas are to be chosen.
 #[derive(Debug, Clone)]
 pub struct RouteRequest {
-    /// Rank of its tier.
+    /// Rank of the request's tier.
     pub rank: Rank,
-    /// Zone of the instance that received it.
+    /// Zone of the instance that received the request.
     pub zone: ZoneId,
     /// Time left until the caller's deadline.
     pub time_left: Duration,
-    /// Expected work; `prefill` counts the whole prompt.
+    /// Expected work, with `prefill` for the whole prompt.
     pub work: Work,
-    /// Bytes that cross a link when another zone serves it, both ways.
+    /// Bytes sent and received over a link if another zone serves the request.
     pub bytes: u64,
 }
 
 /// A replica that could serve the request.
 #[derive(Debug, Clone)]
 pub struct Candidate {
-    /// The replica.
+    /// Name of the replica.
     pub upstream: UpstreamId,
-    /// The instance that owns it.
+    /// Instance that owns the replica and grants its slots.
     pub owner: InstanceId,
-    /// Its zone.
+    /// Availability zone of the replica.
     pub zone: ZoneId,
-    /// What its owner said last, if anything.
+    /// Latest load digest received from the owner, if any.
     pub digest: Option<Digest>,
-    /// Age of the digest.
+    /// Time since the digest was sent.
     pub digest_age: Duration,
-    /// Prompt tokens that its cache probably holds.
+    /// Prompt tokens probably present in the replica's cache.
     pub cached_tokens: Tokens,
-    /// Its observed speed.
+    /// Observed speed of the replica.
     pub pace: Pace,
-    /// Network time to the replica and back.
+    /// Network round trip to the replica.
     pub round_trip: Duration,
 }
 
 impl Candidate {
-    /// Time until a new request would start there.
-    fn wait(&self) -> Duration {
+    /// Expected time until a new request starts there, including the network round trip.
+    fn estimated_wait(&self) -> Duration {
         match self.digest {
-            Some(digest) if self.digest_age < DIGEST_LIFE => digest.wait + self.round_trip,
+            Some(digest) if self.digest_age < DIGEST_MAX_AGE => digest.wait + self.round_trip,
             _ => self.round_trip,
         }
     }
 
-    /// Time until the answer would end: the wait, the uncached prefill and the decoding.
-    fn end(&self, request: &RouteRequest) -> Duration {
+    /// Expected time until the response is complete: waiting, uncached prefill and decoding.
+    fn time_to_completion(&self, request: &RouteRequest) -> Duration {
         let prefill = request.work.prefill.saturating_sub(self.cached_tokens);
-        self.wait()
+        self.estimated_wait()
             + self
                 .pace
                 .service_time(Work::new(prefill, request.work.decode))
     }
 
-    /// The same with uncached prefill weighted for what it costs the others.
-    fn cost(&self, request: &RouteRequest) -> Duration {
+    /// The same with uncached prefill weighted by [`PREFILL_WEIGHT`], for its effect on other
+    /// requests.
+    fn weighted_cost(&self, request: &RouteRequest) -> Duration {
         let prefill = request.work.prefill.saturating_sub(self.cached_tokens);
         let prefill = prefill.saturating_mul(PREFILL_WEIGHT);
-        self.wait()
+        self.estimated_wait()
             + self
                 .pace
                 .service_time(Work::new(prefill, request.work.decode))
     }
 }
 
-/// The replica where a prompt with this first block is started while no cache is known to hold it.
+/// Replica that processes a prompt with this first block while no cache is known to contain it.
 ///
-/// Every instance computes the same one, so that a prefix is prefilled once in a zone and not once
-/// for each instance.
+/// All instances compute the same one, so that a prefix is processed once per zone rather than once
+/// per instance.
 pub fn home_replica(prefix: PrefixHash, upstreams: &[UpstreamId]) -> Option<&UpstreamId> {
     owner(&format!("{prefix:016x}"), upstreams)
 }
 
-/// The owners at which a request is reserved, best first.
+/// The replicas at whose owners a request makes reservations, in order of preference.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Choice {
     /// At most [`MAX_RESERVATIONS`] replicas.
     pub upstreams: Vec<UpstreamId>,
-    /// Estimated wait at the best of them.
+    /// Expected wait at the first replica.
     pub wait: Duration,
-    /// Whether they stand in another zone than the request.
+    /// Whether the replicas are in another zone than the request.
     pub remote: bool,
 }
 
 impl Choice {
-    /// Where to reserve at once, and where after [`WIDEN_AFTER`] without a grant.
+    /// Replicas to reserve at once, and those to add after [`WIDEN_AFTER`] without a grant.
     pub fn split(&self) -> (&[UpstreamId], &[UpstreamId]) {
         self.upstreams.split_at(self.upstreams.len().min(1))
     }
 }
 
-/// Bytes that an instance may send to other zones.
+/// Token bucket for the bytes that an instance may send to other zones.
 #[derive(Debug)]
 pub struct LinkBudget {
     bytes_per_s: f64,
-    level: f64,
-    at: Option<Instant>,
+    available_bytes: f64,
+    updated_at: Option<Instant>,
 }
 
 impl LinkBudget {
-    /// Makes a full budget of `bytes_per_s`.
+    /// Creates a full bucket that refills at `bytes_per_s`.
     pub fn new(bytes_per_s: f64) -> Self {
         Self {
             bytes_per_s,
-            level: bytes_per_s * LINK_BURST.as_secs_f64(),
-            at: None,
+            available_bytes: bytes_per_s * LINK_BUDGET_WINDOW.as_secs_f64(),
+            updated_at: None,
         }
     }
 
-    /// Whether `bytes` may cross now.
+    /// Refills the bucket and returns whether `bytes` may be sent now.
     pub fn allows(&mut self, now: Instant, bytes: u64) -> bool {
-        let age = self
-            .at
+        let elapsed = self
+            .updated_at
             .map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        let most = self.bytes_per_s * LINK_BURST.as_secs_f64();
-        self.level = (self.level + self.bytes_per_s * age.as_secs_f64()).min(most);
-        self.at = Some(now);
-        self.level >= bytes as f64
+        let max_bytes = self.bytes_per_s * LINK_BUDGET_WINDOW.as_secs_f64();
+        self.available_bytes =
+            (self.available_bytes + self.bytes_per_s * elapsed.as_secs_f64()).min(max_bytes);
+        self.updated_at = Some(now);
+        self.available_bytes >= bytes as f64
     }
 
-    /// Charges bytes that crossed.
+    /// Subtracts bytes that were sent.
     pub fn charge(&mut self, bytes: u64) {
-        self.level -= bytes as f64;
+        self.available_bytes -= bytes as f64;
     }
 }
 
-/// Chooses the owners at which `request` is reserved.
+/// Chooses the replicas at whose owners `request` makes reservations.
 ///
-/// The zone's own replicas come first. Another zone is chosen only when no own replica is
-/// expected to meet the deadline, a remote one is, its digest shows a free slot (or the zone has
-/// no replica at all), the tier is not the `lowest` one, and the link's budget allows the bytes.
-/// Nothing is chosen when there is no candidate.
+/// The request stays in its own zone if any replica there is expected to meet the deadline. It goes
+/// to another zone only if a replica there is expected to meet it and has a free slot according to
+/// its digest, the request's tier isn't the one of `lowest_rank`, and `link` permits the bytes. If
+/// its own zone has no replica at all, none of these conditions apply. Without candidates, the
+/// choice is empty.
 pub fn choose_replicas<R>(
     now: Instant,
     request: &RouteRequest,
     candidates: &[Candidate],
-    lowest: Rank,
+    lowest_rank: Rank,
     link: &mut LinkBudget,
     rng: &mut R,
 ) -> Choice
 where
     R: Rng,
 {
-    let (own, other): (Vec<&Candidate>, Vec<&Candidate>) =
+    let (own_zone, other_zones): (Vec<&Candidate>, Vec<&Candidate>) =
         candidates.iter().partition(|c| c.zone == request.zone);
-    let meets = |c: &&Candidate| c.end(request) <= request.time_left;
-    if own.iter().any(meets) {
-        return best(request, own, rng);
+    let meets_deadline = |c: &&Candidate| c.time_to_completion(request) <= request.time_left;
+    if own_zone.iter().any(meets_deadline) {
+        return rank_candidates(request, own_zone, rng);
     }
-    let alone = own.is_empty();
-    let remote: Vec<&Candidate> = other
+    let own_zone_empty = own_zone.is_empty();
+    let remote: Vec<&Candidate> = other_zones
         .into_iter()
-        .filter(|c| alone || (has_room(c) && meets(c)))
+        .filter(|c| own_zone_empty || (has_room(c) && meets_deadline(c)))
         .collect();
-    let wanted = alone || request.rank < lowest;
-    if remote.is_empty() || !wanted || !(alone || link.allows(now, request.bytes)) {
-        return best(request, own, rng);
+    let may_leave_zone = own_zone_empty || request.rank < lowest_rank;
+    if remote.is_empty() || !may_leave_zone || !(own_zone_empty || link.allows(now, request.bytes))
+    {
+        return rank_candidates(request, own_zone, rng);
     }
     link.charge(request.bytes);
     Choice {
         remote: true,
-        ..best(request, remote, rng)
+        ..rank_candidates(request, remote, rng)
     }
 }
 
+/// Whether a recent digest shows a free slot and no waiting requests.
 fn has_room(candidate: &Candidate) -> bool {
-    let fresh = candidate.digest_age < DIGEST_LIFE;
+    let is_fresh = candidate.digest_age < DIGEST_MAX_AGE;
     candidate
         .digest
-        .is_some_and(|d| fresh && d.waiting == 0 && d.running < d.limit)
+        .is_some_and(|d| is_fresh && d.waiting == 0 && d.running < d.limit)
 }
 
-/// Orders by cost, draws among equals, and takes the longest cached prefix into the choice.
-fn best<R>(request: &RouteRequest, mut candidates: Vec<&Candidate>, rng: &mut R) -> Choice
+/// Orders the candidates by cost, at random among equals, and adds the one with the longest cached
+/// prefix.
+fn rank_candidates<R>(
+    request: &RouteRequest,
+    mut candidates: Vec<&Candidate>,
+    rng: &mut R,
+) -> Choice
 where
     R: Rng,
 {
-    let step = SAME_WAIT.as_nanos();
-    candidates.sort_by_cached_key(|c| (c.cost(request).as_nanos() / step, rng.random::<u32>()));
+    let tolerance_ns = EQUAL_COST_TOLERANCE.as_nanos();
+    candidates.sort_by_cached_key(|c| {
+        (
+            c.weighted_cost(request).as_nanos() / tolerance_ns,
+            rng.random::<u32>(),
+        )
+    });
     let Some(first) = candidates.first() else {
         return Choice::default();
     };
-    let wait = first.wait();
+    let wait = first.estimated_wait();
     let mut upstreams: Vec<UpstreamId> = candidates
         .iter()
-        .take(BY_WAIT)
+        .take(REPLICAS_BY_COST)
         .map(|c| UpstreamId::clone(&c.upstream))
         .collect();
     let by_prefix = candidates
         .iter()
         .filter(|c| c.cached_tokens > 0)
         .max_by_key(|c| c.cached_tokens);
-    let third = by_prefix.filter(|c| c.end(request) <= request.time_left);
+    let third = by_prefix.filter(|c| c.time_to_completion(request) <= request.time_left);
     if let Some(third) = third.filter(|c| !upstreams.contains(&c.upstream)) {
         upstreams.push(UpstreamId::clone(&third.upstream));
     }
