--- a/crates/decisions/tests/cold.rs
+++ b/crates/decisions/tests/cold.rs
@@ -48,8 +48,8 @@
     times.iter().map(within).max().unwrap_or(0)
 }
 
-/// Work waits all the time. A gate that counted by whole seconds would let two shares through at the
-/// turn of a second.
+/// Work waits all the time. A gate that counted by whole seconds would let two shares through at
+/// the turn of a second.
 #[test]
 fn a_gate_gives_no_more_than_its_share_in_any_span() {
     let start = Instant::now();
@@ -92,8 +92,8 @@
     assert_eq!(gate.admits(at(case.asked_at), 5), case.admits);
 }
 
-/// Instances know differing parts of their zone. Two that know each other never both take themselves
-/// for the keeper; if they could, each restart would add a keeper.
+/// Instances know differing parts of their zone. Two that know each other never both take
+/// themselves for the keeper; if they could, each restart would add a keeper.
 #[test]
 fn two_that_know_each_other_are_not_both_keepers() {
     let mut rng = ChaCha8Rng::seed_from_u64(5);
--- a/crates/decisions/tests/remote_load.rs
+++ b/crates/decisions/tests/remote_load.rs
@@ -47,7 +47,8 @@
     }
 }
 
-/// A message that repeats what is known changes nothing, so that nobody looks at all replicas for it.
+/// A message that repeats what is known changes nothing, so that nobody looks at all replicas for
+/// it.
 #[test]
 fn a_repeated_word_changes_nothing() {
     let load = |replica, running| ReplicaLoad {
