--- a/crates/decisions/src/routing.rs
+++ b/crates/decisions/src/routing.rs
@@ -18,7 +18,7 @@
 use crate::id::{InstanceId, PrefixHash, Rank, Tokens, UpstreamId, ZoneId};
 use crate::ownership::owner;
 use crate::pace::Pace;
-use crate::slots::Digest;
+use crate::slots::ReplicaDigest;
 use crate::work::Work;
 
 /// Largest number of owners at which one request makes a reservation.
@@ -86,7 +86,7 @@
     /// Availability zone of the replica.
     pub zone: ZoneId,
     /// Latest load digest received from the owner, if any.
-    pub digest: Option<Digest>,
+    pub digest: Option<ReplicaDigest>,
     /// Time since the digest was sent.
     pub digest_age: Duration,
     /// Prompt tokens probably present in the replica's cache.
--- /dev/null
+++ b/crates/entry/src/lifecycle.rs
@@ -0,0 +1,154 @@
+//! Lifecycle of the process: start, signals and a graceful shutdown.
+
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
+
+use tokio::net::{TcpListener, UdpSocket};
+use tokio::signal::unix::{SignalKind, signal};
+use tokio::task::LocalSet;
+use tokio::time::{Instant, interval, sleep};
+
+use crate::adapter::{DirectoryClient, ProtocolAdapter};
+use crate::log::{self, Priority};
+use crate::node::{Node, ProcessState};
+use crate::settings::Settings;
+use crate::shutdown::Shutdown;
+use crate::{directory, gossip, reload, server};
+
+/// Interval at which queued requests are checked for expiry and dispatched again.
+const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+
+/// Interval at which idle connections are closed and a suspension of the machine is detected.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Runs an instance until SIGTERM or SIGINT, then shuts it down.
+///
+/// `path` is the settings file, which is read again on SIGHUP.
+pub fn run(
+    cfg: Settings,
+    path: PathBuf,
+    protocol: Rc<dyn ProtocolAdapter>,
+    directory_client: Rc<dyn DirectoryClient>,
+) -> std::io::Result<()> {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
+    let local = LocalSet::new();
+    let node = local.block_on(
+        &runtime,
+        run_until_signal(cfg, path, protocol, directory_client),
+    )?;
+    let taken = node.accepted_requests.get();
+    node.process_state.send_replace(ProcessState::Ended);
+    // Dropping the tasks logs the requests and streams that are cut off.
+    drop(local);
+    node.log
+        .line(Priority::High, format_args!("event=ended taken={taken}"));
+    node.log.close();
+    Ok(())
+}
+
+/// Binds the listeners, starts the tasks and shuts down in order after the first signal.
+async fn run_until_signal(
+    cfg: Settings,
+    path: PathBuf,
+    protocol: Rc<dyn ProtocolAdapter>,
+    directory_client: Rc<dyn DirectoryClient>,
+) -> std::io::Result<Rc<Node>> {
+    let mut term = signal(SignalKind::terminate())?;
+    let mut int = signal(SignalKind::interrupt())?;
+    let hup = signal(SignalKind::hangup())?;
+    let callers = TcpListener::bind(cfg.listen).await?;
+    let ready = TcpListener::bind(cfg.ready_listen).await?;
+    let peers = TcpListener::bind(cfg.peer_listen).await?;
+    let datagrams = UdpSocket::bind((cfg.address(), cfg.peer_port)).await?;
+    let node = Node::new(cfg, protocol, directory_client);
+    node.log.line(
+        Priority::High,
+        format_args!(
+            "event=start instance={} listen={} ready_listen={} peer_listen={}",
+            node.settings().instance,
+            callers.local_addr()?,
+            ready.local_addr()?,
+            peers.local_addr()?
+        ),
+    );
+    let spawn = tokio::task::spawn_local::<std::pin::Pin<Box<dyn Future<Output = ()>>>>;
+    let accepting = spawn(Box::pin(server::serve_callers(Rc::clone(&node), callers)));
+    spawn(Box::pin(server::serve_readiness(Rc::clone(&node), ready)));
+    spawn(Box::pin(server::serve_peers(Rc::clone(&node), peers)));
+    spawn(Box::pin(gossip::run(
+        Rc::clone(&node),
+        datagrams,
+        incarnation(),
+    )));
+    spawn(Box::pin(directory::run(Rc::clone(&node))));
+    spawn(Box::pin(check_queue(Rc::clone(&node))));
+    spawn(Box::pin(run_housekeeping(Rc::clone(&node))));
+    spawn(Box::pin(flush_log(Rc::clone(&node))));
+    spawn(Box::pin(reload::run(Rc::clone(&node), path, hup)));
+    tokio::select! {
+        _ = term.recv() => {}
+        _ = int.recv() => {}
+    }
+    Shutdown::new(&node)
+        .close()
+        .await
+        .shut(accepting)
+        .await
+        .end()
+        .await;
+    Ok(node)
+}
+
+/// Returns the incarnation number of this process, which is larger than that of any earlier process on
+/// the machine: Unix time in microseconds.
+fn incarnation() -> u64 {
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
+    now.as_micros() as u64
+}
+
+/// Refuses queued requests whose wait has expired, and retries those whose replicas were in backoff.
+async fn check_queue(node: Rc<Node>) {
+    loop {
+        if node.dispatch.borrow().waiting_count() == 0 {
+            node.queue_wakeup.notified().await;
+        }
+        sleep(QUEUE_CHECK_INTERVAL).await;
+        node.expire_waiting();
+        node.assign_slots();
+    }
+}
+
+/// Refreshes the replicas, closes idle connections and detects suspensions, once per interval.
+async fn run_housekeeping(node: Rc<Node>) {
+    let mut ticks = interval(HOUSEKEEPING_INTERVAL);
+    loop {
+        ticks.tick().await;
+        let now = Instant::now();
+        // The propagation delay between instances depends on the number of reachable instances.
+        node.refresh_replicas();
+        for target in node.targets() {
+            target.pool.close_expired(now);
+        }
+        if let Some(suspended) = node.suspend_detector.take_suspension() {
+            node.log.line(
+                Priority::High,
+                format_args!("event=woke suspended_ms={}", suspended.as_millis()),
+            );
+            node.resync_wakeup.notify_one();
+        }
+    }
+}
+
+/// Passes collected log lines to the writer thread, once per interval.
+async fn flush_log(node: Rc<Node>) {
+    let mut ticks = interval(log::FLUSH_INTERVAL);
+    loop {
+        ticks.tick().await;
+        node.metrics.count_dropped_lines(node.log.flush());
+    }
+}
--- /dev/null
+++ b/crates/entry/src/receiver.rs
@@ -0,0 +1,185 @@
+//! Receives the messages of other instances and applies them.
+
+use std::net::{Ipv4Addr, SocketAddr};
+use std::rc::Rc;
+use std::time::Duration;
+
+use kingcupfield_decisions::id::{NameHash, name_hash};
+use tokio::net::UdpSocket;
+use tokio::time::Instant;
+
+use crate::credit;
+use crate::directory;
+use crate::log::{self, Priority};
+use crate::node::Node;
+use crate::peers::{Digest, ForwardScope, PeerMessage};
+
+/// Delay before a peer with a newer directory revision is asked, on an instance that reads the
+/// store: within it the store usually returns the same change.
+const STORE_HEAD_START: Duration = Duration::from_millis(250);
+
+/// Receives and applies datagrams until the process ends.
+pub async fn receive(node: Rc<Node>, socket: Rc<UdpSocket>) {
+    let mut buf = vec![0; 64 * 1024];
+    loop {
+        let Ok((len, from)) = socket.recv_from(&mut buf).await else {
+            continue;
+        };
+        let SocketAddr::V4(from) = from else {
+            continue;
+        };
+        let sender = *from.ip();
+        node.peers
+            .borrow_mut()
+            .record_datagram(Instant::now(), sender);
+        match rmp_serde::from_slice::<PeerMessage>(&buf[..len]) {
+            Ok(PeerMessage::Digest(digest, scope)) => {
+                on_direct_digest(&node, sender, *digest, scope);
+            }
+            Ok(PeerMessage::Relayed(digests)) => on_relayed(&node, sender, digests),
+            Ok(PeerMessage::Credit(message)) => credit::on_message(&node, *from.ip(), message),
+            Err(e) => node.log.line(
+                Priority::High,
+                format_args!("event=peer_message_bad from={from} reason={e:?}"),
+            ),
+        }
+    }
+}
+
+/// Applies a digest that came from the instance itself, and queues it for those to whom this relay
+/// forwards it.
+fn on_direct_digest(node: &Rc<Node>, from: Ipv4Addr, digest: Digest, scope: ForwardScope) {
+    match scope {
+        ForwardScope::Nobody => {}
+        ForwardScope::OtherZones => node
+            .outbox
+            .borrow_mut()
+            .add_for_other_zones(from, digest.clone()),
+        ForwardScope::AllZones => {
+            node.outbox
+                .borrow_mut()
+                .add_for_all_zones(from, digest.clone());
+            node.outbox_wakeup.notify_one();
+        }
+    }
+    apply_digest(node, from, digest);
+    update_dispatcher(node);
+}
+
+/// Applies the digests that a relay has collected; those from another zone are queued for this
+/// zone.
+fn on_relayed(node: &Rc<Node>, sender: Ipv4Addr, digests: Vec<(Ipv4Addr, Digest)>) {
+    let zone = name_hash(&node.settings().availability_zone);
+    let from_other_zone = !node.peers.borrow().is_in_zone(sender, zone);
+    for (from, digest) in digests {
+        if from_other_zone && digest.zone != zone {
+            node.outbox
+                .borrow_mut()
+                .add_for_own_zone(from, digest.clone());
+            node.outbox_wakeup.notify_one();
+        }
+        apply_digest(node, from, digest);
+    }
+    update_dispatcher(node);
+}
+
+fn apply_digest(node: &Rc<Node>, from: Ipv4Addr, digest: Digest) {
+    let now = Instant::now();
+    let upto = digest.upto;
+    let steps = digest.steps.clone();
+    let unreachable = digest.unreachable.clone();
+    let time_ms = digest.time_ms;
+    let effects = node.peers.borrow_mut().on_digest(now, from, digest);
+    log_silent(node, &effects.silent);
+    if effects.is_new {
+        node.log
+            .line(Priority::High, format_args!("event=peer_heard peer={from}"));
+    }
+    if let Some(time_ms) = time_ms {
+        log_clock_offset(node, from, time_ms);
+    }
+    if !effects.greet.is_empty() {
+        node.greeting_targets.borrow_mut().extend(effects.greet);
+        node.greeting_wakeup.notify_one();
+    }
+    apply_step_times(node, &steps);
+    apply_unreachable(node, &unreachable);
+    if upto > node.directory.borrow().complete_up_to() {
+        let delay = if node.reads_store() {
+            STORE_HEAD_START
+        } else {
+            Duration::ZERO
+        };
+        directory::schedule_peer_sync(node, delay);
+    }
+}
+
+/// Updates the dispatcher with the new load, and assigns the slots that this has freed.
+fn update_dispatcher(node: &Node) {
+    apply_loads(node);
+    apply_waiting(node);
+    node.assign_slots();
+}
+
+/// Logs the instances that have fallen silent, and removes those that are gone.
+pub fn expire_silent(node: &Node) {
+    let now = Instant::now();
+    let silent = node.peers.borrow_mut().drop_silent(now);
+    log_silent(node, &silent);
+    node.peers.borrow_mut().remove_gone(now);
+}
+
+fn log_silent(node: &Node, silent: &[Ipv4Addr]) {
+    for peer in silent {
+        node.log.line(
+            Priority::High,
+            format_args!("event=peer_silent peer={peer}"),
+        );
+    }
+}
+
+/// Logs how far another instance's clock differs, for readers who merge several logs.
+fn log_clock_offset(node: &Node, from: Ipv4Addr, time_ms: u64) {
+    let own_ms = u64::try_from(log::unix_time_ms()).unwrap_or(u64::MAX);
+    let ahead_ms = time_ms.cast_signed().saturating_sub(own_ms.cast_signed());
+    if node.peers.borrow_mut().record_clock_offset(from, ahead_ms) {
+        node.log.line(
+            Priority::High,
+            format_args!("event=peer_clock peer={from} ahead_ms={ahead_ms}"),
+        );
+    }
+}
+
+fn apply_unreachable(node: &Node, unreachable: &[NameHash]) {
+    let now = Instant::now();
+    for name in unreachable {
+        if let Some(id) = node.replica_by_short_name(*name) {
+            node.dispatch.borrow_mut().on_peer_unreachable(now, &id);
+        }
+    }
+}
+
+fn apply_step_times(node: &Node, step_times: &[(NameHash, u32)]) {
+    for (name, step_us) in step_times {
+        if let Some(id) = node.replica_by_short_name(*name) {
+            let step_ms = f64::from(*step_us) / 1000.0;
+            node.dispatch.borrow_mut().on_peer_step_time(&id, step_ms);
+        }
+    }
+}
+
+/// Passes the changes of the other instances' load to the dispatcher.
+pub fn apply_loads(node: &Node) {
+    let changed = node.peers.borrow_mut().take_changed_loads();
+    for name in changed {
+        let sum = node.peers.borrow().load_at(name);
+        node.set_remote_load(name, sum);
+    }
+}
+
+/// Passes the requests that wait at the other instances of the zone to the dispatcher.
+pub fn apply_waiting(node: &Node) {
+    let zone = name_hash(&node.settings().availability_zone);
+    let peers = node.peers.borrow();
+    node.set_competitors(peers.waiting_in_zone(Instant::now(), zone));
+}
