--- a/crates/decisions/src/membership/message.rs
+++ b/crates/decisions/src/membership/message.rs
@@ -28,7 +28,8 @@
     /// Its incarnation; 0 if the claimant never heard of it.
     pub incarnation: Incarnation,
     /// Its word, by which it refutes a suspicion.
-    pub word: u64,
+    #[serde(rename = "word")]
+    pub revision: u64,
     /// Its health.
     pub health: Health,
     /// Whether it leaves; within one incarnation this is never taken back.
--- a/crates/decisions/src/membership/peer.rs
+++ b/crates/decisions/src/membership/peer.rs
@@ -65,7 +65,7 @@
             instance: Arc::clone(&self.id),
             zone: Arc::clone(&self.zone),
             incarnation: self.incarnation,
-            word: self.word,
+            revision: self.word,
             health: self.health,
             leaving: self.leaving,
         }
@@ -88,7 +88,7 @@
     pub(super) fn join(&mut self, claim: &Claim, now: Instant) -> bool {
         let held = (self.incarnation, self.word, self.health);
         let health = claim.health.min(Health::Suspected);
-        let newer = (claim.incarnation, claim.word, health) > held;
+        let newer = (claim.incarnation, claim.revision, health) > held;
         let leaving = match claim.incarnation.cmp(&self.incarnation) {
             std::cmp::Ordering::Less => self.leaving,
             std::cmp::Ordering::Equal => self.leaving || claim.leaving,
@@ -98,7 +98,7 @@
         self.leaving = leaving;
         if newer {
             self.incarnation = claim.incarnation;
-            self.word = claim.word;
+            self.word = claim.revision;
             if self.health != health {
                 self.set_health(health, now);
             }
--- a/crates/decisions/src/membership/relay.rs
+++ b/crates/decisions/src/membership/relay.rs
@@ -113,11 +113,11 @@
             return Vec::new();
         }
         let current = claim.incarnation == self.incarnation;
-        if claim.health == Health::Live || (current && claim.word < self.word) {
+        if claim.health == Health::Live || (current && claim.revision < self.word) {
             return Vec::new();
         }
         if current {
-            self.word = claim.word.saturating_add(1);
+            self.word = claim.revision.saturating_add(1);
         }
         let own = self.own_claim();
         self.tell(&MembershipMessage::Alive(own), None)
@@ -195,7 +195,7 @@
             instance: Arc::clone(&self.me),
             zone: Arc::clone(&self.zone),
             incarnation: self.incarnation,
-            word: self.word,
+            revision: self.word,
             health: Health::Live,
             leaving: self.leaving,
         }
--- a/crates/decisions/tests/membership.rs
+++ b/crates/decisions/tests/membership.rs
@@ -214,7 +214,7 @@
         instance: restarted,
         zone: "a".into(),
         incarnation: 3,
-        word: 0,
+        revision: 0,
         health: Health::Live,
         leaving: false,
     };
@@ -396,7 +396,7 @@
             instance: Arc::clone(&from),
             zone: "a".into(),
             incarnation: 1,
-            word: 0,
+            revision: 0,
             health: Health::Live,
             leaving: false,
         };
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -61,7 +61,7 @@
         instance: "b".into(),
         zone: "z".into(),
         incarnation: 1,
-        word: 0,
+        revision: 0,
         health: Health::Live,
         leaving: false,
     };
