--- a/crates/decisions/src/shedding.rs
+++ b/crates/decisions/src/shedding.rs
@@ -5,10 +5,11 @@
 //! another instance still queues and serves a lower tier of the same pool.
 //!
 //! A pool (the replicas of one service in one availability zone) has a *level*: the lowest tier
-//! that is still admitted. [`LevelOwner`] is kept by the pool's owner, [`LevelMember`] by every
-//! instance of the zone. A tier may be refused only after every reachable instance said that it
-//! admits nothing lower; the level falls the same way, so that at no moment one instance admits
-//! what stands below a tier that another still refuses.
+//! that is still admitted. The owner of the pool maintains it in a [`LevelOwner`]; every instance
+//! of the zone follows it in a [`LevelMember`]. A tier may be refused only after every reachable
+//! instance has acknowledged that it admits no lower one. The level is lowered the same way, so at
+//! no time does one instance admit a tier that is lower than a tier which another instance still
+//! refuses.
 
 use std::time::Duration;
 
@@ -17,35 +18,36 @@
 
 use crate::id::{InstanceId, Rank, RequestId, Sequence};
 
-/// After this long an instance that did not acknowledge counts as unreachable.
+/// An instance that does not acknowledge a change within this time counts as unreachable.
 ///
-/// As long as a grant's lease: a paused instance may wake with a grant of a lower tier in its
-/// hands, and must find it lapsed once a higher tier was refused without its acknowledgement. The
-/// specification shows the inversion with a quarter of a second. Zones are a millisecond or two
-/// wide, so only a pause or a cut ever takes this long.
+/// This is as long as the lease of a grant: a paused instance may resume with a grant for a lower
+/// tier, and must find it expired once a higher tier was refused without its acknowledgement. The
+/// specification shows the priority inversion if this is a quarter of a second. Messages within a
+/// zone take a millisecond or two, so only a pause or a network cut ever takes this long.
 pub const ACKNOWLEDGE_TIMEOUT: Duration = crate::slots::GRANT_LEASE;
 
-/// A change is told again after this long; twice before an instance counts as unreachable, so
-/// that one lost message does not make it so.
+/// A change is resent after this time. That is twice before an instance counts as unreachable, so a
+/// single lost message does not make it unreachable.
 pub const RESEND_AFTER: Duration = Duration::from_millis(100);
 
-/// The level falls one step after this long without a refusal at the level.
+/// The level is lowered by one tier after this time without a refusal at the level.
 ///
-/// Longer than the gap between two refusals of one tier at the brief's rates (15 requests/s per
-/// instance), so that the level does not fall and rise between two of them.
+/// This is longer than the gap between two refusals of one tier at the rates of the requirements
+/// (15 requests/s per instance), so the level does not change twice between two refusals.
 pub const FALL_AFTER: Duration = Duration::from_millis(500);
 
-/// A raised level is confirmed this often.
+/// Interval at which the owner confirms a raised level.
 pub const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The right to refuse lapses this long after it was confirmed.
+/// The right to refuse expires this long after it was last confirmed.
 pub const REFUSAL_RIGHT_LEASE: Duration = Duration::from_secs(2);
 
-/// A raised level lapses this long after its last message; later than every right that rests on
-/// it, so that a lost message or a dead owner never leaves a right without its level.
+/// A raised level expires this long after the last message about it. That is later than every right
+/// to refuse based on it, so a lost message or a dead owner never leaves an instance with the right
+/// but without the level.
 pub const LEVEL_LEASE: Duration = Duration::from_secs(3);
 
-/// How often an instance reports that it refuses at the level.
+/// Shortest interval between two reports of an instance that it refuses at the level.
 pub const PRESSURE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Most requests that may wait at one instance for one pool.
@@ -55,19 +57,19 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ToLevelOwner {
-    /// A request of `rank` has to be refused; lower tiers must be refused everywhere first.
+    /// A request of `rank` has to be refused; all instances must refuse lower tiers first.
     Raise {
-        /// Rank that is to be refused.
+        /// Rank of the request to refuse.
         rank: Rank,
     },
-    /// The instance obeys the level of this epoch and of all earlier ones.
+    /// The instance follows the level of this epoch and of all earlier ones.
     Acknowledge {
-        /// Highest epoch that the instance has seen.
+        /// Highest epoch that the instance has received.
         epoch: Sequence,
     },
-    /// The instance refused requests of `rank` lately.
+    /// The instance refused a request of `rank` recently.
     Pressure {
-        /// Highest tier that was refused.
+        /// Rank of the refused request.
         rank: Rank,
     },
 }
@@ -76,16 +78,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ToLevelMember {
-    /// Admit nothing below `lowest_rank` and refuse nothing above it, then acknowledge.
+    /// Orders the instance to admit no tier below `lowest_rank`, to refuse none above it, and to
+    /// acknowledge.
     Set {
-        /// Number of this change; it only grows.
+        /// Number of this change; increases with each change.
         epoch: Sequence,
         /// Lowest tier to admit.
         lowest_rank: Rank,
     },
-    /// All reachable instances acknowledged: `lowest_rank` is admitted and may be refused.
+    /// All reachable instances have acknowledged: `lowest_rank` is admitted and may be refused.
     Settled {
-        /// The change that is complete.
+        /// Number of the acknowledged change.
         epoch: Sequence,
         /// Lowest tier to admit.
         lowest_rank: Rank,
@@ -95,13 +98,13 @@
 /// A message for one instance of the zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LevelMessage {
-    /// Whom it goes to.
+    /// The receiver.
     pub to: InstanceId,
     /// The message.
     pub message: ToLevelMember,
 }
 
-/// One instance of the zone and what it has confirmed.
+/// One instance of the zone and the last epoch that it acknowledged.
 #[derive(Debug, Clone)]
 struct Member {
     instance: InstanceId,
@@ -117,53 +120,56 @@
     }
 }
 
-/// A change that waits for acknowledgements.
+/// A change of the level that waits for acknowledgements.
 #[derive(Debug, Clone)]
 struct Round {
-    since: Instant,
-    /// How long it waits for those that do not answer.
-    patience: Duration,
-    told: Instant,
+    started: Instant,
+    /// Time after which missing acknowledgements are ignored.
+    timeout: Duration,
+    last_sent: Instant,
 }
 
-/// The owner's side of a pool's level.
+/// Owner side of a pool's level.
 #[derive(Debug, Clone)]
 pub struct LevelOwner {
-    bottom: Rank,
+    lowest_of_table: Rank,
     lowest_rank: Rank,
-    /// What was in force when the last change settled.
+    /// Lowest admitted tier as of the last settled change.
     settled_rank: Rank,
     epoch: Sequence,
     members: Vec<Member>,
     round: Option<Round>,
-    set_at: Option<Instant>,
-    pressed_at: Option<Instant>,
+    last_set: Option<Instant>,
+    last_pressure: Option<Instant>,
 }
 
 impl LevelOwner {
-    /// Makes a level that admits everything down to `bottom`, the lowest tier of the table.
-    pub fn new(bottom: Rank) -> Self {
+    /// Creates a level that admits every tier down to `lowest_of_table`, the lowest tier of the
+    /// table.
+    pub fn new(lowest_of_table: Rank) -> Self {
         Self {
-            bottom,
-            lowest_rank: bottom,
-            settled_rank: bottom,
+            lowest_of_table,
+            lowest_rank: lowest_of_table,
+            settled_rank: lowest_of_table,
             epoch: 0,
             members: Vec::new(),
             round: None,
-            set_at: None,
-            pressed_at: None,
+            last_set: None,
+            last_pressure: None,
         }
     }
 
-    /// Lowest tier that is admitted; an owner of replicas grants nothing below it.
+    /// Lowest tier that is admitted. Owners of replicas grant no slot to a lower one.
     ///
-    /// While the level falls, an instance may still refuse by the old one until it has
-    /// acknowledged; a grant by the new one would serve a lower tier than it refuses.
+    /// While the level is being lowered, an instance may refuse by the old level until it has
+    /// acknowledged the new one. A grant by the new level could serve a lower tier than the one
+    /// that this instance refuses.
     pub fn lowest_rank(&self) -> Rank {
         self.lowest_rank.min(self.settled_rank)
     }
 
-    /// Takes the reachable entry instances of the zone; a newcomer is told a raised level.
+    /// Updates the reachable entry instances of the zone. If the level is raised, new instances are
+    /// informed.
     pub fn set_members<I>(&mut self, now: Instant, instances: I) -> Vec<LevelMessage>
     where
         I: IntoIterator<Item = InstanceId>,
@@ -171,23 +177,23 @@
         let mut members: Vec<Member> = instances
             .into_iter()
             .map(|instance| Member {
-                epoch: self.confirmed(&instance).unwrap_or(0),
+                epoch: self.acknowledged_epoch(&instance).unwrap_or(0),
                 instance,
             })
             .collect();
         members.sort_by(|a, b| a.instance.cmp(&b.instance));
         members.dedup_by(|a, b| a.instance == b.instance);
-        let joined = members
+        let has_new = members
             .iter()
-            .any(|m| self.confirmed(&m.instance).is_none());
+            .any(|m| self.acknowledged_epoch(&m.instance).is_none());
         self.members = members;
-        if joined && self.lowest_rank < self.bottom {
-            return self.start(now, ACKNOWLEDGE_TIMEOUT);
+        if has_new && self.lowest_rank < self.lowest_of_table {
+            return self.start_round(now, ACKNOWLEDGE_TIMEOUT);
         }
         self.settle(now)
     }
 
-    /// Handles a message of an instance.
+    /// Handles a message from an instance.
     pub fn on_message(
         &mut self,
         now: Instant,
@@ -199,39 +205,40 @@
             ToLevelOwner::Acknowledge { epoch } => self.acknowledge(now, from, epoch),
             ToLevelOwner::Pressure { rank } => {
                 if rank <= self.lowest_rank {
-                    self.pressed_at = Some(now);
+                    self.last_pressure = Some(now);
                 }
                 Vec::new()
             }
         }
     }
 
-    /// Ends an overdue round, confirms a raised level, or lets it fall by one step.
+    /// Resends or ends a pending change, confirms a raised level, or lowers it by one tier.
     pub fn on_tick(&mut self, now: Instant) -> Vec<LevelMessage> {
         if self.round.is_some() {
-            return self.remind(now);
+            return self.resend(now);
         }
-        if self.lowest_rank >= self.bottom {
+        if self.lowest_rank >= self.lowest_of_table {
             return Vec::new();
         }
-        if elapsed(self.pressed_at, now) >= FALL_AFTER {
+        if elapsed(self.last_pressure, now) >= FALL_AFTER {
             self.lowest_rank += 1;
-            self.pressed_at = Some(now);
-            // Whoever has not heard of the fall may still refuse at the old level. Lower tiers come
-            // back when all have answered, or when no such right can be left.
-            return self.start(now, REFUSAL_RIGHT_LEASE);
+            self.last_pressure = Some(now);
+            // An instance that has not received the lower level may still refuse by the old one.
+            // Lower tiers are admitted again once all instances have acknowledged, or once the
+            // right to refuse has expired everywhere.
+            return self.start_round(now, REFUSAL_RIGHT_LEASE);
         }
-        if elapsed(self.set_at, now) >= REFRESH_INTERVAL {
-            return self.start(now, ACKNOWLEDGE_TIMEOUT);
+        if elapsed(self.last_set, now) >= REFRESH_INTERVAL {
+            return self.start_round(now, ACKNOWLEDGE_TIMEOUT);
         }
         Vec::new()
     }
 
     fn raise(&mut self, now: Instant, from: &InstanceId, rank: Rank) -> Vec<LevelMessage> {
-        self.pressed_at = Some(now);
+        self.last_pressure = Some(now);
         if rank < self.lowest_rank {
             self.lowest_rank = rank;
-            return self.start(now, ACKNOWLEDGE_TIMEOUT);
+            return self.start_round(now, ACKNOWLEDGE_TIMEOUT);
         }
         if self.round.is_some() {
             return Vec::new();
@@ -248,11 +255,12 @@
         from: &InstanceId,
         epoch: Sequence,
     ) -> Vec<LevelMessage> {
-        // A new owner starts at epoch 0 while members remember the dead owner's epochs. They
-        // would ignore it for ever; their answer carries what they remember, and it goes beyond.
+        // A new owner starts at epoch 0, while members remember the epochs of the dead owner and
+        // would ignore the new one forever. Their acknowledgement carries the remembered epoch, and
+        // the new owner continues after it.
         if epoch > self.epoch {
             self.epoch = epoch;
-            return self.start(now, ACKNOWLEDGE_TIMEOUT);
+            return self.start_round(now, ACKNOWLEDGE_TIMEOUT);
         }
         if let Ok(at) = self.members.binary_search_by(|m| m.instance.cmp(from)) {
             self.members[at].epoch = self.members[at].epoch.max(epoch);
@@ -260,31 +268,32 @@
         self.settle(now)
     }
 
-    fn start(&mut self, now: Instant, patience: Duration) -> Vec<LevelMessage> {
+    fn start_round(&mut self, now: Instant, timeout: Duration) -> Vec<LevelMessage> {
         self.epoch += 1;
         self.round = Some(Round {
-            since: now,
-            patience,
-            told: now,
+            started: now,
+            timeout,
+            last_sent: now,
         });
-        self.set_at = Some(now);
-        self.to_all(&self.set())
+        self.last_set = Some(now);
+        self.broadcast(&self.set())
     }
 
-    /// Ends a complete or overdue round, or tells those again that have not answered.
-    fn remind(&mut self, now: Instant) -> Vec<LevelMessage> {
+    /// Ends a complete or expired round, or resends the change to instances that have not
+    /// acknowledged.
+    fn resend(&mut self, now: Instant) -> Vec<LevelMessage> {
         let settled = self.settle(now);
         let Some(round) = &mut self.round else {
             return settled;
         };
-        if now < round.told + RESEND_AFTER {
+        if now < round.last_sent + RESEND_AFTER {
             return settled;
         }
-        round.told = now;
+        round.last_sent = now;
         let set = self.set();
-        let silent = |m: &&Member| m.epoch != self.epoch;
-        let silent = self.members.iter().filter(silent);
-        silent.map(|m| m.send(&set)).collect()
+        let unacknowledged = |m: &&Member| m.epoch != self.epoch;
+        let unacknowledged = self.members.iter().filter(unacknowledged);
+        unacknowledged.map(|m| m.send(&set)).collect()
     }
 
     fn settle(&mut self, now: Instant) -> Vec<LevelMessage> {
@@ -292,12 +301,12 @@
             return Vec::new();
         };
         let complete = self.members.iter().all(|m| m.epoch == self.epoch);
-        if !complete && now < round.since + round.patience {
+        if !complete && now < round.started + round.timeout {
             return Vec::new();
         }
         self.round = None;
         self.settled_rank = self.lowest_rank;
-        self.to_all(&self.settled())
+        self.broadcast(&self.settled())
     }
 
     fn set(&self) -> ToLevelMember {
@@ -314,11 +323,11 @@
         }
     }
 
-    fn to_all(&self, message: &ToLevelMember) -> Vec<LevelMessage> {
+    fn broadcast(&self, message: &ToLevelMember) -> Vec<LevelMessage> {
         self.members.iter().map(|m| m.send(message)).collect()
     }
 
-    fn confirmed(&self, instance: &InstanceId) -> Option<Sequence> {
+    fn acknowledged_epoch(&self, instance: &InstanceId) -> Option<Sequence> {
         let at = self
             .members
             .binary_search_by(|m| m.instance.cmp(instance))
@@ -327,12 +336,12 @@
     }
 }
 
-/// What has to happen before a request may be refused.
+/// Next step towards the refusal of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RefusalStep {
-    /// Refuse this waiting request of a lower tier first, then ask again.
+    /// Refuse this waiting request of a lower tier first, then retry.
     EvictFirst(RequestId),
-    /// Lower tiers are being refused everywhere; ask again on the next message or tick.
+    /// Wait until all instances refuse lower tiers; retry on the next message or tick.
     RaiseFirst,
     /// The request may be refused.
     Allowed,
@@ -345,41 +354,44 @@
     request: RequestId,
 }
 
-/// A raise that was asked for and is not settled.
+/// A requested raise of the level that is not settled yet.
 #[derive(Debug, Clone)]
 struct Raise {
     rank: Rank,
     since: Instant,
 }
 
-/// One instance's side of a pool's level.
+/// Instance side of a pool's level.
 #[derive(Debug, Clone)]
 pub struct LevelMember {
-    bottom: Rank,
+    lowest_of_table: Rank,
     epoch: Sequence,
+    /// Lowest admitted tier, valid until `level_until`.
     admitted: Rank,
-    admitted_until: Option<Instant>,
+    level_until: Option<Instant>,
+    /// Highest tier that may be refused, valid until `refusal_right_until`.
     refusable: Rank,
-    refusable_until: Option<Instant>,
+    refusal_right_until: Option<Instant>,
     waiting: Vec<Waiting>,
     raise: Option<Raise>,
-    pressed_at: Option<Instant>,
+    last_pressure: Option<Instant>,
     outgoing: Vec<ToLevelOwner>,
 }
 
 impl LevelMember {
-    /// Makes the side of an instance that knows of no raised level; `bottom` is the lowest tier.
-    pub fn new(bottom: Rank) -> Self {
+    /// Creates the state of an instance that knows of no raised level; `lowest_of_table` is the
+    /// lowest tier of the table.
+    pub fn new(lowest_of_table: Rank) -> Self {
         Self {
-            bottom,
+            lowest_of_table,
             epoch: 0,
-            admitted: bottom,
-            admitted_until: None,
-            refusable: bottom,
-            refusable_until: None,
+            admitted: lowest_of_table,
+            level_until: None,
+            refusable: lowest_of_table,
+            refusal_right_until: None,
             waiting: Vec::new(),
             raise: None,
-            pressed_at: None,
+            last_pressure: None,
             outgoing: Vec::new(),
         }
     }
@@ -391,14 +403,14 @@
 
     /// Lowest tier that is admitted.
     pub fn lowest_rank(&self, now: Instant) -> Rank {
-        if self.admitted_until.is_some_and(|until| now < until) {
+        if self.level_until.is_some_and(|until| now < until) {
             self.admitted
         } else {
-            self.bottom
+            self.lowest_of_table
         }
     }
 
-    /// Notes a waiting request; false when [`MAX_WAITING`] requests wait already.
+    /// Adds a waiting request. Returns `false` if [`MAX_WAITING`] requests wait already.
     pub fn add_waiting(&mut self, request: &RequestId, rank: Rank) -> bool {
         if self.waiting.len() >= MAX_WAITING {
             return false;
@@ -413,7 +425,7 @@
         true
     }
 
-    /// Forgets a request that was granted, refused or given up.
+    /// Removes a request that was granted, refused or abandoned.
     pub fn remove_waiting(&mut self, request: &RequestId, rank: Rank) {
         let waiting = Waiting {
             rank,
@@ -424,17 +436,17 @@
         }
     }
 
-    /// Handles a message of the level's owner.
+    /// Handles a message from the owner of the level.
     ///
-    /// Returns and forgets the waiting requests that stand below the level; the caller refuses
-    /// them before it sends what [`LevelMember::take_outgoing`] holds.
+    /// Removes and returns the waiting requests whose tier is below the level. The caller refuses
+    /// them before it sends the messages of [`LevelMember::take_outgoing`].
     pub fn on_message(&mut self, now: Instant, message: &ToLevelMember) -> Vec<RequestId> {
         match *message {
             ToLevelMember::Set { epoch, lowest_rank } => {
                 if epoch >= self.epoch {
                     self.epoch = epoch;
-                    self.lower(now, lowest_rank);
-                    self.answer_raise(now, lowest_rank);
+                    self.apply_stricter(now, lowest_rank);
+                    self.refresh_raise(now, lowest_rank);
                 }
                 self.outgoing
                     .push(ToLevelOwner::Acknowledge { epoch: self.epoch });
@@ -442,30 +454,30 @@
             ToLevelMember::Settled { epoch, lowest_rank } if epoch == self.epoch => {
                 self.admit(now, lowest_rank);
                 self.refusable = lowest_rank;
-                self.refusable_until = Some(now + REFUSAL_RIGHT_LEASE);
-                // Answered, be it by a level that has fallen again since. Kept, an old raise would
-                // look like one that the owner never answered, and end in a refusal without it.
+                self.refusal_right_until = Some(now + REFUSAL_RIGHT_LEASE);
+                // The raise is answered, even if the level has been lowered again since. If it were
+                // kept, it would look unanswered and end in a refusal without the owner.
                 self.raise = None;
             }
             ToLevelMember::Settled { .. } => {}
         }
-        self.take_below(now)
+        self.remove_below_level(now)
     }
 
-    /// Says what has to happen before a request of `rank` may be refused for want of capacity.
+    /// Returns the next step towards refusing a request of `rank` for lack of capacity.
     pub fn request_refusal(&mut self, now: Instant, rank: Rank) -> RefusalStep {
         if let Some(lowest) = self.waiting.last().filter(|w| w.rank > rank) {
             return RefusalStep::EvictFirst(RequestId::clone(&lowest.request));
         }
-        if rank >= self.bottom || rank > self.lowest_rank(now) {
+        if rank >= self.lowest_of_table || rank > self.lowest_rank(now) {
             return RefusalStep::Allowed;
         }
         if self.may_refuse(now, rank) {
-            self.press(now, rank);
+            self.report_pressure(now, rank);
             return RefusalStep::Allowed;
         }
         match &self.raise {
-            Some(raise) if raise.rank <= rank => self.overdue(now, rank),
+            Some(raise) if raise.rank <= rank => self.refuse_without_owner(now, rank),
             _ => {
                 self.raise = Some(Raise { rank, since: now });
                 self.outgoing.push(ToLevelOwner::Raise { rank });
@@ -474,28 +486,29 @@
         }
     }
 
-    /// Messages for the level's owner, in order; empties the list.
+    /// Removes and returns the messages for the owner of the level, in order.
     pub fn take_outgoing(&mut self) -> Vec<ToLevelOwner> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// The owner is cut off, dead or paused when neither a level nor its completion came in time.
-    /// The caller would then wait for an answer until its deadline, so the instance goes on alone.
-    fn overdue(&mut self, now: Instant, rank: Rank) -> RefusalStep {
+    /// Allows a refusal if the owner has answered neither with a level nor with its completion in
+    /// time, and is therefore unreachable, dead or paused. Otherwise the caller would wait until
+    /// its deadline.
+    fn refuse_without_owner(&mut self, now: Instant, rank: Rank) -> RefusalStep {
         let since = self.raise.as_ref().map(|raise| raise.since);
         if elapsed(since, now) < ACKNOWLEDGE_TIMEOUT * 2 {
             return RefusalStep::RaiseFirst;
         }
         self.raise = None;
-        self.lower(now, rank);
+        self.apply_stricter(now, rank);
         self.refusable = rank;
-        self.refusable_until = Some(now + REFUSAL_RIGHT_LEASE);
+        self.refusal_right_until = Some(now + REFUSAL_RIGHT_LEASE);
         RefusalStep::Allowed
     }
 
-    /// The owner lives, so a raise that waits is not overdue yet; one that a fall has undone must
-    /// be asked anew, or it would look like one that was never answered.
-    fn answer_raise(&mut self, now: Instant, lowest_rank: Rank) {
+    /// Restarts the timeout of a pending raise, as the owner is alive. A raise that a lowered level
+    /// has undone is dropped and must be requested again, as it would otherwise look unanswered.
+    fn refresh_raise(&mut self, now: Instant, lowest_rank: Rank) {
         self.raise.take_if(|raise| lowest_rank > raise.rank);
         if let Some(raise) = &mut self.raise {
             raise.since = now;
@@ -503,11 +516,11 @@
     }
 
     fn may_refuse(&self, now: Instant, rank: Rank) -> bool {
-        rank >= self.refusable && self.refusable_until.is_some_and(|until| now < until)
+        rank >= self.refusable && self.refusal_right_until.is_some_and(|until| now < until)
     }
 
-    /// Obeys the stricter of two levels until the change has settled.
-    fn lower(&mut self, now: Instant, lowest_rank: Rank) {
+    /// Applies the stricter of the current and the new level until the change has settled.
+    fn apply_stricter(&mut self, now: Instant, lowest_rank: Rank) {
         let stricter = self.lowest_rank(now).min(lowest_rank);
         self.admit(now, stricter);
         self.refusable = self.refusable.max(lowest_rank);
@@ -515,47 +528,48 @@
 
     fn admit(&mut self, now: Instant, lowest_rank: Rank) {
         self.admitted = lowest_rank;
-        self.admitted_until = Some(now + LEVEL_LEASE);
+        self.level_until = Some(now + LEVEL_LEASE);
     }
 
-    fn press(&mut self, now: Instant, rank: Rank) {
-        if elapsed(self.pressed_at, now) >= PRESSURE_INTERVAL {
-            self.pressed_at = Some(now);
+    fn report_pressure(&mut self, now: Instant, rank: Rank) {
+        if elapsed(self.last_pressure, now) >= PRESSURE_INTERVAL {
+            self.last_pressure = Some(now);
             self.outgoing.push(ToLevelOwner::Pressure { rank });
         }
     }
 
-    fn take_below(&mut self, now: Instant) -> Vec<RequestId> {
+    fn remove_below_level(&mut self, now: Instant) -> Vec<RequestId> {
         let lowest = self.lowest_rank(now);
         let from = self.waiting.partition_point(|w| w.rank <= lowest);
         self.waiting.drain(from..).map(|w| w.request).collect()
     }
 }
 
-/// What is expected of a request before it is queued or dispatched.
+/// Estimated times of a request before it is queued or dispatched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Estimate {
-    /// Wait for a slot, counting only what runs and what waits in its own tier and above.
+    /// Wait for a slot, behind running requests and waiting ones of the same and higher tiers.
     pub wait: Duration,
-    /// From dispatch to the end of the answer.
+    /// Time from dispatch to the end of the response.
     pub service: Duration,
 }
 
-/// Whether a request can end before its deadline; otherwise its prefill would be wasted.
+/// Whether a request can complete before its deadline; otherwise its prefill would be wasted.
 ///
 /// A deadline that is met exactly counts as met.
 pub fn can_meet(time_left: Duration, estimate: Estimate) -> bool {
     estimate.wait.saturating_add(estimate.service) <= time_left
 }
 
-/// Whether no free capacity could help: even at once the answer would end too late.
+/// Whether a request would miss its deadline even if it were dispatched at once.
 ///
-/// Such a refusal is the deadline's fault and no shed; it must not raise the level, or a caller
-/// with absurd deadlines could have every lower tier refused.
+/// Such a refusal is caused by the deadline, not by lack of capacity. It must not raise the level,
+/// or a caller with absurd deadlines could cause the refusal of every lower tier.
 pub fn is_unmeetable(time_left: Duration, estimate: Estimate) -> bool {
     estimate.service > time_left
 }
 
+/// Time since `since`; without it, the longest possible time.
 fn elapsed(since: Option<Instant>, now: Instant) -> Duration {
     since.map_or(Duration::MAX, |at| now.saturating_duration_since(at))
 }
