--- a/crates/decisions/src/fanout.rs
+++ b/crates/decisions/src/fanout.rs
@@ -1,14 +1,17 @@
-//! Who passes messages on in an availability zone, so that not each instance sends to each.
+//! Relays that forward messages in an availability zone, instead of a full mesh.
 //!
-//! Load pattern: three hundred instances, each of which has news ten times a second. Sent to all, a
-//! zone of fifty takes 2,500 datagrams for each of its requests a second and instance, and small machines do nothing
-//! else. Here an instance tells one relay, which gathers the news of a dozen and sends them on together.
+//! Load pattern: three hundred instances, each of which sends updates ten times a second. If every
+//! instance sent to all, a zone of fifty would receive 2,500 datagrams for each request per second
+//! and instance, and small machines would do nothing else. Instead an instance sends to one relay,
+//! which collects the updates of a dozen instances and forwards them together.
 //!
-//! In a small zone each tells each, and the relay passes on to the other zones alone: a place that comes free is
-//! taken within some milliseconds, and a message that takes two ways comes too late for that.
+//! In a small zone each instance sends to every other one, and relays forward only to other zones:
+//! a slot that becomes free is taken within milliseconds, and a message that takes two hops arrives
+//! too late.
 //!
-//! All compute the same relays from the members that they know. Those that disagree send to an
-//! instance that does not expect it and passes the news on all the same.
+//! All instances compute the relays from the members that they know. An instance that disagrees
+//! sends to an instance that is not a relay in its own view, which forwards the update all the
+//! same.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -18,68 +21,74 @@
 
 use crate::id::Member;
 
-/// Instances that one relay serves.
-const SERVED: usize = 12;
+/// Number of instances that one relay serves.
+const INSTANCES_PER_RELAY: usize = 12;
 
-/// Most instances of a zone in which each tells each: messages grow with the square of their number.
+/// Largest number of instances of a zone that form a full mesh: messages grow with the square of
+/// their number.
 pub const MAX_FULL_MESH: usize = 24;
 
-/// A relay that was not heard for this long is passed over, and for how long: before anybody that it
-/// serves counts as silent.
-const LOST: Duration = Duration::from_millis(900);
-const PASSED_OVER: Duration = Duration::from_secs(3);
+/// A relay that has sent nothing for [`SILENT_AFTER`] is not chosen for [`EXCLUDED_FOR`]. That is
+/// detected before any instance that it serves counts as silent.
+const SILENT_AFTER: Duration = Duration::from_millis(900);
+const EXCLUDED_FOR: Duration = Duration::from_secs(3);
 
-/// The relays of its zone, as one instance sees them.
+/// Relays of the own zone, as one instance sees them.
 #[derive(Debug, Default)]
 pub struct Relays {
-    /// With since when each is one.
-    chosen: Vec<(Member, Instant)>,
-    /// With until when.
-    passed_over: Vec<(Member, Instant)>,
+    /// Current relays, and the time since which each is one.
+    relays_since: Vec<(Member, Instant)>,
+    /// Instances that must not become relays, and the time until which that applies.
+    excluded: Vec<(Member, Instant)>,
 }
 
 impl Relays {
-    /// Looks who the relays are now; `heard` are the other members of the zone, `sent_at` tells when one
-    /// sent something itself last. Returns those of
-    /// them that send nothing although they are relays.
+    /// Recomputes the relays. `reachable` are the other reachable members of the zone; `sent_at`
+    /// returns when a member last sent a message of its own. Returns the relays that have fallen
+    /// silent, which are excluded from now on.
     pub fn update<F>(
         &mut self,
         now: Instant,
         own: Member,
-        heard: &[Member],
+        reachable: &[Member],
         sent_at: F,
     ) -> Vec<Member>
     where
         F: Fn(Member) -> Option<Instant>,
     {
-        self.passed_over.retain(|(_, until)| *until > now);
-        let lost: Vec<Member> = self
-            .chosen
+        self.excluded.retain(|(_, until)| *until > now);
+        let silent: Vec<Member> = self
+            .relays_since
             .iter()
             .filter(|(relay, since)| {
                 let sent = sent_at(*relay).map_or(*since, |at| at.max(*since));
-                heard.contains(relay) && now.saturating_duration_since(sent) >= LOST
+                reachable.contains(relay) && now.saturating_duration_since(sent) >= SILENT_AFTER
             })
             .map(|(relay, _)| *relay)
             .collect();
-        let until = lost.iter().map(|relay| (*relay, now + PASSED_OVER));
-        self.passed_over.extend(until);
-        let passed = |m: &Member| self.passed_over.iter().any(|(p, _)| p == m);
-        let mut members: Vec<Member> = heard.iter().copied().filter(|m| !passed(m)).collect();
+        let until = silent.iter().map(|relay| (*relay, now + EXCLUDED_FOR));
+        self.excluded.extend(until);
+        let is_excluded = |m: &Member| self.excluded.iter().any(|(p, _)| p == m);
+        let mut members: Vec<Member> = reachable
+            .iter()
+            .copied()
+            .filter(|m| !is_excluded(m))
+            .collect();
         members.push(own);
-        let before = std::mem::take(&mut self.chosen);
+        let before = std::mem::take(&mut self.relays_since);
         let since = |relay| before.iter().find(|(r, _)| *r == relay).map(|(_, at)| *at);
-        let chosen = choose_relays(&members).into_iter();
-        self.chosen = chosen.map(|r| (r, since(r).unwrap_or(now))).collect();
-        lost
+        let relays_since = choose_relays(&members).into_iter();
+        self.relays_since = relays_since.map(|r| (r, since(r).unwrap_or(now))).collect();
+        silent
     }
 
-    /// Whether an instance is one of them.
+    /// Whether an instance is a relay.
     pub fn contains(&self, member: Member) -> bool {
-        self.chosen.iter().any(|(r, _)| *r == member)
+        self.relays_since.iter().any(|(r, _)| *r == member)
     }
 
-    /// Whom an instance tells, `others` being the rest of its zone.
+    /// Returns the instances that `own` sends its updates to. `others` are the other instances of
+    /// its zone.
     pub fn receivers(&self, own: Member, others: &[Member]) -> Receivers {
         let relay = self.relay_for(own).filter(|relay| *relay != own);
         let is_small = others.len() < MAX_FULL_MESH;
@@ -90,28 +99,28 @@
         }
     }
 
-    /// The one that serves a member.
+    /// The relay that serves a member.
     pub fn relay_for(&self, member: Member) -> Option<Member> {
-        let relays: Vec<Member> = self.chosen.iter().map(|(r, _)| *r).collect();
+        let relays: Vec<Member> = self.relays_since.iter().map(|(r, _)| *r).collect();
         relay_of(member, &relays)
     }
 }
 
-/// Whom an instance tells how it stands.
+/// Instances to which an instance sends its updates.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Receivers {
-    /// Its relay; none if it is its own.
+    /// The relay; `None` if the instance is its own relay.
     pub relay: Option<Member>,
-    /// The rest of a small zone; none if the relay is to tell the zone.
+    /// The other instances of a small zone; `None` if the relay forwards to the zone.
     pub neighbours: Option<Vec<Member>>,
 }
 
-/// The relays of a zone with these members, the first in rank first.
+/// Selects the relays among the members of a zone, by rank.
 pub fn choose_relays(members: &[Member]) -> Vec<Member> {
     let mut ranked = members.to_vec();
     ranked.sort_unstable_by_key(|m| Reverse((rank(*m, 0), *m)));
     ranked.dedup();
-    ranked.truncate(members.len().div_ceil(SERVED));
+    ranked.truncate(members.len().div_ceil(INSTANCES_PER_RELAY));
     ranked
 }
 
