--- a/crates/decisions/src/fairness.rs
+++ b/crates/decisions/src/fairness.rs
@@ -1,15 +1,17 @@
-//! Order of waiting reservations: strict by tier, weighted fair between organisations inside a tier.
+//! Order of waiting reservations: strict by tier, weighted fair between organisations inside a
+//! tier.
 //!
-//! Load pattern: one organisation or a few long jobs fill the queue. In order of arrival the
-//! others would wait behind all of it; counted by requests, one that sends translations would get
-//! a hundred times the share of one that asks for order states. So each organisation is charged
-//! by cost (start-time fair queueing), by weight, and corrected when the real cost is known.
+//! Load pattern: one organisation or a few long jobs fill the queue. In order of arrival the others
+//! would wait behind all of it. If requests were counted, an organisation that sends translations
+//! would get a hundred times the share of one that queries the state of orders. Each organisation
+//! is therefore charged by cost and weight (start-time fair queueing), and the charge is corrected
+//! when the actual cost is known.
 //!
-//! A request is long if it costs at least eight times what a twentieth or more of the recent
-//! arrivals of its tier and above cost. The queue tells which are long; how many slots they may
-//! hold is [`max_long_slots`].
+//! A request is long if at least a twentieth of the recent arrivals of its tier, or of a higher
+//! one, cost at most an eighth of it. The queue classifies requests; [`max_long_slots`] limits how
+//! many slots long ones may hold.
 
-mod mix;
+mod cost_histogram;
 mod tier;
 
 use std::collections::VecDeque;
@@ -23,14 +25,14 @@
 use crate::slots::Reservation;
 use crate::work::Work;
 
-/// Slots kept free of long requests while short ones come: one in this many.
+/// One slot in this many is kept free of long requests.
 ///
-/// A short request then waits for a short one to end, not for a long one a hundred times longer.
-/// One in 8 makes short ones wait; one in 2 serves more but refused higher tiers out of order in
-/// the scenarios (see the design note).
+/// A short request then waits for another short one to end, not for a long one that takes a hundred
+/// times longer. With one in 8, short requests have to wait. One in 2 serves more requests, but
+/// refused higher tiers out of order in the scenarios (see the design note).
 pub const SHORT_SLOTS_ONE_IN: u32 = 4;
 
-/// Of `limit` slots, how many long requests may hold.
+/// Number of slots, out of `limit`, that long requests may hold.
 pub fn max_long_slots(limit: u32) -> u32 {
     if limit < 2 {
         return limit;
@@ -43,72 +45,75 @@
 pub struct Entry {
     /// The reservation.
     pub reservation: Reservation,
-    /// Tokens of the whole prompt, cached or not.
+    /// Tokens of the complete prompt, cached or not.
     pub prompt: Tokens,
-    /// When its caller no longer wants the answer, by the owner's clock.
+    /// Time by the owner's clock after which the caller no longer needs the response.
     pub deadline: Instant,
-    /// Whether it counts as long.
+    /// Whether the request counts as long.
     pub size: SizeClass,
 }
 
-/// Entry with its place in the order of arrival.
+/// A waiting entry with its arrival number.
 #[derive(Debug, Clone)]
-struct Place {
+struct QueuedEntry {
     arrival: Arrival,
     entry: Box<Entry>,
 }
 
-/// Where a request's entry is.
+/// Index record that maps the hash of a request id to the arrival number of its entry.
 #[derive(Debug, Clone, Copy)]
-struct Index {
+struct IndexEntry {
     hash: u64,
     arrival: Arrival,
 }
 
-/// What an organisation is charged for, to be corrected when the request ends.
+/// The charge of an organisation for a granted request, to be corrected when the request ends.
 #[derive(Debug, Clone)]
 pub struct Charge {
     /// The organisation.
     pub organisation: OrganisationId,
-    /// Its weight.
+    /// Weight of the organisation.
     pub weight: u32,
     /// Rank of the tier.
     pub rank: Rank,
-    /// Cost that was charged.
+    /// Charged cost.
     pub cost: u64,
 }
 
-/// Waiting reservations of one replica.
+/// Queue of the waiting reservations of one replica.
 #[derive(Debug, Clone, Default)]
 pub struct FairQueue {
+    /// Sorted by rank.
     tiers: Vec<TierQueue>,
-    places: VecDeque<Place>,
-    index: Vec<Index>,
-    arrivals: Arrival,
+    /// Sorted by arrival number.
+    entries: VecDeque<QueuedEntry>,
+    /// Sorted by hash.
+    index: Vec<IndexEntry>,
+    next_arrival: Arrival,
 }
 
 impl FairQueue {
-    /// Makes an empty queue.
+    /// Creates an empty queue.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Waiting reservations.
+    /// Number of waiting reservations.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.entries.len()
     }
 
-    /// Whether nothing waits.
+    /// Whether no reservation waits.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Whether the request waits here.
+    /// Whether a reservation of the request waits.
     pub fn contains(&self, request: &RequestId) -> bool {
-        self.find(request).is_some()
+        self.arrival_of(request).is_some()
     }
 
-    /// Work that waits in `rank` and above.
+    /// Sum of the waiting work of tier `rank` and higher ones.
     pub fn work_at_or_above(&self, rank: Rank) -> Work {
         let mut sum = Work::default();
         for tier in self.tiers.iter().take_while(|tier| tier.rank <= rank) {
@@ -118,21 +123,21 @@
         sum
     }
 
-    /// Reservations that wait in `rank` and above.
+    /// Number of waiting reservations of tier `rank` and higher ones.
     pub fn len_above(&self, rank: Rank) -> usize {
         let above = self.tiers.iter().take_while(|tier| tier.rank <= rank);
         above.map(|tier| tier.len).sum()
     }
 
-    /// Queues a reservation with its whole `prompt` that must end before `deadline`; its expected
-    /// work counts only what is not cached.
+    /// Queues a reservation that must complete before `deadline`. `prompt` is the complete length
+    /// of its prompt in tokens; its expected work covers only the part that is not cached.
     pub fn push(&mut self, reservation: Reservation, prompt: Tokens, deadline: Instant) {
-        let size = self.size(&reservation);
-        let arrival = self.arrivals;
-        self.arrivals += 1;
+        let size = self.classify(&reservation);
+        let arrival = self.next_arrival;
+        self.next_arrival += 1;
         let hash = hash(&reservation.request);
         let at = self.index.partition_point(|index| index.hash < hash);
-        self.index.insert(at, Index { hash, arrival });
+        self.index.insert(at, IndexEntry { hash, arrival });
         let work = reservation.work;
         let tier = self.tier_mut(reservation.rank);
         let (organisation, weight) = (&reservation.organisation, reservation.weight);
@@ -143,57 +148,60 @@
             deadline,
             size,
         });
-        self.places.push_back(Place { arrival, entry });
+        self.entries.push_back(QueuedEntry { arrival, entry });
     }
 
-    /// Takes out the next reservation and charges its organisation; a long one only if `long`.
+    /// Removes the next reservation and charges its organisation. A long one is considered only if
+    /// `allow_long` is set.
     ///
-    /// A long one that may not run yet holds back the tiers below: its slot is about to be free.
-    pub fn pop_next(&mut self, long: bool) -> Option<Box<Entry>> {
+    /// A long reservation that may not run yet holds back the tiers below, as its slot is about to
+    /// become free.
+    pub fn pop_next(&mut self, allow_long: bool) -> Option<Box<Entry>> {
         let tier = self.tiers.iter().find(|tier| tier.len > 0)?;
-        let arrival = tier.next(long)?;
-        self.take(arrival, true)
+        let arrival = tier.next(allow_long)?;
+        self.remove_arrival(arrival, true)
     }
 
-    /// Takes the request out without a charge.
+    /// Removes a request without charging its organisation.
     pub fn remove(&mut self, request: &RequestId) -> Option<Box<Entry>> {
-        let arrival = self.find(request)?;
-        self.take(arrival, false)
+        let arrival = self.arrival_of(request)?;
+        self.remove_arrival(arrival, false)
     }
 
-    /// Takes out the latest reservation of the most greedy organisation in the lowest tier.
+    /// Removes the latest reservation of the organisation with the largest backlog relative to its
+    /// weight, in the lowest tier.
     ///
-    /// By arrival alone, a flood of one organisation would push the others' requests out.
+    /// By arrival alone, a flood of one organisation would displace the requests of the others.
     pub fn evict(&mut self) -> Option<Box<Entry>> {
         let tier = self.tiers.iter().rev().find(|tier| tier.len > 0)?;
-        let arrival = tier.last()?;
-        self.take(arrival, false)
+        let arrival = tier.newest_of_largest_backlog()?;
+        self.remove_arrival(arrival, false)
     }
 
-    /// Takes out all reservations for which `unwanted` is true.
+    /// Removes all reservations for which `unwanted` returns `true`.
     pub fn remove_if<F>(&mut self, unwanted: F) -> Vec<Entry>
     where
         F: Fn(&Entry) -> bool,
     {
-        let gone: Vec<Arrival> = self
-            .places
+        let arrivals_to_remove: Vec<Arrival> = self
+            .entries
             .iter()
-            .filter(|place| unwanted(&place.entry))
-            .map(|place| place.arrival)
+            .filter(|queued| unwanted(&queued.entry))
+            .map(|queued| queued.arrival)
             .collect();
-        let taken = gone
+        let removed = arrivals_to_remove
             .into_iter()
-            .filter_map(|arrival| self.take(arrival, false));
-        taken.map(|entry| *entry).collect()
+            .filter_map(|arrival| self.remove_arrival(arrival, false));
+        removed.map(|entry| *entry).collect()
     }
 
-    /// Charges the difference between the expected and the real cost of a request that ended.
+    /// Replaces the expected cost of a request that ended by its `real` cost.
     pub fn settle(&mut self, charge: &Charge, real: Work) {
         let tier = self.tier_mut(charge.rank);
         tier.settle(&charge.organisation, charge.weight, charge.cost, cost(real));
     }
 
-    /// What the organisation of `reservation` was charged when it was granted.
+    /// Charge for `reservation` at the time of its grant.
     pub fn charge(reservation: &Reservation) -> Charge {
         Charge {
             organisation: OrganisationId::clone(&reservation.organisation),
@@ -203,11 +211,12 @@
         }
     }
 
-    fn size(&mut self, reservation: &Reservation) -> SizeClass {
+    /// Adds the reservation to the recent arrivals of its tier and classifies it by them.
+    fn classify(&mut self, reservation: &Reservation) -> SizeClass {
         let (rank, cost) = (reservation.rank, cost(reservation.work));
-        self.tier_mut(rank).mix.add(cost);
+        self.tier_mut(rank).recent_costs.add(cost);
         let mut above = self.tiers.iter().take_while(|tier| tier.rank <= rank);
-        if above.any(|tier| tier.mix.is_long(cost)) {
+        if above.any(|tier| tier.recent_costs.is_long(cost)) {
             SizeClass::Long
         } else {
             SizeClass::Short
@@ -226,17 +235,17 @@
     }
 
     fn position(&self, arrival: Arrival) -> Option<usize> {
-        let places = &self.places;
-        places
-            .binary_search_by_key(&arrival, |place| place.arrival)
+        let entries = &self.entries;
+        entries
+            .binary_search_by_key(&arrival, |queued| queued.arrival)
             .ok()
     }
 
     fn entry(&self, arrival: Arrival) -> Option<&Entry> {
-        self.position(arrival).map(|at| &*self.places[at].entry)
+        self.position(arrival).map(|at| &*self.entries[at].entry)
     }
 
-    fn find(&self, request: &RequestId) -> Option<Arrival> {
+    fn arrival_of(&self, request: &RequestId) -> Option<Arrival> {
         let hash = hash(request);
         let from = self.index.partition_point(|index| index.hash < hash);
         let same = self.index[from..].iter().take_while(|i| i.hash == hash);
@@ -246,9 +255,10 @@
         })
     }
 
-    fn take(&mut self, arrival: Arrival, granted: bool) -> Option<Box<Entry>> {
+    /// Removes an entry; `granted` charges its organisation.
+    fn remove_arrival(&mut self, arrival: Arrival, granted: bool) -> Option<Box<Entry>> {
         let at = self.position(arrival)?;
-        let entry = self.places.remove(at)?.entry;
+        let entry = self.entries.remove(at)?.entry;
         let reservation = &entry.reservation;
         let hash = hash(&reservation.request);
         let from = self.index.partition_point(|index| index.hash < hash);
--- a/crates/decisions/src/fairness/tier.rs
+++ b/crates/decisions/src/fairness/tier.rs
@@ -1,52 +1,56 @@
-//! The waiting reservations of one tier, weighted fair between organisations.
+//! Waiting reservations of one tier, weighted fair between organisations.
 
 use std::collections::VecDeque;
 
-use super::mix::Mix;
+use super::cost_histogram::CostHistogram;
 use crate::id::{OrganisationId, Rank};
 use crate::work::Work;
 
-/// Number of an entry in order of arrival.
+/// Arrival number of an entry; increases with each arrival.
 pub(super) type Arrival = u64;
 
-/// Virtual time of a tier, in cost units of weight 1, scaled by [`SCALE`].
-pub(super) type Tag = u64;
+/// Virtual time of a tier: cost divided by weight, in units of 1/[`VIRTUAL_TIME_SCALE`].
+pub(super) type VirtualTime = u64;
 
-/// Virtual time units of one cost unit at weight 1; keeps the division by large weights exact enough.
-pub(super) const SCALE: u64 = 1024;
+/// Virtual time units per cost unit at weight 1; keeps the division by large weights sufficiently
+/// exact.
+pub(super) const VIRTUAL_TIME_SCALE: u64 = 1024;
 
-/// Organisations that wait for nothing are forgotten beyond this count, once they owe nothing.
-const MAX_IDLE: usize = 1024;
+/// Beyond this number, organisations without waiting reservations and outstanding charges are
+/// dropped.
+const MAX_IDLE_ORGANISATIONS: usize = 1024;
 
-/// Whether a reservation is long among those that arrive lately.
+/// Size of a reservation relative to recent arrivals.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SizeClass {
-    /// Common or cheaper.
+    /// Of common cost or cheaper.
     Short,
     /// At least eight times as costly as a common short one.
     Long,
 }
 
-/// One organisation's waiting reservations, in order of arrival.
+/// Waiting reservations of one organisation, in order of arrival.
 #[derive(Debug, Clone)]
-pub(super) struct Share {
+pub(super) struct OrganisationQueue {
     pub(super) organisation: OrganisationId,
     pub(super) weight: u32,
-    pub(super) tag: Tag,
+    /// Virtual start time of the next entry.
+    pub(super) start: VirtualTime,
     short: VecDeque<Arrival>,
     long: VecDeque<Arrival>,
+    /// Total cost of the waiting entries.
     cost: u64,
 }
 
-impl Share {
-    fn queue(&self, size: SizeClass) -> &VecDeque<Arrival> {
+impl OrganisationQueue {
+    fn arrivals(&self, size: SizeClass) -> &VecDeque<Arrival> {
         match size {
             SizeClass::Short => &self.short,
             SizeClass::Long => &self.long,
         }
     }
 
-    fn queue_mut(&mut self, size: SizeClass) -> &mut VecDeque<Arrival> {
+    fn arrivals_mut(&mut self, size: SizeClass) -> &mut VecDeque<Arrival> {
         match size {
             SizeClass::Short => &mut self.short,
             SizeClass::Long => &mut self.long,
@@ -57,16 +61,16 @@
         self.short.is_empty() && self.long.is_empty()
     }
 
-    /// Waiting cost for each unit of weight, by which the most greedy one is found.
+    /// Waiting cost per unit of weight; the organisation with the largest value is evicted first.
     fn backlog(&self) -> u64 {
         self.cost / u64::from(self.weight.max(1))
     }
 }
 
-/// Place of an organisation in the order of service.
+/// Position of an organisation in the order of service: the lowest start time comes first.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct Turn {
-    tag: Tag,
+    start: VirtualTime,
     organisation: OrganisationId,
 }
 
@@ -74,12 +78,17 @@
 #[derive(Debug, Clone)]
 pub(super) struct TierQueue {
     pub(super) rank: Rank,
+    /// Sum of the work of the waiting entries.
     pub(super) work: Work,
     pub(super) len: usize,
-    pub(super) mix: Mix,
-    now: Tag,
-    shares: Vec<Share>,
+    /// Costs of recent arrivals.
+    pub(super) recent_costs: CostHistogram,
+    /// Largest virtual start time of a granted entry.
+    virtual_now: VirtualTime,
+    organisations: Vec<OrganisationQueue>,
+    /// Organisations with short entries, in order of service.
     short_turns: Vec<Turn>,
+    /// Organisations with long entries, in order of service.
     long_turns: Vec<Turn>,
 }
 
@@ -89,17 +98,17 @@
             rank,
             work: Work::default(),
             len: 0,
-            mix: Mix::new(),
-            now: 0,
-            shares: Vec::new(),
+            recent_costs: CostHistogram::new(),
+            virtual_now: 0,
+            organisations: Vec::new(),
             short_turns: Vec::new(),
             long_turns: Vec::new(),
         }
     }
 
     fn position(&self, organisation: &OrganisationId) -> Result<usize, usize> {
-        self.shares
-            .binary_search_by(|share| share.organisation.cmp(organisation))
+        self.organisations
+            .binary_search_by(|queue| queue.organisation.cmp(organisation))
     }
 
     fn turns_mut(&mut self, size: SizeClass) -> &mut Vec<Turn> {
@@ -111,12 +120,12 @@
 
     fn turn(&self, i: usize) -> Turn {
         Turn {
-            tag: self.shares[i].tag,
-            organisation: OrganisationId::clone(&self.shares[i].organisation),
+            start: self.organisations[i].start,
+            organisation: OrganisationId::clone(&self.organisations[i].organisation),
         }
     }
 
-    fn take_turns(&mut self, i: usize) {
+    fn remove_turns(&mut self, i: usize) {
         let turn = self.turn(i);
         for size in [SizeClass::Short, SizeClass::Long] {
             let turns = self.turns_mut(size);
@@ -126,9 +135,9 @@
         }
     }
 
-    fn put_turns(&mut self, i: usize) {
+    fn insert_turns(&mut self, i: usize) {
         for size in [SizeClass::Short, SizeClass::Long] {
-            if self.shares[i].queue(size).is_empty() {
+            if self.organisations[i].arrivals(size).is_empty() {
                 continue;
             }
             let turn = self.turn(i);
@@ -139,18 +148,18 @@
         }
     }
 
-    fn share_of(&mut self, organisation: &OrganisationId, weight: u32) -> usize {
+    fn organisation_index(&mut self, organisation: &OrganisationId, weight: u32) -> usize {
         if let Ok(i) = self.position(organisation) {
             return i;
         }
-        self.forget_idle();
+        self.drop_idle();
         let i = self.position(organisation).unwrap_or_else(|free| free);
-        self.shares.insert(
+        self.organisations.insert(
             i,
-            Share {
+            OrganisationQueue {
                 organisation: OrganisationId::clone(organisation),
                 weight,
-                tag: self.now,
+                start: self.virtual_now,
                 short: VecDeque::new(),
                 long: VecDeque::new(),
                 cost: 0,
@@ -159,20 +168,20 @@
         i
     }
 
-    /// Drops organisations that wait for nothing and owe nothing, when there are many.
-    fn forget_idle(&mut self) {
-        if self.shares.len() < MAX_IDLE.max(2 * self.len) {
+    /// Drops organisations without waiting reservations and outstanding charges, if there are many.
+    fn drop_idle(&mut self) {
+        if self.organisations.len() < MAX_IDLE_ORGANISATIONS.max(2 * self.len) {
             return;
         }
-        let now = self.now;
-        self.shares
-            .retain(|share| !share.is_idle() || share.tag > now);
-        if self.shares.len() >= MAX_IDLE.max(2 * self.len) {
-            self.shares.retain(|share| !share.is_idle());
+        let now = self.virtual_now;
+        self.organisations
+            .retain(|queue| !queue.is_idle() || queue.start > now);
+        if self.organisations.len() >= MAX_IDLE_ORGANISATIONS.max(2 * self.len) {
+            self.organisations.retain(|queue| !queue.is_idle());
         }
     }
 
-    /// Queues an entry behind its organisation's others of the same size.
+    /// Appends an entry to the queue of its organisation and size.
     pub(super) fn push(
         &mut self,
         organisation: &OrganisationId,
@@ -181,43 +190,50 @@
         work: Work,
         arrival: Arrival,
     ) {
-        let i = self.share_of(organisation, weight);
-        self.take_turns(i);
-        let now = self.now;
-        let share = &mut self.shares[i];
-        share.weight = weight;
-        if share.is_idle() {
-            share.tag = share.tag.max(now);
+        let i = self.organisation_index(organisation, weight);
+        self.remove_turns(i);
+        let now = self.virtual_now;
+        let queue = &mut self.organisations[i];
+        queue.weight = weight;
+        if queue.is_idle() {
+            queue.start = queue.start.max(now);
         }
-        share.queue_mut(size).push_back(arrival);
-        share.cost += cost(work);
-        self.put_turns(i);
-        self.count(work, true);
+        queue.arrivals_mut(size).push_back(arrival);
+        queue.cost += cost(work);
+        self.insert_turns(i);
+        self.update_totals(work, true);
     }
 
-    /// Next entry to be granted; a long one only if `long` allows it.
-    pub(super) fn next(&self, long: bool) -> Option<Arrival> {
+    /// Arrival number of the next entry to grant; considers long entries only if `allow_long` is set.
+    pub(super) fn next(&self, allow_long: bool) -> Option<Arrival> {
         let short = self.short_turns.first();
-        let other = self.long_turns.first().filter(|_| long);
-        let (turn, size) = match (short, other) {
-            (Some(short), Some(other)) if other < short => (other, SizeClass::Long),
+        let long = self.long_turns.first().filter(|_| allow_long);
+        let (turn, size) = match (short, long) {
+            (Some(short), Some(long)) if long < short => (long, SizeClass::Long),
             (Some(short), _) => (short, SizeClass::Short),
-            (None, Some(other)) => (other, SizeClass::Long),
+            (None, Some(long)) => (long, SizeClass::Long),
             (None, None) => return None,
         };
         let i = self.position(&turn.organisation).ok()?;
-        let share = &self.shares[i];
-        let own = if short == other { older(share) } else { size };
-        share.queue(own).front().copied()
+        let queue = &self.organisations[i];
+        let size = if short == long {
+            size_of_oldest(queue)
+        } else {
+            size
+        };
+        queue.arrivals(size).front().copied()
     }
 
-    /// Latest entry of the organisation that waits for most by its weight.
-    pub(super) fn last(&self) -> Option<Arrival> {
-        let share = self.shares.iter().max_by_key(|share| share.backlog())?;
-        share.long.back().max(share.short.back()).copied()
+    /// Arrival number of the latest entry of the organisation with the largest backlog.
+    pub(super) fn newest_of_largest_backlog(&self) -> Option<Arrival> {
+        let queue = self
+            .organisations
+            .iter()
+            .max_by_key(|queue| queue.backlog())?;
+        queue.long.back().max(queue.short.back()).copied()
     }
 
-    /// Takes an entry out; `granted` charges its organisation.
+    /// Removes an entry; `granted` charges its organisation.
     pub(super) fn remove(
         &mut self,
         organisation: &OrganisationId,
@@ -229,22 +245,22 @@
         let Ok(i) = self.position(organisation) else {
             return;
         };
-        self.take_turns(i);
-        let share = &mut self.shares[i];
-        let queue = share.queue_mut(size);
-        if let Some(at) = queue.iter().position(|other| *other == arrival) {
-            queue.remove(at);
-            share.cost = share.cost.saturating_sub(cost(work));
+        self.remove_turns(i);
+        let queue = &mut self.organisations[i];
+        let arrivals = queue.arrivals_mut(size);
+        if let Some(at) = arrivals.iter().position(|other| *other == arrival) {
+            arrivals.remove(at);
+            queue.cost = queue.cost.saturating_sub(cost(work));
         }
         if granted {
-            self.now = self.now.max(share.tag);
-            share.tag += charge(cost(work), share.weight);
+            self.virtual_now = self.virtual_now.max(queue.start);
+            queue.start += charge(cost(work), queue.weight);
         }
-        self.put_turns(i);
-        self.count(work, false);
+        self.insert_turns(i);
+        self.update_totals(work, false);
     }
 
-    /// Corrects a charge when the real cost is known.
+    /// Replaces the `charged` cost of a request by its `real` cost.
     pub(super) fn settle(
         &mut self,
         organisation: &OrganisationId,
@@ -252,15 +268,15 @@
         charged: u64,
         real: u64,
     ) {
-        let i = self.share_of(organisation, weight);
-        self.take_turns(i);
-        let share = &mut self.shares[i];
-        share.tag = share.tag.saturating_add(charge(real, weight));
-        share.tag = share.tag.saturating_sub(charge(charged, weight));
-        self.put_turns(i);
+        let i = self.organisation_index(organisation, weight);
+        self.remove_turns(i);
+        let queue = &mut self.organisations[i];
+        queue.start = queue.start.saturating_add(charge(real, weight));
+        queue.start = queue.start.saturating_sub(charge(charged, weight));
+        self.insert_turns(i);
     }
 
-    fn count(&mut self, work: Work, added: bool) {
+    fn update_totals(&mut self, work: Work, added: bool) {
         if added {
             self.len += 1;
             self.work.prefill += work.prefill;
@@ -273,18 +289,19 @@
     }
 }
 
-/// Cost of one entry; never 0, so that each entry moves its organisation's turn.
+/// Cost of one entry; at least 1, so that each grant advances the virtual time of its organisation.
 pub(super) fn cost(work: Work) -> u64 {
     work.cost().max(1)
 }
 
-fn charge(cost: u64, weight: u32) -> Tag {
-    cost.saturating_mul(SCALE) / u64::from(weight.max(1))
+/// Virtual time that an entry of this cost takes.
+fn charge(cost: u64, weight: u32) -> VirtualTime {
+    cost.saturating_mul(VIRTUAL_TIME_SCALE) / u64::from(weight.max(1))
 }
 
-/// Size of a share's entry that came first.
-fn older(share: &Share) -> SizeClass {
-    match (share.short.front(), share.long.front()) {
+/// Size of the oldest entry of an organisation.
+fn size_of_oldest(queue: &OrganisationQueue) -> SizeClass {
+    match (queue.short.front(), queue.long.front()) {
         (Some(short), Some(long)) if long < short => SizeClass::Long,
         (None, Some(_)) => SizeClass::Long,
         _ => SizeClass::Short,
