--- a/crates/decisions/src/fairness.rs
+++ b/crates/decisions/src/fairness.rs
@@ -124,7 +124,7 @@
     }
 
     /// Number of waiting reservations of tier `rank` and higher ones.
-    pub fn len_above(&self, rank: Rank) -> usize {
+    pub fn len_at_or_above(&self, rank: Rank) -> usize {
         let above = self.tiers.iter().take_while(|tier| tier.rank <= rank);
         above.map(|tier| tier.len).sum()
     }
--- a/crates/decisions/src/slots/queue.rs
+++ b/crates/decisions/src/slots/queue.rs
@@ -217,7 +217,7 @@
     pub fn wait(&self, now: Instant, rank: Rank) -> Duration {
         let slots = self.feedback.allowed(now, &self.taken).max(1);
         let prefill = self.feedback.prefill(self.taken.silent_prefill());
-        let ahead = self.waiting.len_above(rank);
+        let ahead = self.waiting.len_at_or_above(rank);
         if ahead == 0 && self.taken.len() < slots {
             return prefill;
         }
