--- a/crates/decisions/src/configuration.rs
+++ b/crates/decisions/src/configuration.rs
@@ -1,13 +1,14 @@
-//! Acceptance of published values: a version only grows, an invalid value is refused whole.
+//! Acceptance of published values: versions only increase, and an invalid value is refused as a
+//! whole.
 //!
 //! Load pattern: operators edit while the platform is stale, down or answers with an old version.
-//! Without this module an instance that reads an old platform replica would take limits and
-//! weights back to last week's, one bad cell would stop an instance, and a starting instance
-//! would serve by whichever replica happened to answer it first.
+//! Without this module an instance that reads an old platform replica would revert limits and
+//! weights to those of last week, one bad cell would stop an instance, and a starting instance
+//! would serve with the values of whichever replica happened to answer first.
 //!
-//! A value is held with its text as published, so that fields which this build does not know
-//! still reach a newer peer. Peers announce versions with a hash of the text; whoever is behind
-//! asks, whoever is ahead gives (see [`ConfigurationMessage`]).
+//! A value is kept with its text as published, so that fields which are unknown to this build still
+//! reach a newer peer. Peers announce versions with a hash of the text. An instance that is behind
+//! asks for the value, and an instance that is ahead sends it (see [`ConfigurationMessage`]).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -29,10 +30,11 @@
 mod lookup;
 mod spread;
 
-/// How long a starting instance waits for the other of platform and peers once one answered.
+/// How long a starting instance waits for the platform and for peers once one of the two has
+/// answered.
 ///
-/// Two rounds of announcements (one a second): a peer that is up has answered by then, and a
-/// start is not held up longer where an instance is the first of its zone.
+/// This is two rounds of announcements (one per second): a reachable peer has answered by then, and
+/// the start of the first instance of a zone is not delayed further.
 pub const START_WAIT: Duration = Duration::from_secs(2);
 
 /// Name of a published value.
@@ -48,10 +50,10 @@
 }
 
 impl ValueName {
-    /// Every name, in the order in which a start needs them.
+    /// All names, in the order in which a starting instance needs them.
     pub const ALL: [Self; 3] = [Self::Table, Self::Services, Self::Instances];
 
-    /// The name as the platform spells it.
+    /// Name in the form that the platform uses.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Table => "table",
@@ -61,19 +63,19 @@
     }
 }
 
-/// What an offer led to when it was not refused.
+/// Result of an offered value that was not refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Accepted {
-    /// The version is in force from now on.
+    /// The version was put into force.
     Applied(Version),
     /// The version was in force already.
     Unchanged(Version),
 }
 
-/// Why an offered value was refused; what was in force stays in force.
+/// Reason for refusing an offered value; the value in force is kept.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Rejected {
-    /// A platform replica or a peer lags; to be reported, as it may hide an edit.
+    /// A platform replica or a peer lags behind. This is reported because it may hide an edit.
     #[error("version {offered} is older than version {held} in force")]
     Older {
         /// The version that is in force.
@@ -81,35 +83,36 @@
         /// The version that was offered.
         offered: Version,
     },
-    /// Two different values carry one version: an alarm, since instances would differ for ever.
+    /// Two different values have the same version. This raises an alarm, since instances would
+    /// differ forever.
     #[error("version {version} was offered with another content than the one in force")]
     Conflict {
         /// The version of both.
         version: Version,
     },
-    /// The value does not have the shape of its name.
+    /// The value does not deserialize into the type of its name.
     #[error("malformed: {reason}")]
     Malformed {
-        /// What the decoder found, with line and column.
+        /// Message of the decoder, with line and column.
         reason: String,
     },
-    /// The value has the right shape but can't be served by.
+    /// The value deserializes, but contains faults.
     #[error("{} faults, first: {}", .faults.len(), .faults.first().map_or_else(String::new, ToString::to_string))]
     Faulty {
-        /// Every fault at once.
+        /// All faults of the value.
         faults: Vec<Fault>,
     },
-    /// The list names no entry instance, or no upstream although there were some. Somebody runs,
-    /// else nobody could read it, so the list is wrong and the last one stays.
+    /// The list has no entry instance, or no upstream although the one in force has some. At least
+    /// this instance runs, so the list must be wrong and the one in force is kept.
     #[error("the list has lost every {}", if matches!(.role, Role::Entry) { "entry instance" } else { "upstream" })]
     RoleMissing {
-        /// What is missing.
+        /// The role that has no instance left.
         role: Role,
     },
 }
 
 impl Rejected {
-    /// Whether an operator must look: the value can't come into force by waiting.
+    /// Whether an operator has to act, because the value cannot come into force later on its own.
     pub fn is_alarm(&self) -> bool {
         !matches!(self, Self::Older { .. })
     }
@@ -117,41 +120,42 @@
 
 /// A value that is in force.
 #[derive(Debug, Clone)]
-struct Held<T> {
+struct ActiveValue<T> {
     version: Version,
     hash: u64,
     raw: Arc<Value>,
     value: Arc<T>,
 }
 
-/// Who answered a starting instance.
+/// Source that answered a starting instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// The platform answered for this name, be it with a value or with "nothing newer".
+    /// The platform answered for this name, with a value or with "nothing newer".
     Platform(ValueName),
     /// A peer answered with its versions.
     Peer,
 }
 
-/// The three values in force, with their versions.
+/// The three published values in force, with their versions.
 #[derive(Debug, Clone)]
 pub struct Configuration {
     started: Instant,
-    platform: [bool; ValueName::ALL.len()],
-    peer: bool,
+    /// Whether the platform has answered for each name.
+    platform_answered: [bool; ValueName::ALL.len()],
+    peer_answered: bool,
     ready: bool,
-    table: Option<Held<Table>>,
-    services: Option<Held<Services>>,
-    instances: Option<Held<Instances>>,
+    table: Option<ActiveValue<Table>>,
+    services: Option<ActiveValue<Services>>,
+    instances: Option<ActiveValue<Instances>>,
 }
 
 impl Configuration {
-    /// Makes an empty configuration of an instance that starts now.
+    /// Creates an empty configuration of an instance that starts at `now`.
     pub fn new(now: Instant) -> Self {
         Self {
             started: now,
-            platform: [false; ValueName::ALL.len()],
-            peer: false,
+            platform_answered: [false; ValueName::ALL.len()],
+            peer_answered: false,
             ready: false,
             table: None,
             services: None,
@@ -159,10 +163,9 @@
         }
     }
 
-    /// Offers a value that was read from the platform or came from a peer.
+    /// Offers a value from the platform or a peer.
     ///
-    /// # Errors
-    /// The reason of the refusal; what was in force stays.
+    /// # Errors Returns the reason of the refusal; the value in force is kept.
     pub fn offer(
         &mut self,
         name: ValueName,
@@ -190,45 +193,47 @@
             ValueName::Services => self.services = Some(decode(version, hash, value)?),
             ValueName::Instances => {
                 let held = decode(version, hash, value)?;
-                not_all_gone(self.instances.as_ref().map(|h| &*h.value), &held.value)?;
+                check_roles_remain(self.instances.as_ref().map(|h| &*h.value), &held.value)?;
                 self.instances = Some(held);
             }
         }
         Ok(Accepted::Applied(version))
     }
 
-    /// Notes that the platform or a peer answered, for the start.
+    /// Records that the platform or a peer has answered this starting instance.
     pub fn record_answer(&mut self, source: Source) {
         match source {
-            Source::Platform(name) => self.platform[name as usize] = true,
-            Source::Peer => self.peer = true,
+            Source::Platform(name) => self.platform_answered[name as usize] = true,
+            Source::Peer => self.peer_answered = true,
         }
     }
 
-    /// Whether the platform or a peer has answered, for the dump.
+    /// Whether the platform or a peer has answered, for the state dump.
     pub fn has_answered(&self, source: Source) -> bool {
         match source {
-            Source::Platform(name) => self.platform[name as usize],
-            Source::Peer => self.peer,
+            Source::Platform(name) => self.platform_answered[name as usize],
+            Source::Peer => self.peer_answered,
         }
     }
 
-    /// Whether callers may be served. Once true it stays true.
+    /// Whether callers may be served. Once `true`, it stays `true`.
     ///
-    /// A starting instance that read one old platform replica would serve by reverted limits;
-    /// so both platform and peers are asked and the highest version taken. The one that does not
-    /// answer within [`START_WAIT`] is done without.
+    /// A starting instance that relied on one old platform replica would serve with reverted
+    /// limits. Both the platform and peers are therefore asked, and the highest version is used. A
+    /// source that does not answer within [`START_WAIT`] is ignored.
     pub fn is_ready(&mut self, now: Instant) -> bool {
-        let held = self.table.is_some() && self.services.is_some() && self.instances.is_some();
-        let platform = self.platform.iter().all(|answered| *answered);
+        let complete = self.table.is_some() && self.services.is_some() && self.instances.is_some();
+        let platform = self.platform_answered.iter().all(|answered| *answered);
         let waited = now.duration_since(self.started) >= START_WAIT;
-        self.ready |= held && (platform || self.peer) && ((platform && self.peer) || waited);
+        self.ready |= complete
+            && (platform || self.peer_answered)
+            && ((platform && self.peer_answered) || waited);
         self.ready
     }
 
-    /// The version of a name that is in force.
+    /// Version of a value in force.
     pub fn version(&self, name: ValueName) -> Option<ValueVersion> {
-        fn versions<T>(name: ValueName, held: Option<&Held<T>>) -> Option<ValueVersion> {
+        fn versions<T>(name: ValueName, held: Option<&ActiveValue<T>>) -> Option<ValueVersion> {
             held.map(|h| ValueVersion {
                 name,
                 version: h.version,
@@ -242,7 +247,7 @@
         }
     }
 
-    /// The text of a name that is in force, as published.
+    /// Text of a value in force, as published.
     pub fn raw_value(&self, name: ValueName) -> Option<Arc<Value>> {
         match name {
             ValueName::Table => self.table.as_ref().map(|h| Arc::clone(&h.raw)),
@@ -252,12 +257,13 @@
     }
 }
 
-/// Hash of a value's text with sorted fields; it only has to tell two edits apart.
+/// Hash of the text of a value with sorted fields, which distinguishes two edits.
 fn hash_of(value: &Value) -> u64 {
     xxh3_64(value.to_string().as_bytes())
 }
 
-fn decode<T>(version: Version, hash: u64, value: &Value) -> Result<Held<T>, Rejected>
+/// Deserializes a value, checks it for faults and sorts its rows.
+fn decode<T>(version: Version, hash: u64, value: &Value) -> Result<ActiveValue<T>, Rejected>
 where
     T: DeserializeOwned + Check,
 {
@@ -269,7 +275,7 @@
         return Err(Rejected::Faulty { faults });
     }
     decoded.sort();
-    Ok(Held {
+    Ok(ActiveValue {
         version,
         hash,
         raw: Arc::new(value.clone()),
@@ -277,9 +283,10 @@
     })
 }
 
-fn not_all_gone(held: Option<&Instances>, offered: &Instances) -> Result<(), Rejected> {
+/// Refuses a list in which a role has lost all of its instances.
+fn check_roles_remain(in_force: Option<&Instances>, offered: &Instances) -> Result<(), Rejected> {
     let has = |list: &Instances, role| list.instances.iter().any(|i| i.role == role);
-    let lost = |role| held.is_some_and(|held| has(held, role)) && !has(offered, role);
+    let lost = |role| in_force.is_some_and(|list| has(list, role)) && !has(offered, role);
     [Role::Entry, Role::Upstream]
         .into_iter()
         .find(|role| lost(*role))
--- a/crates/decisions/src/configuration/faults.rs
+++ b/crates/decisions/src/configuration/faults.rs
@@ -1,4 +1,5 @@
-//! Faults of a published value, all found in one pass, so that an operator mends them at once.
+//! Faults of published values. All of them are found in one pass, so that an operator can correct
+//! them together.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -6,16 +7,16 @@
 use crate::id::Rank;
 use crate::values::{Instance, Instances, Organisation, Role, Services, Table};
 
-/// The row that holds a fault, counted from 1 as a spreadsheet does.
+/// Row with a fault, counted from 1 as in a spreadsheet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Row {
-    /// The value as a whole.
+    /// The value as a whole, not a single row.
     EntireValue,
     /// A row of the tiers.
     Tier(usize),
     /// A row of the organisations.
     Organisation(usize),
-    /// A row of the emptied zones.
+    /// A row of the drained zones.
     EmptiedZone(usize),
     /// A row of the services.
     Service(usize),
@@ -36,16 +37,16 @@
     }
 }
 
-/// One reason why a value can't be served by.
+/// One reason why a value cannot come into force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// Where it stands.
+    /// Row with the fault.
     pub row: Row,
     /// Name of the column.
     pub column: &'static str,
-    /// What is wrong.
+    /// Description of the fault.
     pub reason: String,
-    /// What would be right.
+    /// Description of a correct value.
     pub expected: String,
 }
 
@@ -61,39 +62,40 @@
     }
 }
 
-/// A published value that can name its own faults.
+/// A published value that can be checked for faults.
 pub trait Check {
-    /// Every fault; none means that the value may come into force.
+    /// Returns all faults; without any, the value may come into force.
     fn faults(&self) -> Vec<Fault>;
-    /// Orders the rows for binary search, after the faults were looked for.
+    /// Sorts the rows for binary search. To be called after [`Check::faults`], whose row numbers
+    /// depend on the published order.
     fn sort(&mut self);
 }
 
-/// Every fault of a table, for `kingcup table check`.
+/// Returns all faults of a table, for `kingcup table check`.
 pub fn faults(table: &Table) -> Vec<Fault> {
     table.faults()
 }
 
-/// Regions and zones that a table names and no published instance stands in: nothing could be served there,
-/// and nothing is emptied.
+/// Returns a fault for each region and zone in a table that has no published instance: no request
+/// could be served in such a region, and such a zone has nothing to drain.
 pub fn unknown_locations(table: &Table, instances: &Instances) -> Vec<Fault> {
     let mut f = Faults::default();
     let all = || instances.instances.iter();
-    let regions = names(all().map(|i| &*i.region));
-    let zones = names(all().map(|i| &*i.availability_zone));
+    let regions = sorted_distinct(all().map(|i| &*i.region));
+    let zones = sorted_distinct(all().map(|i| &*i.availability_zone));
     for (row, organisation) in rows(&table.organisations, Row::Organisation) {
         for region in &organisation.allowed_regions {
-            f.known(row, "allowed_regions", region, &regions);
+            f.check_location(row, "allowed_regions", region, &regions);
         }
     }
     for (row, zone) in rows(&table.emptied_zones, Row::EmptiedZone) {
-        f.known(row, "emptied_zone", zone, &zones);
+        f.check_location(row, "emptied_zone", zone, &zones);
     }
     f.0
 }
 
-/// Names, sorted and each once.
-fn names<'a, I>(names: I) -> Vec<&'a str>
+/// Sorts names and removes duplicates.
+fn sorted_distinct<'a, I>(names: I) -> Vec<&'a str>
 where
     I: Iterator<Item = &'a str>,
 {
@@ -103,7 +105,7 @@
     names
 }
 
-/// Collects faults row by row.
+/// Collector of faults.
 #[derive(Debug, Default)]
 struct Faults(Vec<Fault>);
 
@@ -121,7 +123,7 @@
         });
     }
 
-    fn name(&mut self, row: Row, column: &'static str, name: &str) {
+    fn check_name(&mut self, row: Row, column: &'static str, name: &str) {
         if name.is_empty() {
             self.push(row, column, "is empty", "a name");
         } else if name.trim() != name || name.chars().any(char::is_control) {
@@ -130,20 +132,20 @@
         }
     }
 
-    fn known(&mut self, row: Row, column: &'static str, name: &str, known: &[&str]) {
+    fn check_location(&mut self, row: Row, column: &'static str, name: &str, known: &[&str]) {
         if known.binary_search(&name).is_err() {
             let reason = format!("no instance stands in {name:?}");
             self.push(row, column, reason, format!("one of {}", known.join(", ")));
         }
     }
 
-    fn weight(&mut self, row: Row, weight: u32) {
+    fn check_weight(&mut self, row: Row, weight: u32) {
         if weight == 0 {
             self.push(row, "weight", "0 would never be served", "1 or more");
         }
     }
 
-    fn twice<K, I>(&mut self, keys: I, column: &'static str)
+    fn check_duplicates<K, I>(&mut self, keys: I, column: &'static str)
     where
         K: Ord + fmt::Display,
         I: Iterator<Item = (K, Row)>,
@@ -158,7 +160,7 @@
         }
     }
 
-    fn limit(&mut self, row: Row, column: &'static str, limit: Option<f64>) {
+    fn check_limit(&mut self, row: Row, column: &'static str, limit: Option<f64>) {
         if limit.is_some_and(|l| !l.is_finite() || l <= 0.0) {
             let reason = format!("{} is no limit", limit.unwrap_or_default());
             self.push(
@@ -170,7 +172,7 @@
         }
     }
 
-    fn address(&mut self, row: Row, column: &'static str, address: &str) {
+    fn check_address(&mut self, row: Row, column: &'static str, address: &str) {
         if address.parse::<SocketAddr>().is_err() {
             let reason = format!("{address:?} is no address");
             self.push(row, column, reason, "IP:port without a scheme");
@@ -198,14 +200,14 @@
             );
         }
         for (row, tier) in rows(&self.tiers, Row::Tier) {
-            f.name(row, "tier", &tier.tier);
-            f.weight(row, tier.weight);
+            f.check_name(row, "tier", &tier.tier);
+            f.check_weight(row, tier.weight);
         }
-        f.twice(
+        f.check_duplicates(
             rows(&self.tiers, Row::Tier).map(|(r, t)| (&t.tier, r)),
             "tier",
         );
-        f.twice(
+        f.check_duplicates(
             rows(&self.tiers, Row::Tier).map(|(r, t)| (t.rank, r)),
             "rank",
         );
@@ -218,10 +220,10 @@
             );
         }
         for (row, organisation) in rows(&self.organisations, Row::Organisation) {
-            self.organisation_faults(&mut f, row, organisation);
+            self.check_organisation(&mut f, row, organisation);
         }
         let organisations = || rows(&self.organisations, Row::Organisation);
-        f.twice(
+        f.check_duplicates(
             organisations().map(|(r, o)| (&o.organisation, r)),
             "organisation",
         );
@@ -230,12 +232,12 @@
                 .iter()
                 .map(move |k| (k.to_ascii_lowercase(), r))
         });
-        f.twice(keys, "key_sha256");
+        f.check_duplicates(keys, "key_sha256");
         let zones = || rows(&self.emptied_zones, Row::EmptiedZone);
         for (row, zone) in zones() {
-            f.name(row, "emptied_zone", zone);
+            f.check_name(row, "emptied_zone", zone);
         }
-        f.twice(zones().map(|(r, z)| (z, r)), "emptied_zone");
+        f.check_duplicates(zones().map(|(r, z)| (z, r)), "emptied_zone");
         f.0.sort_by_key(|fault| fault.row);
         f.0
     }
@@ -254,9 +256,9 @@
 }
 
 impl Table {
-    fn organisation_faults(&self, f: &mut Faults, row: Row, organisation: &Organisation) {
-        f.name(row, "organisation", &organisation.organisation);
-        f.weight(row, organisation.weight);
+    fn check_organisation(&self, f: &mut Faults, row: Row, organisation: &Organisation) {
+        f.check_name(row, "organisation", &organisation.organisation);
+        f.check_weight(row, organisation.weight);
         if !self.tiers.iter().any(|t| t.tier == organisation.max_tier) {
             let tiers = self.tiers.iter().map(|t| &*t.tier).collect::<Vec<_>>();
             let reason = format!("{:?} is no tier", organisation.max_tier);
@@ -269,16 +271,16 @@
         }
         for key in &organisation.key_sha256 {
             if key.len() != 64 || !key.bytes().all(|b| b.is_ascii_hexdigit()) {
-                // The cell may hold the key itself by mistake, so it is not repeated here.
+                // The cell may contain the key itself by mistake, so the message omits its content.
                 let reason = format!("a cell of {} characters is no hash", key.len());
                 f.push(row, "key_sha256", reason, "64 hexadecimal digits");
             }
         }
         for region in &organisation.allowed_regions {
-            f.name(row, "allowed_regions", region);
+            f.check_name(row, "allowed_regions", region);
         }
-        f.limit(row, "requests_per_s", organisation.requests_per_s);
-        f.limit(row, "tokens_per_s", organisation.tokens_per_s);
+        f.check_limit(row, "requests_per_s", organisation.requests_per_s);
+        f.check_limit(row, "tokens_per_s", organisation.tokens_per_s);
         if organisation.max_running == Some(0) {
             f.push(
                 row,
@@ -295,7 +297,7 @@
         let mut f = Faults::default();
         let services = || rows(&self.services, Row::Service);
         for (row, service) in services() {
-            f.name(row, "service", &service.service);
+            f.check_name(row, "service", &service.service);
             for call in &service.non_idempotent {
                 let mut parts = call.split(' ');
                 let method = parts.next().unwrap_or_default();
@@ -312,7 +314,7 @@
                 }
             }
         }
-        f.twice(services().map(|(r, s)| (&s.service, r)), "service");
+        f.check_duplicates(services().map(|(r, s)| (&s.service, r)), "service");
         f.0.sort_by_key(|fault| fault.row);
         f.0
     }
@@ -327,9 +329,9 @@
         let mut f = Faults::default();
         let instances = || rows(&self.instances, Row::Instance);
         for (row, instance) in instances() {
-            instance_faults(&mut f, row, instance);
+            check_instance(&mut f, row, instance);
         }
-        f.twice(instances().map(|(r, i)| (&i.instance, r)), "instance");
+        f.check_duplicates(instances().map(|(r, i)| (&i.instance, r)), "instance");
         f.0.sort_by_key(|fault| fault.row);
         f.0
     }
@@ -339,13 +341,13 @@
     }
 }
 
-fn instance_faults(f: &mut Faults, row: Row, instance: &Instance) {
-    f.name(row, "instance", &instance.instance);
-    f.name(row, "availability_zone", &instance.availability_zone);
-    f.name(row, "region", &instance.region);
-    f.address(row, "address", &instance.address);
+fn check_instance(f: &mut Faults, row: Row, instance: &Instance) {
+    f.check_name(row, "instance", &instance.instance);
+    f.check_name(row, "availability_zone", &instance.availability_zone);
+    f.check_name(row, "region", &instance.region);
+    f.check_address(row, "address", &instance.address);
     match (instance.role, &instance.rpc_address, &instance.service) {
-        (Role::Entry, Some(address), _) => f.address(row, "rpc_address", address),
+        (Role::Entry, Some(address), _) => f.check_address(row, "rpc_address", address),
         (Role::Entry, None, _) => {
             f.push(
                 row,
@@ -354,7 +356,7 @@
                 "IP:port for its peers",
             );
         }
-        (Role::Upstream, _, Some(service)) => f.name(row, "service", service),
+        (Role::Upstream, _, Some(service)) => f.check_name(row, "service", service),
         (Role::Upstream, _, None) => {
             f.push(
                 row,
--- a/crates/decisions/src/configuration/lookup.rs
+++ b/crates/decisions/src/configuration/lookup.rs
@@ -1,4 +1,4 @@
-//! Lookups in the values that are in force, by binary search.
+//! Lookups in the values in force, by binary search.
 
 use std::sync::Arc;
 
@@ -8,25 +8,25 @@
 use super::Configuration;
 
 impl Configuration {
-    /// The table in force.
+    /// Table in force.
     pub fn table(&self) -> Option<Arc<Table>> {
         self.table.as_ref().map(|h| Arc::clone(&h.value))
     }
 
-    /// The services in force.
+    /// Services in force.
     pub fn services(&self) -> Option<Arc<Services>> {
         self.services.as_ref().map(|h| Arc::clone(&h.value))
     }
 
-    /// The list of instances in force.
+    /// List of instances in force.
     pub fn instances(&self) -> Option<Arc<Instances>> {
         self.instances.as_ref().map(|h| Arc::clone(&h.value))
     }
 }
 
-/// Lookups below hold for values taken from a [`Configuration`], whose rows are sorted.
+/// These lookups require sorted rows, as in values taken from a [`Configuration`].
 impl Table {
-    /// The organisation of this name.
+    /// Organisation with this name.
     pub fn organisation(&self, name: &str) -> Option<&Organisation> {
         self.organisations
             .binary_search_by(|o| (*o.organisation).cmp(name))
@@ -34,8 +34,8 @@
             .map(|i| &self.organisations[i])
     }
 
-    /// Every organisation with its key hashes (lowercase hexadecimal), for the adapter that
-    /// compares a caller's hash in constant time.
+    /// Key hashes of all organisations in lowercase hexadecimal, for the adapter that compares the
+    /// hash of a caller's key in constant time.
     pub fn key_hashes(&self) -> Vec<KeyHash<'_>> {
         let mut hashes = self
             .organisations
@@ -51,33 +51,33 @@
         hashes
     }
 
-    /// The tier of this name.
+    /// Tier with this name.
     pub fn tier(&self, name: &str) -> Option<&Tier> {
         self.tiers.iter().find(|t| &*t.tier == name)
     }
 
-    /// The rank of the tier of this name.
+    /// Rank of the tier with this name.
     pub fn rank(&self, name: &str) -> Option<Rank> {
         self.tier(name).map(|t| t.rank)
     }
 
-    /// The lowest tier, which a caller gets that asks for none.
+    /// Lowest tier, which applies to requests that name none.
     pub fn lowest_tier(&self) -> Option<&Tier> {
         self.tiers.last()
     }
 }
 
-/// A key hash of an organisation.
+/// Key hash of an organisation.
 #[derive(Debug, Clone, Copy)]
 pub struct KeyHash<'a> {
     /// SHA-256 of the key, in lowercase hexadecimal.
     pub sha256: &'a str,
-    /// The organisation that holds the key.
+    /// Organisation that the key belongs to.
     pub organisation: &'a Organisation,
 }
 
 impl Services {
-    /// The service of this name.
+    /// Service with this name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services
             .binary_search_by(|s| (*s.service).cmp(name))
@@ -87,10 +87,10 @@
 }
 
 impl Service {
-    /// Whether a call with this method and path must not be repeated.
+    /// Whether a call with this method and path must not be retried.
     ///
     /// A published path covers the paths below it: `POST /bookings` covers `POST /bookings/7`.
-    /// A trailing slash or a query does not make a call repeatable.
+    /// A trailing slash or a query does not make a call idempotent.
     pub fn is_non_idempotent(&self, method: &str, path: &str) -> bool {
         let path = path.split(['?', '#']).next().unwrap_or_default();
         self.non_idempotent.iter().any(|call| {
@@ -103,7 +103,7 @@
 }
 
 impl Instances {
-    /// The instance of this name.
+    /// Instance with this name.
     pub fn instance(&self, name: &str) -> Option<&Instance> {
         self.instances
             .binary_search_by(|i| (*i.instance).cmp(name))
--- a/crates/decisions/src/configuration/spread.rs
+++ b/crates/decisions/src/configuration/spread.rs
@@ -1,8 +1,9 @@
-//! Passing versions on between peers, so that a zone without the platform still follows.
+//! Exchange of published values between peers, so that a zone without access to the platform still
+//! receives them.
 //!
-//! An instance announces after each acceptance to its neighbours and once a second to one of
-//! them. With neighbours at ring distances 1, 2, 4 and so on a version reaches all of N instances
-//! in about log2 N hops. The value itself goes only to who lacks it.
+//! An instance announces its versions to its neighbours after each acceptance, and to one of them
+//! once per second. With neighbours at ring distances 1, 2, 4 and so on, a version reaches all of N
+//! instances in about log2 N hops. The value itself is sent only to instances that lack it.
 
 use std::sync::Arc;
 
@@ -13,15 +14,15 @@
 
 use super::{Accepted, Configuration, Rejected, Source, ValueName};
 
-/// A version in force, with a hash by which two contents under one version are noticed.
+/// Version of a value in force, with a hash that reveals different contents under the same version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ValueVersion {
     /// Name of the value.
     pub name: ValueName,
-    /// Its version.
+    /// Version of the value.
     pub version: Version,
-    /// Hash of its text.
+    /// Hash of the text of the value.
     pub hash: u64,
 }
 
@@ -29,45 +30,45 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum ConfigurationMessage {
-    /// The sender's versions; the receiver answers with what the sender lacks.
+    /// Versions of the sender; the receiver answers with the values that the sender lacks.
     Announce {
-        /// One for each value that the sender holds.
+        /// One for each value that the sender has in force.
         versions: Vec<ValueVersion>,
-        /// Whether the sender serves callers; one that only starts may itself have read an old
-        /// platform replica, so its answer does not end another's start.
+        /// Whether the sender serves callers. A starting sender may have read an old platform
+        /// replica, so its answer does not complete the start of the receiver.
         ready: bool,
-        /// Whether the receiver should announce back even if it holds nothing newer.
+        /// Whether the receiver should answer with an announcement even if it has nothing newer.
         answer: bool,
     },
-    /// The sender lacks these.
+    /// Asks for values that the sender lacks.
     Ask {
-        /// Names to give.
+        /// Names of the values.
         names: Vec<ValueName>,
     },
-    /// A value with its version.
+    /// Sends a value with its version.
     Give {
         /// Name of the value.
         name: ValueName,
-        /// Its version.
+        /// Version of the value.
         version: Version,
-        /// Its text as published.
+        /// Text of the value, as published.
         value: Arc<Value>,
     },
 }
 
-/// What a message of a peer led to.
+/// Result of a message from a peer.
 #[derive(Debug, Default, PartialEq)]
 pub struct Reply {
-    /// Messages back to the same peer.
+    /// Messages to send back to the same peer.
     pub send: Vec<ConfigurationMessage>,
-    /// The name that came into force; announce to the neighbours now.
+    /// Name of a value that came into force; the caller announces it to the neighbours.
     pub in_force: Option<ValueName>,
-    /// A refusal to log, and to alarm on if [`Rejected::is_alarm`].
+    /// A refusal to log, with an alarm if [`Rejected::is_alarm`].
     pub rejected: Option<Rejected>,
 }
 
 impl Configuration {
-    /// The versions in force, for an announcement.
+    /// Versions of all values in force.
     pub fn versions(&self) -> Vec<ValueVersion> {
         ValueName::ALL
             .into_iter()
@@ -75,7 +76,7 @@
             .collect()
     }
 
-    /// The announcement to a neighbour; a starting instance wants an answer.
+    /// Announcement to a neighbour; a starting instance asks for an answer.
     pub fn announcement(&self) -> ConfigurationMessage {
         ConfigurationMessage::Announce {
             versions: self.versions(),
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Takes a message of a peer.
+    /// Handles a message from a peer.
     pub fn on_message(&mut self, message: &ConfigurationMessage) -> Reply {
         match message {
             ConfigurationMessage::Announce {
@@ -99,7 +100,7 @@
                         .iter()
                         .any(|m| matches!(m, ConfigurationMessage::Ask { .. }))
                 {
-                    // Level with the peer or ahead of it: what it knew has arrived.
+                    // This instance now has all that the peer has announced.
                     self.record_answer(Source::Peer);
                 }
                 if *answer {
@@ -115,7 +116,7 @@
                 send: ValueName::ALL
                     .into_iter()
                     .filter(|name| names.contains(name))
-                    .filter_map(|name| self.give(name))
+                    .filter_map(|name| self.value_message(name))
                     .collect(),
                 ..Reply::default()
             },
@@ -137,19 +138,19 @@
         }
     }
 
-    fn on_announce(&self, theirs: &[ValueVersion]) -> Reply {
+    fn on_announce(&self, announced: &[ValueVersion]) -> Reply {
         let mut reply = Reply::default();
         let mut names = Vec::new();
         for name in ValueName::ALL {
             let held = self.version(name);
-            let offered = theirs.iter().find(|v| v.name == name);
+            let offered = announced.iter().find(|v| v.name == name);
             match (held, offered) {
                 (Some(h), Some(o)) if h.version == o.version && h.hash != o.hash => {
                     reply.rejected = Some(Rejected::Conflict { version: h.version });
                 }
                 (held, Some(o)) if held.is_none_or(|h| h.version < o.version) => names.push(name),
                 (Some(h), offered) if offered.is_none_or(|o| o.version < h.version) => {
-                    reply.send.extend(self.give(name));
+                    reply.send.extend(self.value_message(name));
                 }
                 _ => {}
             }
@@ -160,7 +161,7 @@
         reply
     }
 
-    fn give(&self, name: ValueName) -> Option<ConfigurationMessage> {
+    fn value_message(&self, name: ValueName) -> Option<ConfigurationMessage> {
         Some(ConfigurationMessage::Give {
             name,
             version: self.version(name)?.version,
