--- a/crates/decisions/src/store_view.rs
+++ b/crates/decisions/src/store_view.rs
@@ -1,55 +1,56 @@
-//! Published entries as one instance knows them, merged from the store and from peers.
+//! View of the published store entries at one instance, merged from the store and from peers.
 //!
 //! Load pattern: a store that refuses some instances while it serves others, drops its history or
-//! answers late. Without a merge by revision an instance that hears from a peer and later from a
-//! slow answer of the store would go back to an older configuration, or give work to a replica
-//! that has left.
+//! answers late. Without a merge by revision, an instance that receives an update from a peer and
+//! then a slow answer from the store would return to an older configuration, or send requests to a
+//! replica that has left.
 
-/// Revision of the store; it grows with each change.
+/// Revision of the store; increases with each change.
 pub type Revision = u64;
 
-/// One key and its last change.
+/// A key of the store with its last change.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Entry {
-    /// Name of the entry.
+    /// Key of the entry.
     pub key: String,
     /// Revision of its last change.
     pub revision: Revision,
-    /// What it holds; `None` once it was removed.
+    /// Value of the entry; `None` if it was removed.
     pub value: Option<Vec<u8>>,
 }
 
-/// All entries, sorted by key, and the revision up to which they are complete.
+/// All known entries, and the revision up to which they are complete.
 #[derive(Debug, Clone, Default)]
 pub struct StoreView {
     upto: Revision,
+    /// Sorted by key.
     entries: Vec<Entry>,
 }
 
 impl StoreView {
-    /// Knows nothing.
+    /// Creates an empty view.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Revision up to which nothing is missing; 0 before the first list.
+    /// Revision up to which the view is complete; 0 before the first list.
     pub fn complete_up_to(&self) -> Revision {
         self.upto
     }
 
-    /// All entries, also the removed ones, sorted by key.
+    /// All entries, including removed ones, sorted by key.
     pub fn entries(&self) -> &[Entry] {
         &self.entries
     }
 
-    /// Takes a whole list that is complete up to `upto`; returns the keys that changed.
+    /// Applies a list that is complete up to revision `upto`; returns the keys that changed.
     ///
-    /// What the list lacks was removed by then, unless it is known to have changed later.
+    /// An entry that is not in the list was removed by then, unless a later change of it is known.
     pub fn apply_list(&mut self, upto: Revision, list: Vec<Entry>) -> Vec<String> {
         let mut changed = Vec::new();
         for entry in &mut self.entries {
-            let listed = list.iter().any(|e| e.key == entry.key);
-            if !listed && entry.value.is_some() && entry.revision <= upto {
+            let is_listed = list.iter().any(|e| e.key == entry.key);
+            if !is_listed && entry.value.is_some() && entry.revision <= upto {
                 entry.value = None;
                 entry.revision = upto;
                 changed.push(entry.key.clone());
@@ -59,7 +60,8 @@
         changed
     }
 
-    /// Takes changes that follow what is known, up to `upto`; returns the keys that changed.
+    /// Applies changes that follow the view and are complete up to revision `upto`; returns the
+    /// keys that changed.
     pub fn apply_changes(&mut self, upto: Revision, entries: Vec<Entry>) -> Vec<String> {
         let mut changed = Vec::new();
         for entry in entries {
@@ -71,15 +73,17 @@
         changed
     }
 
+    /// Applies a change unless a change of the same or a later revision is known. Returns whether
+    /// it was applied.
     fn apply(&mut self, change: Entry) -> bool {
         match self.entries.binary_search_by(|e| e.key.cmp(&change.key)) {
-            Ok(at) if self.entries[at].revision >= change.revision => false,
-            Ok(at) => {
-                self.entries[at] = change;
+            Ok(i) if self.entries[i].revision >= change.revision => false,
+            Ok(i) => {
+                self.entries[i] = change;
                 true
             }
-            Err(at) => {
-                self.entries.insert(at, change);
+            Err(i) => {
+                self.entries.insert(i, change);
                 true
             }
         }
--- a/crates/decisions/src/values.rs
+++ b/crates/decisions/src/values.rs
@@ -1,41 +1,41 @@
-//! The three values that the platform publishes: the table, the services and the instances.
+//! The values that the platform publishes: the table, the services and the instances.
 //!
-//! Unknown fields are ignored, so that a newer platform does not stop an older instance.
+//! Unknown fields are ignored, so that an older instance can read the values of a newer platform.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::{InstanceId, OrganisationId, Rank, RegionId, ServiceId, TierId, ZoneId};
 
-/// One tier of importance.
+/// Priority tier of requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tier {
     /// Name that callers send in `Kingcup-Tier`.
     pub tier: TierId,
-    /// Position; 0 is the highest.
+    /// Rank; 0 is the highest tier.
     pub rank: Rank,
     /// Weight of the tier's goodput when the tiers are summed.
     pub weight: u32,
 }
 
-/// One organisation with its share and its limits; a missing limit means none.
+/// One organisation with its weight and limits; a missing limit means unlimited.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Organisation {
     /// Name of the organisation.
     pub organisation: OrganisationId,
     /// Share of capacity inside a tier, relative to the other organisations.
     pub weight: u32,
-    /// Highest tier that it may use.
+    /// Highest tier that its requests may use.
     pub max_tier: TierId,
-    /// SHA-256 of each of its keys, in hexadecimal.
+    /// SHA-256 hash of each of its API keys, in hexadecimal.
     #[serde(default)]
     pub key_sha256: Vec<String>,
-    /// Requests a second over the whole fleet.
+    /// Limit of requests per second over the whole fleet.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub requests_per_s: Option<f64>,
-    /// Tokens a second over the whole fleet.
+    /// Limit of tokens per second over the whole fleet.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tokens_per_s: Option<f64>,
-    /// Requests dispatched and unfinished over the whole fleet.
+    /// Limit of dispatched and unfinished requests over the whole fleet.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_running: Option<u32>,
     /// Regions in which its requests may be served; empty means all.
@@ -43,14 +43,14 @@
     pub allowed_regions: Vec<RegionId>,
 }
 
-/// The operators' table of weights and limits.
+/// Table of tiers, weights and limits that operators edit.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Table {
     /// The tiers.
     pub tiers: Vec<Tier>,
     /// The organisations.
     pub organisations: Vec<Organisation>,
-    /// Zones whose replicas get nothing new.
+    /// Drained zones, whose replicas get no new requests.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub emptied_zones: Vec<ZoneId>,
 }
@@ -59,38 +59,38 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ServiceKind {
-    /// Completions, streamed.
+    /// Model engine that streams completions.
     Model,
-    /// Any HTTP call.
+    /// Plain service for any HTTP call.
     Plain,
 }
 
 /// Description of one service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Name; for a model it is the `model` of a completion.
+    /// Name of the service; for a model, the `model` field of a completion request.
     pub service: ServiceId,
-    /// Kind of the service.
+    /// Whether it is a model or a plain service.
     pub kind: ServiceKind,
-    /// Calls that must not be repeated, each as `METHOD /path`.
+    /// Calls that must not be retried, each as `METHOD /path`.
     #[serde(default)]
     pub non_idempotent: Vec<String>,
-    /// Hardware generation when all replicas share one.
+    /// Hardware generation, if all replicas have the same one.
     #[serde(default)]
     pub generation: Option<String>,
-    /// Whether its engines refuse an order with an old fencing number.
+    /// Whether the engines of the service refuse calls with an old fencing number.
     #[serde(default)]
     pub checks_fencing: bool,
 }
 
-/// The published services.
+/// The published list of services.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Services {
     /// The services.
     pub services: Vec<Service>,
 }
 
-/// What an instance of the list is.
+/// Role of an instance in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
@@ -100,28 +100,28 @@
     Upstream,
 }
 
-/// Whether an instance takes new work.
+/// Whether an instance accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It takes new work.
+    /// The instance accepts new requests.
     Live,
-    /// It finishes what it has and takes nothing new.
+    /// The instance completes its requests and accepts no new ones.
     Leaving,
 }
 
 /// One entry instance or upstream replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instance {
-    /// Name.
+    /// Name of the instance or replica.
     pub instance: InstanceId,
-    /// Entry instance or upstream.
+    /// Role of the instance.
     pub role: Role,
     /// Availability zone.
     pub availability_zone: ZoneId,
     /// Region.
     pub region: RegionId,
-    /// `IP:port` for callers (entry) or for dispatched work (upstream).
+    /// `IP:port` for callers (entry instance) or for dispatched requests (upstream).
     pub address: String,
     /// `IP:port` for peers; entry instances only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -132,11 +132,11 @@
     /// Hardware generation; upstreams only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub generation: Option<String>,
-    /// Live or leaving.
+    /// Whether it accepts new requests.
     pub state: State,
 }
 
-/// The published, lagging list of instances.
+/// The published list of instances, which may lag behind the actual state.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Instances {
     /// The instances.
