--- a/crates/decisions/tests/credit.rs
+++ b/crates/decisions/tests/credit.rs
@@ -1,4 +1,4 @@
-//! Limits of organisations over a fleet whose instances mint credit and collect it from each other.
+//! Limits of organisations in a fleet whose instances accrue credit and collect it from each other.
 
 use std::time::Duration;
 
@@ -17,42 +17,44 @@
 
 use given::{ORGANISATION, SMALL, SPAN, TOLERANCE};
 
+/// Cost of a common request in units.
 const COST: f64 = 4_000.0;
 /// How long a request may wait for credit.
-const PATIENCE: Duration = Duration::from_millis(250);
+const MAX_WAIT: Duration = Duration::from_millis(250);
+/// Time step of the simulations.
 const STEP: Duration = Duration::from_millis(20);
 
-/// A fleet of one zone; `heard` are those whose messages come.
-fn roster(now: Instant, size: u32, heard: &[Member]) -> FleetView {
+/// A fleet of one zone with `size` instances, of which `reachable` are reachable.
+fn fleet_view(now: Instant, size: u32, reachable: &[Member]) -> FleetView {
     FleetView {
         zones: vec![Zone {
             name: 1,
             distance: Distance::SameZone,
             size,
-            members: heard.to_vec(),
+            members: reachable.to_vec(),
         }],
         accrues_since: Some(now),
     }
 }
 
-/// An instance that is alone and mints since `now`.
-fn alone(now: Instant) -> Ledger {
+/// Ledger of the only instance of a fleet, which accrues credit since `now`.
+fn single_instance(now: Instant) -> Ledger {
     let mut ledger = Ledger::new(1, 1);
     ledger.set_bounds(SPAN, TOLERANCE);
-    ledger.set_fleet(now, &roster(now, 1, &[]));
+    ledger.set_fleet(now, &fleet_view(now, 1, &[]));
     ledger
 }
 
-/// A request of the usual cost and a class.
-fn ask(class: u32) -> Charge {
+/// Charge of a request of common cost with a priority class.
+fn charge(priority_class: u32) -> Charge {
     Charge {
         cost: COST,
-        priority_class: class,
-        max_wait: PATIENCE,
+        priority_class,
+        max_wait: MAX_WAIT,
     }
 }
 
-/// What an instance that is alone decides in the end.
+/// Requests credit from a ledger that decides alone, and waits for the verdict.
 fn decide(ledger: &mut Ledger, now: Instant, charge: Charge) -> Verdict {
     ledger.request(now, ORGANISATION, SMALL, charge);
     let mut later = now;
@@ -68,17 +70,17 @@
     matches!(verdict, Verdict::Granted { .. })
 }
 
-/// What is granted of the verdicts that have come.
+/// Total cost of the granted requests among the pending verdicts.
 fn granted_cost(ledger: &mut Ledger) -> f64 {
     let verdicts = ledger.take_verdicts();
     COST * verdicts.iter().filter(|v| granted(v.1)).count() as f64
 }
 
-/// What is granted at once until the first request that is not.
-fn spend_all(ledger: &mut Ledger, now: Instant) -> f64 {
+/// Requests credit until the first request that is not granted at once; returns the granted cost.
+fn spend_available(ledger: &mut Ledger, now: Instant) -> f64 {
     let mut spent = 0.0;
     loop {
-        ledger.request(now, ORGANISATION, SMALL, ask(0));
+        ledger.request(now, ORGANISATION, SMALL, charge(0));
         let cost = granted_cost(ledger);
         if cost <= 0.0 {
             return spent;
@@ -89,55 +91,60 @@
 
 struct Case {
     instances: u32,
-    /// Requests of the organisation a second at each instance.
+    /// Requests of the organisation per second at each instance.
     rate: u32,
-    /// Time that a message takes.
-    way: Duration,
-    /// Whether the instances hear each other.
-    cut: bool,
+    /// Propagation delay of a message.
+    delay: Duration,
+    /// Whether the instances are partitioned from each other.
+    partitioned: bool,
 }
 
+/// Simulates a fleet for 24 s; returns when each request was granted, and its cost.
 fn admitted(case: &Case) -> Vec<(Instant, f64)> {
     let start = Instant::now();
     let all: Vec<Member> = (0..case.instances).collect();
     let mut fleet: Vec<Ledger> = all.iter().map(|m| Ledger::new(*m, 1)).collect();
-    let mut on_the_way: Vec<(Instant, Member, Member, Message)> = Vec::new();
+    let mut in_transit: Vec<(Instant, Member, Member, Message)> = Vec::new();
     let each = Duration::from_secs(1) / case.rate;
     let mut admitted = Vec::new();
     for step in 0..1200 {
         let now = start + STEP * step;
         let due = (STEP * step).as_millis() / each.as_millis();
         let before = (STEP * step.saturating_sub(1)).as_millis() / each.as_millis();
-        while let Some(first) = on_the_way.iter().position(|(at, ..)| *at <= now) {
-            let (_, from, to, message) = on_the_way.remove(first);
+        while let Some(first) = in_transit.iter().position(|(at, ..)| *at <= now) {
+            let (_, from, to, message) = in_transit.remove(first);
             fleet[to as usize].on_message(now, from, message, Some(SMALL));
         }
         for (own, ledger) in all.iter().zip(&mut fleet) {
-            let heard: Vec<Member> = all.iter().copied().filter(|m| m != own).collect();
-            let heard = if case.cut { &[] } else { &heard[..] };
+            let reachable: Vec<Member> = all.iter().copied().filter(|m| m != own).collect();
+            let reachable = if case.partitioned {
+                &[]
+            } else {
+                &reachable[..]
+            };
             ledger.set_bounds(SPAN, TOLERANCE);
-            ledger.set_fleet(now, &roster(start, case.instances, heard));
+            ledger.set_fleet(now, &fleet_view(start, case.instances, reachable));
             if due != before {
-                ledger.request(now, ORGANISATION, SMALL, ask(0));
+                ledger.request(now, ORGANISATION, SMALL, charge(0));
             }
             ledger.on_tick(now);
             let granted = ledger.take_verdicts().into_iter().filter(|v| granted(v.1));
             admitted.extend(granted.map(|_| (now, COST)));
             let sent = ledger.take_messages().into_iter();
-            on_the_way.extend(sent.map(|(to, message)| (now + case.way, *own, to, message)));
+            in_transit.extend(sent.map(|(to, message)| (now + case.delay, *own, to, message)));
         }
     }
     admitted
 }
 
-/// One organisation sends many times its limit through all instances at once. What runs in any
-/// eight seconds stays within a quarter of the limit; if each instance counted for itself the
-/// organisation would get its limit seven times and the others' drafts would be late.
+/// One organisation sends many times its limit through all instances at once. In any eight seconds
+/// its admitted cost must not exceed the limit by more than a quarter. If each instance counted
+/// alone, the organisation would get its limit seven times and the drafts of others would be late.
 #[parameterized(
-    heard_at_once = { Case { instances: 7, rate: 10, way: Duration::ZERO, cut: false } },
-    heard_late = { Case { instances: 7, rate: 10, way: Duration::from_millis(40), cut: false } },
-    each_cut_off = { Case { instances: 7, rate: 10, way: Duration::ZERO, cut: true } },
-    many_instances = { Case { instances: 40, rate: 2, way: Duration::from_millis(20), cut: false } },
+    no_delay = { Case { instances: 7, rate: 10, delay: Duration::ZERO, partitioned: false } },
+    delayed = { Case { instances: 7, rate: 10, delay: Duration::from_millis(40), partitioned: false } },
+    partitioned = { Case { instances: 7, rate: 10, delay: Duration::ZERO, partitioned: true } },
+    many_instances = { Case { instances: 40, rate: 2, delay: Duration::from_millis(20), partitioned: false } },
 )]
 fn a_hot_organisation_keeps_to_its_limit(case: Case) {
     let admitted = admitted(&case);
@@ -153,21 +160,21 @@
     let all: f64 = admitted.iter().map(|(_, cost)| cost).sum();
     assert!(
         all > SMALL.rate * 24.0 * 0.7,
-        "only {all} of the limit was given out"
+        "only {all} of the limit was granted"
     );
 }
 
-/// An organisation beyond its limit sends urgent drafts and cheap briefs in equal parts. The
-/// drafts go first; without that a planner is refused beside a brief that nobody waits for.
+/// An organisation beyond its limit sends as many urgent drafts as cheap briefs. Drafts must be
+/// granted first. Otherwise a planner is refused while a brief that nobody waits for is served.
 #[test]
-fn urgent_work_goes_first_within_a_limit() {
+fn urgent_requests_are_granted_first_within_a_limit() {
     let start = Instant::now();
-    let mut ledger = alone(start);
+    let mut ledger = single_instance(start);
     let mut admitted = [0.0; 2];
     for step in 0..1000 {
         let now = start + STEP * step;
         for (at, class) in [(1, 4), (0, 0)] {
-            ledger.request(now, ORGANISATION, SMALL, ask(class));
+            ledger.request(now, ORGANISATION, SMALL, charge(class));
             while !ledger.is_idle() {
                 ledger.on_tick(now + Duration::from_millis(300));
             }
@@ -177,41 +184,41 @@
     assert!(admitted[0] > admitted[1] * 3.0, "{admitted:?}");
 }
 
-/// All instances of a rolling restart start with nothing. With full buckets a hot organisation would
-/// get its burst once more at each of them.
+/// In a rolling restart every instance must start without credit. With full buckets a hot
+/// organisation would get its burst once more at each instance.
 #[test]
 fn a_started_instance_has_no_credit() {
     let now = Instant::now();
-    let mut ledger = alone(now);
-    assert!(spend_all(&mut ledger, now) <= 0.0);
+    let mut ledger = single_instance(now);
+    assert!(spend_available(&mut ledger, now) <= 0.0);
     let soon = now + Duration::from_millis(300);
     ledger.on_tick(soon);
-    let spent = granted_cost(&mut ledger) + spend_all(&mut ledger, soon);
+    let spent = granted_cost(&mut ledger) + spend_available(&mut ledger, soon);
     assert!(spent <= SMALL.rate * 0.3 * 1.2, "{spent}");
 }
 
-/// An organisation is silent for a while and then sends five seconds' worth of its limit at once, as
-/// a shop does when its doors open. It is within its limit over any eight seconds, so nothing is
-/// refused; with a bucket of the burst alone two thirds of it were, at replicas that stood idle.
+/// An organisation is idle for a while and then sends five seconds' worth of its limit at once, as
+/// a shop does when it opens. It stays within its limit over any eight seconds, so nothing may be
+/// refused. With a bucket of the burst alone, two thirds were refused while replicas were idle.
 #[test]
-fn what_was_not_used_may_be_used_within_the_span() {
+fn unused_credit_can_be_spent_later_in_the_span() {
     let start = Instant::now();
-    let mut ledger = alone(start);
-    let spent = spend_all(&mut ledger, start + SPAN);
+    let mut ledger = single_instance(start);
+    let spent = spend_available(&mut ledger, start + SPAN);
     assert!(spent >= SMALL.rate * 5.0 - COST, "{spent}");
 }
 
-/// All instances are killed while an organisation spends all that it may, and start again within the
-/// second. Nobody is left who knows what was spent. If each gave out the whole span at once, the
-/// organisation would have spent it twice in the span, and the others' work would wait behind it.
+/// All instances are killed while an organisation uses its full limit, and restart within a second.
+/// No instance remembers what was spent. If they granted the allowance of a whole span at once, the
+/// organisation would spend it twice in the span, and requests of others would wait behind it.
 #[test]
-fn a_fleet_that_starts_anew_gives_out_the_bucket_only() {
+fn a_restarted_fleet_grants_at_most_the_burst_and_one_second() {
     let start = Instant::now();
-    let mut ledger = alone(start);
+    let mut ledger = single_instance(start);
     let mut spent = 0.0;
     for step in 0..1000 {
         let now = start + Duration::from_millis(step);
-        ledger.request(now, ORGANISATION, SMALL, ask(0));
+        ledger.request(now, ORGANISATION, SMALL, charge(0));
         spent += granted_cost(&mut ledger);
     }
     assert!(
@@ -220,39 +227,39 @@
     );
 }
 
-/// A request that is refused is told when it would pass, and passes then. A caller that was sent
-/// away for the whole span would come back seconds too late.
+/// A denied request must be granted after the advised wait. If the advice were a whole span, the
+/// caller would come back seconds too late.
 #[test]
-fn a_refused_request_passes_when_it_was_told_to_come_back() {
+fn a_denied_request_is_granted_after_the_advised_wait() {
     let start = Instant::now();
     let now = start + SPAN;
-    let mut ledger = alone(start);
+    let mut ledger = single_instance(start);
     let large = Charge {
         cost: COST * 10.0,
         priority_class: 0,
-        max_wait: PATIENCE,
+        max_wait: MAX_WAIT,
     };
     let wait_ms = loop {
         match decide(&mut ledger, now, large) {
             Verdict::Denied { wait_ms, .. } => break wait_ms,
             Verdict::Granted { .. } => {}
-            Verdict::Unanswered => panic!("it decides itself"),
+            Verdict::Unanswered => panic!("the instance decides itself"),
         }
     };
     assert!(wait_ms <= SPAN.as_millis() as u32, "{wait_ms}");
-    let back = now + Duration::from_millis(u64::from(wait_ms) + 300);
-    assert!(granted(decide(&mut ledger, back, large)));
+    let retry = now + Duration::from_millis(u64::from(wait_ms) + 300);
+    assert!(granted(decide(&mut ledger, retry, large)));
 }
 
-/// An organisation beyond its limit sends reports that take all of it, and orders of a few tokens
-/// beside them. The orders pass while anything is left: they take nothing from the reports, and a
-/// refused order is a customer sent away for nothing.
+/// An organisation beyond its limit sends reports that use all of it, and orders of a few tokens.
+/// Orders must be granted while any credit is left: they take practically nothing from the reports,
+/// and a refused order turns a customer away needlessly.
 #[test]
-fn a_cheap_request_leaves_nothing_to_others() {
+fn a_cheap_request_reserves_nothing_for_others() {
     let start = Instant::now();
     let now = start + SPAN + Duration::from_millis(123);
-    let mut ledger = alone(start);
-    spend_all(&mut ledger, now);
+    let mut ledger = single_instance(start);
+    spend_available(&mut ledger, now);
     while !ledger.is_idle() {
         ledger.on_tick(now + Duration::from_millis(300));
     }
@@ -260,27 +267,28 @@
     let order = Charge {
         cost: 200.0,
         priority_class: 8,
-        max_wait: PATIENCE,
+        max_wait: MAX_WAIT,
     };
     let then = now + Duration::from_millis(305);
     assert!(granted(decide(&mut ledger, then, order)));
 }
 
-/// Drafts of an organisation beyond its limit wait for credit, and take all that is minted. Confirmations of
-/// a hundredth of their cost, of a lesser tier, are served beside them; behind the drafts they were refused
-/// four times as often as before limits were credit.
+/// Drafts of an organisation beyond its limit wait for credit and use all that accrues.
+/// Confirmations of a hundredth of their cost and a lower tier must be served at the same time.
+/// When they waited behind the drafts, they were refused four times as often as before limits were
+/// enforced with credit.
 #[test]
 fn cheap_requests_do_not_wait_behind_large_ones() {
     let start = Instant::now();
-    let mut ledger = alone(start);
+    let mut ledger = single_instance(start);
     let (mut cheap, mut served) = (Vec::new(), 0);
     for step in 0..500 {
         let now = start + STEP * step;
-        ledger.request(now, ORGANISATION, SMALL, ask(0));
+        ledger.request(now, ORGANISATION, SMALL, charge(0));
         let charge = Charge {
             cost: 200.0,
             priority_class: 8,
-            max_wait: PATIENCE,
+            max_wait: MAX_WAIT,
         };
         cheap.push(ledger.request(now, ORGANISATION, SMALL, charge));
         ledger.on_tick(now);
@@ -291,38 +299,42 @@
     assert!(served >= 490, "{served} of 500");
 }
 
-/// Under load, requests are charged, wait for two seconds and are refused; what they were charged is
-/// given back. Requests in their place use it. If it outlived the credit that was taken, an
-/// organisation would have its limit once more some seconds later.
+/// Under load, requests are charged, wait for two seconds and are refused; their credit is refunded
+/// and used by other requests. If the refund outlived the original credit, the organisation would
+/// get its limit once more some seconds later.
 #[test]
-fn what_was_given_back_is_not_given_out_twice() {
+fn refunded_credit_is_not_granted_twice() {
     let start = Instant::now();
     let now = start + SPAN;
-    let mut ledger = alone(start);
-    let pace = Accrual::new(SMALL, SPAN, TOLERANCE);
-    let refused = spend_all(&mut ledger, now);
-    let lot = Batch {
-        expires: now + pace.lifetime / 2,
+    let mut ledger = single_instance(start);
+    let accrual = Accrual::new(SMALL, SPAN, TOLERANCE);
+    let refused = spend_available(&mut ledger, now);
+    let batch = Batch {
+        expires: now + accrual.lifetime / 2,
         amount: refused,
     };
-    let then = now + pace.lifetime / 4;
-    ledger.refund(then, ORGANISATION, lot);
-    let used = spend_all(&mut ledger, then);
+    let then = now + accrual.lifetime / 4;
+    ledger.refund(then, ORGANISATION, batch);
+    let used = spend_available(&mut ledger, then);
     assert!(used >= refused - COST, "{used} of {refused}");
-    ledger.refund(then, ORGANISATION, lot);
-    let after = spend_all(&mut ledger, now + pace.lifetime / 2 + STEP);
-    let minted = pace.rate * pace.lifetime.as_secs_f64() / 2.0;
-    assert!(after <= minted, "{after} after it expired");
-    assert!(used + after <= pace.max_spend(SPAN), "{used} and {after}");
+    ledger.refund(then, ORGANISATION, batch);
+    let after = spend_available(&mut ledger, now + accrual.lifetime / 2 + STEP);
+    let accrued = accrual.rate * accrual.lifetime.as_secs_f64() / 2.0;
+    assert!(after <= accrued, "{after} after it expired");
+    assert!(
+        used + after <= accrual.max_spend(SPAN),
+        "{used} and {after}"
+    );
 }
 
-/// An organisation has spent its limit through another instance when its first caller connects here,
-/// as after a restart of its own or when the balancer moves it. What this instance gave away is gone;
-/// else each instance that it comes to would give it the whole limit once more.
+/// An organisation has spent its limit through another instance when its first caller connects to
+/// this one, as after a restart of the caller or when the load balancer moves it. Credit that was
+/// collected from this instance must be gone, or each further instance would grant the whole limit
+/// once more.
 #[test]
-fn what_was_collected_is_not_given_out_here() {
+fn collected_credit_is_not_granted_here() {
     let start = Instant::now();
-    let mut ledger = alone(start);
+    let mut ledger = single_instance(start);
     let now = start + SPAN;
     let collect = Message::Collect {
         number: 5,
@@ -330,19 +342,19 @@
     };
     for (from, time) in [(2, SPAN), (3, Duration::ZERO)] {
         ledger.on_message(now, from, collect.clone(), None);
-        let given = ledger.take_messages();
-        let [(to, Message::Credit(credit))] = &given[..] else {
-            panic!("{given:?}");
+        let sent = ledger.take_messages();
+        let [(to, Message::Credit(credit))] = &sent[..] else {
+            panic!("{sent:?}");
         };
         assert_eq!(*to, from);
         assert_eq!(credit.time_us, time.as_micros() as u64);
         assert_eq!(credit.lots, []);
     }
-    assert!(spend_all(&mut ledger, now) <= 0.0);
+    assert!(spend_available(&mut ledger, now) <= 0.0);
 }
 
-/// Credit that comes late, three times, unasked for or with impossible figures. What is taken up too
-/// late would be spent in a span in which it was not minted, and what is taken up twice was minted once.
+/// Credit arrives late, three times, unasked for or with impossible amounts. Late credit would be
+/// spent in a span in which it did not accrue, and repeated credit accrued only once.
 #[parameterized(
     in_time = { Duration::from_millis(50), 0, true },
     late = { Duration::from_millis(300), 0, false },
@@ -351,14 +363,16 @@
 fn credit_counts_once_and_in_time(after: Duration, other: u64, counts: bool) {
     let start = Instant::now();
     let now = start + SPAN;
-    let keeper = |own: Member| {
+    let coordinator = |own: Member| {
         let mut ledger = Ledger::new(own, 1);
         ledger.set_bounds(SPAN, TOLERANCE);
-        ledger.set_fleet(start, &roster(start, 2, &[99]));
+        ledger.set_fleet(start, &fleet_view(start, 2, &[99]));
         (ledger.coordinator(now, ORGANISATION) == own).then_some(ledger)
     };
-    let mut ledger = (1..50).find_map(keeper).expect("one of them is the keeper");
-    spend_all(&mut ledger, now);
+    let mut ledger = (1..50)
+        .find_map(coordinator)
+        .expect("one of them is the coordinator");
+    spend_available(&mut ledger, now);
     let sent = ledger.take_messages();
     let Some((99, Message::Collect { number, .. })) = sent.last() else {
         panic!("{sent:?}");
@@ -374,44 +388,50 @@
     for _ in 0..3 {
         ledger.on_message(then, 99, Message::Credit(credit.clone()), None);
     }
-    let got = granted_cost(&mut ledger) + spend_all(&mut ledger, then);
+    let granted = granted_cost(&mut ledger) + spend_available(&mut ledger, then);
     let half = Accrual::new(SMALL, SPAN, TOLERANCE).rate / 2.0;
     let own = half * after.as_secs_f64();
-    let most = if counts { half } else { 0.0 };
-    // What was left of before the collection is less than one request.
-    assert!(got <= most + own + COST, "{got} of {most} and {own}");
-    assert!(got >= most - COST, "{got} of {most} and {own}");
+    let collected = if counts { half } else { 0.0 };
+    // The credit left before the collection is less than one request.
+    assert!(
+        granted <= collected + own + COST,
+        "{granted} of {collected} and {own}"
+    );
+    assert!(
+        granted >= collected - COST,
+        "{granted} of {collected} and {own}"
+    );
 }
 
-/// Half of a zone leaves. What those that stay have minted before is worth what it was; by the new
-/// number they would mint once more what the leavers gave away.
+/// Half of a zone leaves. The earlier running time of the remaining instances must keep its worth.
+/// Valued by the new size, it would accrue again what the departed instances gave away.
 #[test]
-fn a_zone_that_shrinks_mints_no_more_for_the_past() {
+fn a_shrunk_zone_accrues_no_more_for_the_past() {
     let start = Instant::now();
     let mut ledger = Ledger::new(1, 1);
     ledger.set_bounds(SPAN, TOLERANCE);
-    ledger.set_fleet(start, &roster(start, 10, &[]));
+    ledger.set_fleet(start, &fleet_view(start, 10, &[]));
     let now = start + Duration::from_secs(4);
-    ledger.set_fleet(now, &roster(start, 5, &[]));
-    let spent = spend_all(&mut ledger, now);
+    ledger.set_fleet(now, &fleet_view(start, 5, &[]));
+    let spent = spend_available(&mut ledger, now);
     let tenth = Accrual::new(SMALL, SPAN, TOLERANCE).rate * 4.0 / 10.0;
     assert!(spent <= tenth, "{spent} of {tenth}");
     assert!(spent >= tenth - COST, "{spent} of {tenth}");
 }
 
-/// A keeper is killed while requests ask it. They are answered by another instance within the time that
-/// a request may wait, and the dead one is passed over afterwards.
+/// A coordinator is killed while requests wait for it. Another instance must answer them within the
+/// time that a request may wait, and the dead one must no longer be chosen.
 #[test]
-fn a_dead_keeper_is_replaced() {
+fn a_dead_coordinator_is_replaced() {
     let start = Instant::now();
     let others: Vec<Member> = (100..103).collect();
     let mut ledger = Ledger::new(1, 1);
     ledger.set_bounds(SPAN, TOLERANCE);
-    let mut roster = roster(start, 4, &others);
-    roster.accrues_since = None;
-    ledger.set_fleet(start, &roster);
+    let mut view = fleet_view(start, 4, &others);
+    view.accrues_since = None;
+    ledger.set_fleet(start, &view);
     let dead = ledger.coordinator(start, ORGANISATION);
-    let number = ledger.request(start, ORGANISATION, SMALL, ask(0));
+    let number = ledger.request(start, ORGANISATION, SMALL, charge(0));
     let mut next = None;
     let mut now = start;
     while now < start + GRANT_VALIDITY && next.is_none() {
@@ -439,18 +459,18 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(17), ..ProptestConfig::with_cases(2000) })]
 
-    /// Whatever an operator tolerates, no span gets more than that, and a burst passes after a rest
-    /// where that much is minted in a span.
+    /// With any tolerance, no span exceeds it, and a burst is granted after an idle time if that
+    /// much accrues in a span.
     #[test]
-    fn no_span_passes_what_is_tolerated(
+    fn no_span_exceeds_the_tolerance(
         rate in 0.0..1e6_f64, burst in 0.0..1e6_f64, part in 0.0..1.0_f64, fixed in 0.0..1e6_f64, span_s in 1.0..60.0_f64,
     ) {
         let span = Duration::from_secs_f64(span_s);
         let limit = Limit { rate, burst };
-        let pace = Accrual::new(limit, span, Tolerance { part, fixed });
+        let accrual = Accrual::new(limit, span, Tolerance { part, fixed });
         let tolerated = limit.allowance(span) * (1.0 + part) + fixed;
-        prop_assert!(pace.max_spend(span) <= tolerated * (1.0 + 1e-6) + 1e-3);
-        let holds = burst.min(pace.rate * span_s);
-        prop_assert!(pace.max_stock() >= holds * (1.0 - 1e-6) - 1e-3, "{} of {holds}", pace.max_stock());
+        prop_assert!(accrual.max_spend(span) <= tolerated * (1.0 + 1e-6) + 1e-3);
+        let burst_in_span = burst.min(accrual.rate * span_s);
+        prop_assert!(accrual.max_stock() >= burst_in_span * (1.0 - 1e-6) - 1e-3, "{} of {burst_in_span}", accrual.max_stock());
     }
 }
--- a/crates/decisions/tests/credit_use.rs
+++ b/crates/decisions/tests/credit_use.rs
@@ -1,4 +1,4 @@
-//! How much of a limit an organisation can use, in fleets of any size.
+//! Fraction of a limit that an organisation can use, in fleets of any size.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,23 +18,26 @@
 
 use given::{LARGE, ORGANISATION, SMALL, SPAN, TOLERANCE, cost};
 
+/// Time step of the simulation.
 const STEP: Duration = Duration::from_millis(10);
-const LENGTH: Duration = Duration::from_secs(32);
+/// Length of a simulation.
+const DURATION: Duration = Duration::from_secs(32);
 
-/// A fleet that starts whole has found itself after this time.
-const GATHERED: Duration = Duration::from_millis(500);
+/// Time after which the instances of a starting fleet know each other.
+const DISCOVERY_TIME: Duration = Duration::from_millis(500);
 
-/// What an organisation asks for, in limits.
-const ASKED: f64 = 0.9;
+/// Demand of the organisation as a fraction of its limit.
+const DEMAND_PART: f64 = 0.9;
 
 #[derive(Debug, Clone, Copy)]
 struct Case {
     instances: u32,
     limit: Limit,
-    /// Whether all are killed in the middle, and start again a second later.
+    /// Whether all instances are killed at half time and restart a second later.
     killed: bool,
 }
 
+/// Simulated fleet whose instances exchange messages with delay.
 #[derive(Debug)]
 struct Fleet {
     case: Case,
@@ -42,7 +45,7 @@
     start: Instant,
     ledgers: Vec<Ledger>,
     up: bool,
-    on_the_way: BTreeMap<(Instant, u64), (Member, Member, Message)>,
+    in_transit: BTreeMap<(Instant, u64), (Member, Member, Message)>,
     sent: u64,
     /// When requests were decided, and whether they were granted.
     decided: Vec<(Instant, bool)>,
@@ -57,7 +60,7 @@
             start,
             ledgers: Vec::new(),
             up: true,
-            on_the_way: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             sent: 0,
             decided: Vec::new(),
         };
@@ -69,7 +72,7 @@
         if self.case.instances < 10 { 3 } else { 6 }
     }
 
-    /// Two zones make a region.
+    /// Distance between the zones of two instances; two zones form a region.
     fn distance(&self, one: Member, other: Member) -> Distance {
         let (one, other) = (one % self.zones(), other % self.zones());
         if one == other {
@@ -81,21 +84,21 @@
         }
     }
 
-    fn restart(&mut self, now: Instant, life: u64) {
+    fn restart(&mut self, now: Instant, incarnation: u64) {
         self.up = true;
-        self.on_the_way.clear();
+        self.in_transit.clear();
         let all = 0..self.case.instances;
         self.ledgers = all
             .map(|member| {
-                let mut ledger = Ledger::new(member, life);
+                let mut ledger = Ledger::new(member, incarnation);
                 ledger.set_bounds(SPAN, TOLERANCE);
-                ledger.set_fleet(now, &self.roster(member, now));
+                ledger.set_fleet(now, &self.fleet_view(member, now));
                 ledger
             })
             .collect();
     }
 
-    fn roster(&self, own: Member, since: Instant) -> FleetView {
+    fn fleet_view(&self, own: Member, since: Instant) -> FleetView {
         let mut zones: Vec<Zone> = (0..self.zones())
             .map(|zone| {
                 let members: Vec<Member> = (0..self.case.instances)
@@ -116,68 +119,72 @@
         }
     }
 
-    /// Plays to the end; returns how many requests were refused and decided from two seconds after the last
-    /// start on.
-    fn play(&mut self) -> (usize, usize) {
-        let kill = self.start + LENGTH / 2;
-        let back = kill + Duration::from_secs(1);
+    /// Runs the simulation. Returns the numbers of refused and of decided requests, counted from
+    /// two seconds after the last start.
+    fn run(&mut self) -> (usize, usize) {
+        let kill = self.start + DURATION / 2;
+        let restart = kill + Duration::from_secs(1);
         let mut now = self.start;
         let mut killed = !self.case.killed;
-        while now < self.start + LENGTH {
+        while now < self.start + DURATION {
             now += STEP;
             if !killed && now >= kill {
                 killed = true;
                 self.up = false;
             }
-            if !self.up && now >= back {
+            if !self.up && now >= restart {
                 self.restart(now, 2);
             }
             self.deliver(now);
             self.ask(now);
             self.tick(now);
         }
-        let counted = if self.case.killed { back } else { self.start };
-        let from = counted + Duration::from_secs(2);
+        let last_start = if self.case.killed {
+            restart
+        } else {
+            self.start
+        };
+        let from = last_start + Duration::from_secs(2);
         let decided = self.decided.iter().filter(|(at, _)| *at >= from);
         let refused = decided.clone().filter(|(_, granted)| !granted);
         (refused.count(), decided.count())
     }
 
     fn ask(&mut self, now: Instant) {
-        if !self.up || now < self.start + GATHERED {
+        if !self.up || now < self.start + DISCOVERY_TIME {
             return;
         }
-        let mut wanted = self.case.limit.rate * ASKED * STEP.as_secs_f64();
-        while wanted > 0.0 {
+        let mut demand = self.case.limit.rate * DEMAND_PART * STEP.as_secs_f64();
+        while demand > 0.0 {
             let cost = cost(&mut self.rng);
-            // A request that is larger than what is wanted now comes with a chance.
-            if !self.rng.random_bool((wanted / cost).min(1.0)) {
+            // A request that costs more than the remaining demand is sent with a probability.
+            if !self.rng.random_bool((demand / cost).min(1.0)) {
                 return;
             }
-            wanted -= cost;
-            let at = self.rng.random_range(0..self.case.instances);
+            demand -= cost;
+            let member = self.rng.random_range(0..self.case.instances);
             let charge = Charge {
                 cost,
                 priority_class: 0,
                 max_wait: Duration::from_millis(400),
             };
             let limit = self.case.limit;
-            self.ledgers[at as usize].request(now, ORGANISATION, limit, charge);
-            self.flush(now, at);
+            self.ledgers[member as usize].request(now, ORGANISATION, limit, charge);
+            self.flush(now, member);
         }
     }
 
     fn tick(&mut self, now: Instant) {
-        for at in 0..self.case.instances {
-            if self.up && !self.ledgers[at as usize].is_idle() {
-                self.ledgers[at as usize].on_tick(now);
-                self.flush(now, at);
+        for member in 0..self.case.instances {
+            if self.up && !self.ledgers[member as usize].is_idle() {
+                self.ledgers[member as usize].on_tick(now);
+                self.flush(now, member);
             }
         }
     }
 
     fn deliver(&mut self, now: Instant) {
-        while let Some(first) = self.on_the_way.first_entry() {
+        while let Some(first) = self.in_transit.first_entry() {
             let due = first.key().0;
             if due > now {
                 return;
@@ -191,30 +198,31 @@
         }
     }
 
-    fn flush(&mut self, now: Instant, at: Member) {
-        let ledger = &mut self.ledgers[at as usize];
+    fn flush(&mut self, now: Instant, member: Member) {
+        let ledger = &mut self.ledgers[member as usize];
         let granted = |v: &Verdict| matches!(v, Verdict::Granted { .. });
         let verdicts = ledger.take_verdicts();
         let messages = ledger.take_messages();
         self.decided
             .extend(verdicts.iter().map(|(_, v)| (now, granted(v))));
         for (to, message) in messages {
-            let way = match self.distance(at, to) {
+            let delay_ms = match self.distance(member, to) {
                 Distance::SameZone | Distance::SameRegion => 1,
                 Distance::OtherRegion => 30,
             };
-            let late = self.rng.random_range(0..10);
-            let due = now + Duration::from_millis(way + late);
+            let jitter_ms = self.rng.random_range(0..10);
+            let due = now + Duration::from_millis(delay_ms + jitter_ms);
             self.sent += 1;
-            self.on_the_way.insert((due, self.sent), (at, to, message));
+            self.in_transit
+                .insert((due, self.sent), (member, to, message));
         }
     }
 }
 
-/// An organisation asks for nine tenths of its limit, in requests of which the largest are a tenth of a
-/// small one. It is within its limit, so hardly any is refused, in fleets of any size: a request is
-/// larger than what an instance of a large fleet mints in a span. Two seconds after a kill of all
-/// nothing of it is left.
+/// An organisation uses nine tenths of its limit; its largest requests cost a tenth of a small
+/// limit. It stays within its limit, so hardly any request may be refused in fleets of any size,
+/// although a request can cost more than an instance of a large fleet accrues in a span. Two
+/// seconds after all instances were killed, the restart must have no effect any more.
 #[parameterized(
     of_8 = { Case { instances: 8, limit: LARGE, killed: false } },
     of_65 = { Case { instances: 65, limit: LARGE, killed: false } },
@@ -232,18 +240,18 @@
 fn an_organisation_within_its_limit_is_hardly_refused(case: Case) {
     let (mut refused, mut decided) = (0, 0);
     for seed in 0..seeds() {
-        let (no, all) = Fleet::new(case, seed).play();
-        refused += no;
+        let (denied, all) = Fleet::new(case, seed).run();
+        refused += denied;
         decided += all;
     }
     println!("{refused} of {decided} refused, {case:?}");
     assert!(refused * 100 <= decided, "{refused} of {decided}");
 }
 
-/// Seeds of each case, unless `KINGCUP_LIMIT_SEEDS` says otherwise.
+/// Number of seeds per case, unless `KINGCUP_LIMIT_SEEDS` sets it.
 const SEEDS: u64 = 4;
 
 fn seeds() -> u64 {
-    let asked = std::env::var("KINGCUP_LIMIT_SEEDS").ok();
-    asked.and_then(|s| s.parse().ok()).unwrap_or(SEEDS)
+    let configured = std::env::var("KINGCUP_LIMIT_SEEDS").ok();
+    configured.and_then(|s| s.parse().ok()).unwrap_or(SEEDS)
 }
--- a/crates/decisions/tests/limits.rs
+++ b/crates/decisions/tests/limits.rs
@@ -1,4 +1,4 @@
-//! Limits over a fleet, judged by what is admitted.
+//! Limits over a fleet, tested by the requests that are admitted.
 
 use std::time::Duration;
 
@@ -12,6 +12,7 @@
 use tokio::time::Instant;
 use yare::parameterized;
 
+/// Time step of the simulations.
 const STEP: Duration = Duration::from_millis(10);
 const INSTANCES: usize = 7;
 
@@ -36,7 +37,7 @@
     }
 }
 
-/// One zone: an owner and its instances, of which those in `cut` cannot reach it.
+/// One zone: an owner and its instances. Those whose index is in `cut` cannot reach the owner.
 struct Zone {
     now: Instant,
     owner: LimitOwner,
@@ -44,7 +45,7 @@
     members: Vec<LimitMember>,
     cut: Vec<usize>,
     rng: ChaCha8Rng,
-    /// When each admitted request of an instance ends.
+    /// End times of the admitted requests of each instance.
     running: Vec<Vec<Instant>>,
 }
 
@@ -55,9 +56,9 @@
             .map(|n| format!("entry-{n}").into())
             .collect();
         let mut members = Vec::new();
-        for part in 0..INSTANCES {
+        for index in 0..INSTANCES {
             let mut member =
-                LimitMember::new(ZoneShare::SINGLE_ZONE, part as u32, INSTANCES as u32);
+                LimitMember::new(ZoneShare::SINGLE_ZONE, index as u32, INSTANCES as u32);
             member.set_limits(now, std::slice::from_ref(published));
             members.push(member);
         }
@@ -88,12 +89,12 @@
         }
     }
 
-    /// Sends `per_s` requests a second, to instance `only` or to random ones; returns how many
-    /// were admitted and how many ran at once.
+    /// Sends `per_s` requests per second to instance `only` or to random ones. Returns the number
+    /// of admitted requests and the largest number that ran at once.
     fn run(&mut self, time: Duration, per_s: f64, only: Option<usize>) -> (u32, usize) {
         let organisation = OrganisationId::from("hot");
         let end = self.now + time;
-        let (mut admitted, mut most) = (0, 0);
+        let (mut admitted, mut max_running) = (0, 0);
         while self.now < end {
             self.now += STEP;
             self.exchange();
@@ -110,14 +111,15 @@
                     self.running[at].push(self.now + Duration::from_secs(1));
                 }
             }
-            most = most.max(self.running.iter().map(Vec::len).sum());
+            max_running = max_running.max(self.running.iter().map(Vec::len).sum());
         }
-        (admitted, most)
+        (admitted, max_running)
     }
 }
 
-/// An organisation sends three times its limit, through all instances or through one. Others
-/// would pay for what passes, and the organisation for what is held back below its limit.
+/// An organisation sends three times its limit, through all instances or through one. Requests
+/// admitted beyond the limit would slow down others, and a refusal below it would hurt the
+/// organisation.
 #[parameterized(
     requests_everywhere = { published(Some(20.0), None, None), None },
     requests_at_one = { published(Some(20.0), None, None), Some(3) },
@@ -129,32 +131,32 @@
 fn admitted_is_the_limit(published: Organisation, only: Option<usize>) {
     let mut zone = Zone::new(&published);
     zone.run(QUOTA_LEASE * 2, 60.0, only);
-    let (admitted, most) = zone.run(Duration::from_mins(1), 60.0, only);
-    // Running requests are counted in whole numbers for each instance: a seventh of 20 that is
-    // free at one instance does not help another until the next ask.
-    let least = if published.max_running.is_some() {
+    let (admitted, max_running) = zone.run(Duration::from_mins(1), 60.0, only);
+    // Quotas of running requests are integers: a free slot, out of a seventh of 20, at one instance
+    // is not available to another until the next ask.
+    let min = if published.max_running.is_some() {
         1020
     } else {
         1140
     };
-    assert!((least..=1224).contains(&admitted), "{admitted}");
+    assert!((min..=1224).contains(&admitted), "{admitted}");
     if published.max_running.is_some() {
-        assert!(most <= 20, "{most}");
+        assert!(max_running <= 20, "{max_running}");
     }
 }
 
-/// An organisation stays below its limit. Leases that lag behind its demand would turn it away.
+/// An organisation stays below its limit. Leases that lag behind its demand would cause refusals.
 #[test]
-fn below_the_limit_little_is_turned_away() {
+fn few_requests_below_the_limit_are_refused() {
     let mut zone = Zone::new(&published(Some(40.0), None, None));
     let (admitted, _) = zone.run(Duration::from_mins(1), 20.0, None);
     assert!(admitted > 1140, "{admitted}");
 }
 
-/// Two instances are cut off from the owner. With the leases of the others and no bound of their
-/// own they would admit more than the limit for as long as the cut lasts.
+/// Two instances are cut off from the owner. Without a bound of their own, they and the leases of
+/// the others would together exceed the limit for as long as the cut lasts.
 #[test]
-fn cut_off_instances_stay_within_the_sum() {
+fn cut_off_instances_stay_within_the_limit() {
     let mut zone = Zone::new(&published(Some(20.0), None, None));
     zone.run(QUOTA_LEASE * 2, 60.0, None);
     zone.cut = vec![1, 4];
@@ -167,10 +169,10 @@
     assert!((150..=200).contains(&alone), "{alone}");
 }
 
-/// The owner dies and another starts without knowing the leases. For one lease both may allow the
-/// whole limit; after that the sum has to hold again.
+/// The owner dies and another starts without knowledge of the leases. For the time of one lease
+/// both may grant the full limit; after that the sum must be within the limit again.
 #[test]
-fn a_new_owner_passes_the_limit_by_one_lease_at_most() {
+fn a_new_owner_exceeds_the_limit_by_one_lease_at_most() {
     let published = published(Some(20.0), None, None);
     let mut zone = Zone::new(&published);
     zone.run(QUOTA_LEASE * 2, 60.0, Some(2));
@@ -180,13 +182,13 @@
     assert!(admitted <= (20.0 * 20.0 + lease) as u32, "{admitted}");
 }
 
-/// An operator halves and later doubles a limit in the table. It has to hold at once, and running
-/// requests must stay counted.
+/// An operator halves and later doubles a limit in the table. The change must take effect at once,
+/// and running requests must still be counted.
 #[test]
-fn a_changed_table_holds_at_once() {
+fn a_changed_table_takes_effect_at_once() {
     let mut zone = Zone::new(&published(Some(20.0), None, None));
     zone.run(QUOTA_LEASE * 2, 60.0, None);
-    for (limit, least, most) in [(10.0, 45, 62), (20.0, 90, 124)] {
+    for (limit, min, max) in [(10.0, 45, 62), (20.0, 90, 124)] {
         let changed = published(Some(limit), None, None);
         let now = zone.now;
         zone.members
@@ -194,14 +196,11 @@
             .for_each(|m| m.set_limits(now, std::slice::from_ref(&changed)));
         zone.owner.set_share(quota(&changed));
         let (admitted, _) = zone.run(Duration::from_secs(5), 60.0, None);
-        assert!(
-            (least..=most).contains(&admitted),
-            "limit {limit}: {admitted}"
-        );
+        assert!((min..=max).contains(&admitted), "limit {limit}: {admitted}");
     }
 }
 
-/// The table has an organisation more. Requests that run already must not be forgotten, or twice
+/// An organisation is added to the table. Requests that already run must still be counted, or twice
 /// as many could run.
 #[test]
 fn running_requests_outlive_a_changed_table() {
@@ -221,8 +220,8 @@
     assert!(member.admit(now, &name, 10).is_ok());
 }
 
-/// An instance was paused and gets an answer to an ask of long ago. Its lease has ended for
-/// everybody else.
+/// A paused instance receives the answer to an ask that it sent long ago. For the owner the lease
+/// has expired, so it must not be used.
 #[test]
 fn a_late_lease_is_dropped() {
     let now = Instant::now();
@@ -256,9 +255,9 @@
     assert_eq!(admitted, 10);
 }
 
-// An organisation sends a request now and then, each to another instance. Leases that gave the
-// first instance all that nobody asked for would leave nothing to the others, and its callers
-// would read 429 far below the limit.
+/// An organisation sends few requests, each to another instance. If the first instance were leased
+/// all unclaimed capacity, the others would get nothing, and callers would receive 429 far below
+/// the limit.
 #[test]
 fn rare_requests_at_several_instances_are_within_the_limit() {
     let start = Instant::now();
@@ -285,8 +284,8 @@
     }
 }
 
-/// An organisation may run fewer requests at a time than the fleet has zones. Its callers notice a
-/// refusal of everything, everywhere, if each zone's part is rounded down.
+/// An organisation may run fewer concurrent requests than the fleet has zones. If the share of each
+/// zone were rounded down, all of its requests would be refused everywhere.
 #[test]
 fn fewer_running_requests_than_zones_are_served_somewhere() {
     let zones = 3;
@@ -297,11 +296,11 @@
                 running: Some(running),
                 ..Quota::default()
             };
-            let parts = (0..zones).map(|zone| {
-                let part = ZoneShare { zone, zones }.zone_quota(&organisation, &limit);
-                part.running.expect("limited")
+            let shares = (0..zones).map(|zone| {
+                let share = ZoneShare { zone, zones }.zone_quota(&organisation, &limit);
+                share.running.expect("limited")
             });
-            assert_eq!(parts.sum::<u32>(), running, "{name}");
+            assert_eq!(shares.sum::<u32>(), running, "{name}");
         }
     }
 }
