--- a/crates/decisions/benches/scenarios/node.rs
+++ b/crates/decisions/benches/scenarios/node.rs
@@ -2,21 +2,25 @@
 
 use std::time::Duration;
 
-use kingcupfield_decisions::holder::{Ask, DispatchError, Holder, HolderAction, Reply};
+use kingcupfield_decisions::holder::{
+    DispatchError, Holder, HolderAction, HolderOutput, OwnerEnvelope,
+};
 use kingcupfield_decisions::id::{InstanceId, Rank, RequestId, ServiceId, Tokens, UpstreamId};
-use kingcupfield_decisions::length::Lengths;
+use kingcupfield_decisions::length::LengthPredictor;
 use kingcupfield_decisions::ownership::owner;
-use kingcupfield_decisions::pace::{ASSUMED, Pace};
+use kingcupfield_decisions::pace::{DEFAULT_PACE, Pace};
 use kingcupfield_decisions::prefixes::{CacheEvent, PrefixCache};
 use kingcupfield_decisions::routing::{
-    CACHED_AT_HOME, Candidate, LinkBudget, RouteRequest, WIDEN_AFTER, choose, home,
+    CACHED_SHARE_AT_HOME, Candidate, LinkBudget, RouteRequest, WIDEN_AFTER, choose_replicas,
+    home_replica,
 };
 use kingcupfield_decisions::shedding::{
     Estimate, LevelMember, LevelMessage, LevelOwner, RefusalStep, ToLevelMember, ToLevelOwner,
     can_meet, is_unmeetable,
 };
 use kingcupfield_decisions::slots::{
-    Digest, LoadReport, Outcome, Rejection, Reservation, Send, SlotQueue, ToHolder, ToOwner,
+    HolderEnvelope, LoadReport, Rejection, ReplicaDigest, RequestOutcome, Reservation, SlotQueue,
+    ToHolder, ToOwner,
 };
 use kingcupfield_decisions::work::Work;
 use serde::Serialize;
@@ -45,7 +49,7 @@
     },
     ToLevelOwner(ToLevelOwner),
     ToLevelMember(ToLevelMember),
-    Digests(Vec<(UpstreamId, Digest)>),
+    Digests(Vec<(UpstreamId, ReplicaDigest)>),
 }
 
 impl Packet {
@@ -84,9 +88,9 @@
     member: LevelMember,
     level: Option<LevelOwner>,
     level_owner: usize,
-    digests: Vec<Option<(Digest, Instant)>>,
+    digests: Vec<Option<(ReplicaDigest, Instant)>>,
     caches: Vec<PrefixCache>,
-    lengths: Lengths,
+    lengths: LengthPredictor,
     link: LinkBudget,
     gone: Vec<usize>,
     /// Requests that may not be refused yet.
@@ -148,7 +152,7 @@
         for node in 0..NODES {
             ours.nodes.push(Node {
                 holder: Holder::new(InstanceId::clone(&ours.names[node]), 1)
-                    .with_widen_after(WIDEN_AFTER),
+                    .with_widen_delay(WIDEN_AFTER),
                 queues: (0..engines).map(|_| None).collect(),
                 owners: vec![usize::MAX; engines],
                 member: LevelMember::new(BOTTOM),
@@ -156,7 +160,7 @@
                 level_owner: usize::MAX,
                 digests: vec![None; engines],
                 caches: vec![PrefixCache::new(); engines],
-                lengths: Lengths::new(),
+                lengths: LengthPredictor::new(),
                 link: LinkBudget::new(kingcupfield_decisions::routing::LINK_BYTES_PER_S),
                 gone: Vec::new(),
                 doomed: Vec::new(),
@@ -189,7 +193,7 @@
             let queue = (new == node).then(|| {
                 let generation = self.generations[engine].clone();
                 let upstream = UpstreamId::clone(&self.upstreams[engine]);
-                SlotQueue::new(upstream, Some(generation), net.now).with_neighbours(zone.len())
+                SlotQueue::new(upstream, Some(generation), net.now).with_zone_size(zone.len())
             });
             self.nodes[node].queues[engine] = queue;
         }
@@ -209,7 +213,7 @@
         let digest = self.nodes[node].digests[engine];
         digest
             .and_then(|(digest, _)| digest.pace)
-            .unwrap_or(ASSUMED)
+            .unwrap_or(DEFAULT_PACE)
     }
 
     fn work(&self, node: usize, job: &Job) -> Work {
@@ -224,7 +228,7 @@
         let work = self.work(node, job);
         let own = (0..self.upstreams.len()).filter(|e| self.zones[*e] == zone_of(node));
         let cached = Work::new(work.prefill / 4, work.decode);
-        own.map(|e| self.pace(node, e).service(cached))
+        own.map(|e| self.pace(node, e).service_time(cached))
             .min()
             .unwrap_or_default()
     }
@@ -234,14 +238,14 @@
             .filter(|e| self.zones[*e] == zone_of(node))
             .map(|e| UpstreamId::clone(&self.upstreams[e]))
             .collect();
-        let home = home(job.prefixes[0], &own);
+        let home = home_replica(job.prefixes[0], &own);
         let known = &self.nodes[node];
         let make = |engine: usize| {
             let upstream = UpstreamId::clone(&self.upstreams[engine]);
             let blocks = known.caches[engine].cached(&job.prefixes) as Tokens;
             let mut cached = job.prompt * blocks / job.prefixes.len() as Tokens;
             if home == Some(&upstream) {
-                cached = cached.max((job.prompt as f64 * CACHED_AT_HOME) as Tokens);
+                cached = cached.max((job.prompt as f64 * CACHED_SHARE_AT_HOME) as Tokens);
             }
             let digest = known.digests[engine];
             let near = self.zones[engine] == zone_of(node);
@@ -250,8 +254,8 @@
                 owner: InstanceId::clone(&self.names[known.owners[engine].min(NODES - 1)]),
                 zone: format!("zone-{}", self.zones[engine]).into(),
                 digest: digest.map(|(digest, _)| digest),
-                age: digest.map_or(Duration::MAX, |(_, at)| net.now - at),
-                cached: if self.mechanisms.prefixes { cached } else { 0 },
+                digest_age: digest.map_or(Duration::MAX, |(_, at)| net.now - at),
+                cached_tokens: if self.mechanisms.prefixes { cached } else { 0 },
                 pace: self.pace(node, engine),
                 round_trip: Duration::from_millis(if near { 1 } else { 30 }),
             }
@@ -301,7 +305,7 @@
         let candidates = self.candidates(net, node, job);
         let reservation = self.reservation(net, node, job);
         let link = &mut self.nodes[node].link;
-        let choice = choose(net.now, &request, &candidates, BOTTOM, link, &mut net.rng);
+        let choice = choose_replicas(net.now, &request, &candidates, BOTTOM, link, &mut net.rng);
         let places = if self.mechanisms.late_binding {
             &choice.upstreams[..]
         } else {
@@ -313,8 +317,8 @@
         self.carry_out(net, node, reply);
     }
 
-    fn carry_out(&mut self, net: &mut Net, node: usize, reply: Reply) {
-        self.ask(net, node, reply.sends);
+    fn carry_out(&mut self, net: &mut Net, node: usize, reply: HolderOutput) {
+        self.ask(net, node, reply.messages);
         for action in reply.actions {
             match action {
                 HolderAction::Dispatch { request, .. } => self.dispatch(net, node, &request),
@@ -325,8 +329,8 @@
         }
     }
 
-    fn ask(&mut self, net: &mut Net, node: usize, asks: Vec<Ask>) {
-        for Ask { upstream, message } in asks {
+    fn ask(&mut self, net: &mut Net, node: usize, asks: Vec<OwnerEnvelope>) {
+        for OwnerEnvelope { upstream, message } in asks {
             let to = self.nodes[node].owners[number(&upstream)];
             if to != usize::MAX {
                 net.send(node, to, Packet::ToOwner { upstream, message });
@@ -334,8 +338,8 @@
         }
     }
 
-    fn answer(net: &mut Net, node: usize, sends: Vec<Send>) {
-        for Send {
+    fn answer(net: &mut Net, node: usize, sends: Vec<HolderEnvelope>) {
+        for HolderEnvelope {
             to,
             upstream,
             message,
@@ -355,9 +359,9 @@
                     .remove_waiting(request, net.jobs[n].rank);
                 self.nodes[node].caches[engine].on_grant(&net.jobs[n].prefixes);
                 net.dispatch(n, engine);
-                self.ask(net, node, dispatch.sends);
+                self.ask(net, node, dispatch.messages);
             }
-            Err(DispatchError::Lapsed { sends }) => self.ask(net, node, sends),
+            Err(DispatchError::Lapsed { messages }) => self.ask(net, node, messages),
             Err(DispatchError::NotGranted) => {}
         }
     }
@@ -427,7 +431,7 @@
         let lowest = self.nodes[node].member.lowest_rank(net.now);
         for engine in 0..self.upstreams.len() {
             let queue = self.nodes[node].queues[engine].as_mut();
-            let sends = queue.map(|queue| queue.set_level(net.now, lowest));
+            let sends = queue.map(|queue| queue.set_lowest_rank(net.now, lowest));
             Self::answer(net, node, sends.unwrap_or_default());
         }
     }
@@ -466,7 +470,7 @@
             self.nodes[node].told_far = Some(net.now);
         }
         let queues = self.nodes[node].queues.iter().flatten();
-        let digests: Vec<(UpstreamId, Digest)> = queues
+        let digests: Vec<(UpstreamId, ReplicaDigest)> = queues
             .map(|q| (UpstreamId::clone(q.upstream()), q.digest(net.now)))
             .collect();
         for to in (0..NODES).filter(|to| far || zone_of(*to) == zone_of(node)) {
@@ -506,7 +510,7 @@
             .ended
             .zip(fate.first_token)
             .map(|(end, first)| end - first);
-        let outcome = Outcome {
+        let outcome = RequestOutcome {
             whole: true,
             first_token: first.filter(|_| whole),
             between_tokens: decoding.map(|took| took / job.decode as u32),
@@ -654,7 +658,7 @@
                     leaving: false,
                 };
                 let queue = self.nodes[node].queues[engine].as_mut();
-                let sends = queue.map(|queue| queue.on_report(net.now, report));
+                let sends = queue.map(|queue| queue.on_load_report(net.now, report));
                 Self::answer(net, node, sends.unwrap_or_default());
             }
         }
@@ -684,7 +688,7 @@
             for engine in 0..self.upstreams.len() {
                 let faulty = InstanceId::clone(&self.names[faulty]);
                 let queue = self.nodes[node].queues[engine].as_mut().filter(|_| gone);
-                let sends = queue.map(|queue| queue.on_holder_gone(net.now, &faulty));
+                let sends = queue.map(|queue| queue.on_holder_dead(net.now, &faulty));
                 Self::answer(net, node, sends.unwrap_or_default());
             }
         }
--- a/crates/decisions/src/credit/account.rs
+++ b/crates/decisions/src/credit/account.rs
@@ -9,7 +9,7 @@
 use super::precedence::{Precedence, is_cheap, needed_stock};
 use super::sources::{AccountContext, Sources};
 use super::{Charge, Credit, MessageNumber, Verdict};
-use crate::id::{Member, ShortName};
+use crate::id::{InstanceAddress, NameHash};
 
 /// Time constant over which the usage of an organisation is averaged.
 const USAGE_SMOOTHING: Duration = Duration::from_secs(1);
@@ -29,7 +29,7 @@
 /// A request that waits for credit.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Waiting {
-    pub(super) member: Member,
+    pub(super) member: InstanceAddress,
     pub(super) number: MessageNumber,
     /// Highest `tries` of the messages received for the request.
     pub(super) tries: u32,
@@ -46,13 +46,13 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct Outcome {
     pub(super) verdicts: Vec<(Waiting, Verdict)>,
-    pub(super) collect: Vec<Member>,
+    pub(super) collect: Vec<InstanceAddress>,
 }
 
 /// Credit account of one organisation.
 #[derive(Debug, Clone)]
 pub(super) struct Account {
-    pub(super) name: ShortName,
+    pub(super) name: NameHash,
     limit: Option<Limit>,
     accrual: Accrual,
     pub(super) batches: Batches,
@@ -67,7 +67,7 @@
 }
 
 impl Account {
-    pub(super) fn new(now: Instant, name: ShortName) -> Self {
+    pub(super) fn new(now: Instant, name: NameHash) -> Self {
         Self {
             name,
             limit: None,
@@ -108,7 +108,7 @@
     pub(super) fn add_waiting(
         &mut self,
         now: Instant,
-        member: Member,
+        member: InstanceAddress,
         number: MessageNumber,
         charge: Charge,
     ) {
@@ -255,7 +255,7 @@
         &mut self,
         now: Instant,
         cx: &AccountContext<'_>,
-        from: Member,
+        from: InstanceAddress,
         credit: &Credit,
     ) -> bool {
         let Some(collection) = self.sources.on_answer(now, from, credit.number) else {
--- a/crates/decisions/src/credit/fleet_view.rs
+++ b/crates/decisions/src/credit/fleet_view.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::id::{Member, ShortName};
+use crate::id::{InstanceAddress, NameHash};
 
 /// Distance of a zone from this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -22,13 +22,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Zone {
     /// Short name of the zone.
-    pub name: ShortName,
+    pub name: NameHash,
     /// Distance of the zone from this instance.
     pub distance: Distance,
     /// Number of instances in the zone, including unreachable ones.
     pub size: u32,
     /// Reachable instances of the zone, without this one.
-    pub members: Vec<Member>,
+    pub members: Vec<InstanceAddress>,
 }
 
 /// The fleet as one instance sees it.
@@ -48,13 +48,13 @@
     }
 
     /// Whether `member` is a reachable instance of any zone.
-    pub(super) fn has(&self, member: Member) -> bool {
+    pub(super) fn has(&self, member: InstanceAddress) -> bool {
         let has = |z: &Zone| z.members.contains(&member);
         self.zones.iter().any(has)
     }
 
     /// The zone of a reachable instance.
-    pub(super) fn zone_of(&self, member: Member) -> Option<&Zone> {
+    pub(super) fn zone_of(&self, member: InstanceAddress) -> Option<&Zone> {
         self.zones.iter().find(|z| z.members.contains(&member))
     }
 
@@ -63,14 +63,20 @@
     ///
     /// Instances that disagree about the coordinator ask different ones, which is slower but
     /// equally safe.
-    pub(super) fn coordinator<F>(&self, organisation: ShortName, own: Member, usable: F) -> Member
+    pub(super) fn coordinator<F>(
+        &self,
+        organisation: NameHash,
+        own: InstanceAddress,
+        usable: F,
+    ) -> InstanceAddress
     where
-        F: Fn(Member) -> bool,
+        F: Fn(InstanceAddress) -> bool,
     {
         let home = self.zones.first().map_or(&[][..], |z| &z.members);
         let others = home.iter().copied().filter(|m| usable(*m));
         let ranked = others.chain(self.accrues_since.map(|_| own));
-        let rank = |m: &Member| xxh3_64_with_seed(&m.to_be_bytes(), u64::from(organisation));
+        let rank =
+            |m: &InstanceAddress| xxh3_64_with_seed(&m.to_be_bytes(), u64::from(organisation));
         ranked.min_by_key(|m| Reverse(rank(m))).unwrap_or(own)
     }
 }
--- a/crates/decisions/src/credit/ledger.rs
+++ b/crates/decisions/src/credit/ledger.rs
@@ -11,7 +11,7 @@
 use super::running_time::RunningTime;
 use super::sources::AccountContext;
 use super::{Charge, Credit, GRANT_VALIDITY, Message, MessageNumber, Verdict};
-use crate::id::{Member, ShortName};
+use crate::id::{InstanceAddress, NameHash};
 
 /// Time after which an unanswered coordinator, or the one that replaced it, is asked again.
 const RESEND_AFTER: Duration = Duration::from_millis(100);
@@ -33,12 +33,12 @@
 #[derive(Debug, Clone)]
 struct Pending {
     number: MessageNumber,
-    organisation: ShortName,
+    organisation: NameHash,
     charge: Charge,
     asked_first: Instant,
     /// Send times of its messages, in order.
     sent: Vec<Instant>,
-    coordinator: Member,
+    coordinator: InstanceAddress,
     /// Number of messages to the current coordinator since it last answered.
     unanswered_tries: u32,
     /// When the coordinator last confirmed that the request is queued; first, when the request was
@@ -64,7 +64,7 @@
 /// A verdict that was sent to another instance, kept to answer resent messages.
 #[derive(Debug, Clone)]
 struct Answered {
-    member: Member,
+    member: InstanceAddress,
     number: MessageNumber,
     tries: u32,
     verdict: Verdict,
@@ -77,7 +77,7 @@
 /// [`Ledger::take_verdicts`].
 #[derive(Debug, Clone)]
 pub struct Ledger {
-    own: Member,
+    own: InstanceAddress,
     span: Duration,
     tolerance: Tolerance,
     fleet: FleetView,
@@ -87,16 +87,16 @@
     accounts: Vec<Account>,
     pending: Vec<Pending>,
     answered: Vec<Answered>,
-    suspects: Vec<(Member, Instant)>,
+    suspects: Vec<(InstanceAddress, Instant)>,
     last_number: MessageNumber,
-    messages: Vec<(Member, Message)>,
+    messages: Vec<(InstanceAddress, Message)>,
     verdicts: Vec<(MessageNumber, Verdict)>,
 }
 
 impl Ledger {
     /// Creates a ledger without credit; `incarnation` distinguishes its messages from those of
     /// earlier incarnations.
-    pub fn new(own: Member, incarnation: u64) -> Self {
+    pub fn new(own: InstanceAddress, incarnation: u64) -> Self {
         Self {
             own,
             span: Duration::from_secs(1),
@@ -146,7 +146,7 @@
     pub fn request(
         &mut self,
         now: Instant,
-        organisation: ShortName,
+        organisation: NameHash,
         limit: Limit,
         charge: Charge,
     ) -> MessageNumber {
@@ -185,7 +185,7 @@
     pub fn on_message(
         &mut self,
         now: Instant,
-        from: Member,
+        from: InstanceAddress,
         message: Message,
         limit: Option<Limit>,
     ) {
@@ -223,8 +223,8 @@
     fn on_ask(
         &mut self,
         now: Instant,
-        (from, number, tries): (Member, MessageNumber, u32),
-        organisation: ShortName,
+        (from, number, tries): (InstanceAddress, MessageNumber, u32),
+        organisation: NameHash,
         charge: Charge,
         limit: Option<Limit>,
     ) {
@@ -273,9 +273,9 @@
     fn on_collect(
         &mut self,
         now: Instant,
-        from: Member,
+        from: InstanceAddress,
         number: MessageNumber,
-        organisation: ShortName,
+        organisation: NameHash,
     ) {
         let index = self.account_index(now, organisation);
         let is_coordinator = self.coordinator(now, organisation) == self.own;
@@ -288,7 +288,7 @@
         self.messages.push((from, Message::Credit(credit)));
     }
 
-    fn on_credit(&mut self, now: Instant, from: Member, credit: &Credit) {
+    fn on_credit(&mut self, now: Instant, from: InstanceAddress, credit: &Credit) {
         let index = self.account_index(now, credit.organisation);
         let cx = context(
             &self.fleet,
@@ -317,7 +317,7 @@
     /// milliseconds while the ledger is not idle.
     pub fn on_tick(&mut self, now: Instant) {
         let waits = |a: &Account| !a.waiting.is_empty();
-        let waiting: Vec<ShortName> = self
+        let waiting: Vec<NameHash> = self
             .accounts
             .iter()
             .filter(|a| waits(a))
@@ -367,13 +367,13 @@
     }
 
     /// Refunds the credit of a request that did not run.
-    pub fn refund(&mut self, now: Instant, organisation: ShortName, batch: Batch) {
+    pub fn refund(&mut self, now: Instant, organisation: NameHash, batch: Batch) {
         let index = self.account_index(now, organisation);
         self.accounts[index].batches.add(now, batch);
     }
 
     /// Removes and returns the messages to send, with their receivers.
-    pub fn take_messages(&mut self) -> Vec<(Member, Message)> {
+    pub fn take_messages(&mut self) -> Vec<(InstanceAddress, Message)> {
         std::mem::take(&mut self.messages)
     }
 
@@ -383,8 +383,8 @@
     }
 
     /// The instance that coordinates an organisation's credit.
-    pub fn coordinator(&self, now: Instant, organisation: ShortName) -> Member {
-        let usable = |m: Member| {
+    pub fn coordinator(&self, now: Instant, organisation: NameHash) -> InstanceAddress {
+        let usable = |m: InstanceAddress| {
             !self
                 .suspects
                 .iter()
@@ -394,7 +394,7 @@
     }
 
     /// Fleet-wide accrual of an organisation, by the limit that was last applied.
-    pub fn accrual(&self, organisation: ShortName) -> Option<Accrual> {
+    pub fn accrual(&self, organisation: NameHash) -> Option<Accrual> {
         let index = self.position(organisation).ok()?;
         Some(self.accounts[index].accrual())
     }
@@ -416,7 +416,7 @@
 
     /// Decides on the waiting requests of an organisation and sends the resulting verdicts and
     /// collections.
-    fn serve(&mut self, now: Instant, organisation: ShortName) {
+    fn serve(&mut self, now: Instant, organisation: NameHash) {
         let index = self.account_index(now, organisation);
         let cx = context(
             &self.fleet,
@@ -473,13 +473,13 @@
         self.last_number
     }
 
-    fn position(&self, organisation: ShortName) -> Result<usize, usize> {
+    fn position(&self, organisation: NameHash) -> Result<usize, usize> {
         self.accounts
             .binary_search_by_key(&organisation, |a| a.name)
     }
 
     /// Index of the account of an organisation, which is created if missing.
-    fn account_index(&mut self, now: Instant, organisation: ShortName) -> usize {
+    fn account_index(&mut self, now: Instant, organisation: NameHash) -> usize {
         self.position(organisation).unwrap_or_else(|index| {
             self.accounts.insert(index, Account::new(now, organisation));
             index
--- a/crates/decisions/src/credit/message.rs
+++ b/crates/decisions/src/credit/message.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::id::ShortName;
+use crate::id::NameHash;
 
 /// Number of a request or collection, unique per sender and across its restarts.
 pub type MessageNumber = u64;
@@ -15,7 +15,7 @@
         /// Number of the request at the sender.
         number: MessageNumber,
         /// Organisation whose limit the request counts towards.
-        organisation: ShortName,
+        organisation: NameHash,
         /// Cost in units of the limit.
         cost: f64,
         /// Priority class, lower first.
@@ -44,7 +44,7 @@
         /// Number of the collection at the sender.
         number: MessageNumber,
         /// Organisation whose credit is collected.
-        organisation: ShortName,
+        organisation: NameHash,
     },
     /// To a coordinator: credit that the sender has given away.
     Credit(Credit),
@@ -56,7 +56,7 @@
     /// Number of the answered collection.
     pub number: MessageNumber,
     /// Organisation whose credit this is.
-    pub organisation: ShortName,
+    pub organisation: NameHash,
     /// Microseconds of the sender's running time that had not been given away before.
     pub time_us: u64,
     /// Largest size of the sender's zone that it observed during that time.
--- a/crates/decisions/src/credit/sources.rs
+++ b/crates/decisions/src/credit/sources.rs
@@ -9,7 +9,7 @@
 use super::accrual::Accrual;
 use super::fleet_view::{Distance, FleetView, Zone};
 use super::running_time::RunningTime;
-use crate::id::{Member, ShortName};
+use crate::id::{InstanceAddress, NameHash};
 
 /// Time within which a collection must be answered, indexed by [`Distance`].
 const ANSWER_TIMEOUT: [Duration; 3] = [
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PendingCollection {
     number: MessageNumber,
-    from: Member,
+    from: InstanceAddress,
     /// When the collection was sent.
     pub(super) sent: Instant,
     /// Units that the answer is expected to bring.
@@ -74,7 +74,7 @@
 /// Measured yield of a zone: the fraction of the expected credit that it delivered.
 #[derive(Debug, Clone, Copy)]
 struct ZoneYield {
-    zone: ShortName,
+    zone: NameHash,
     part: f64,
     at: Instant,
 }
@@ -94,7 +94,7 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct Sources {
     /// When each instance was last asked; sorted by instance.
-    last_asked: Vec<(Member, Instant)>,
+    last_asked: Vec<(InstanceAddress, Instant)>,
     collections: Vec<PendingCollection>,
     yields: Vec<ZoneYield>,
 }
@@ -145,7 +145,7 @@
         cx: &AccountContext<'_>,
         accrual: Accrual,
         wanted_amount: f64,
-    ) -> Vec<Member> {
+    ) -> Vec<InstanceAddress> {
         let mut chosen = Vec::new();
         let mut remaining = wanted_amount;
         for zone in &cx.fleet.zones {
@@ -173,7 +173,7 @@
         now: Instant,
         cx: &AccountContext<'_>,
         accrual: Accrual,
-        from: Member,
+        from: InstanceAddress,
         number: MessageNumber,
     ) {
         let Some(zone) = cx.fleet.zone_of(from) else {
@@ -198,7 +198,7 @@
     pub(super) fn on_answer(
         &mut self,
         now: Instant,
-        from: Member,
+        from: InstanceAddress,
         number: MessageNumber,
     ) -> Option<PendingCollection> {
         let answers = |c: &PendingCollection| c.number == number && c.from == from;
@@ -212,7 +212,7 @@
     pub(super) fn record_yield(
         &mut self,
         now: Instant,
-        zone: ShortName,
+        zone: NameHash,
         received: f64,
         expected_amount: f64,
     ) {
@@ -238,7 +238,7 @@
         cx: &AccountContext<'_>,
         accrual: Accrual,
         zone: &Zone,
-        member: Member,
+        member: InstanceAddress,
     ) -> f64 {
         let accrued_since = self
             .last_asked_at(member)
@@ -249,13 +249,13 @@
         cx.worth(accrual, passed, zone.size)
     }
 
-    fn last_asked_at(&self, member: Member) -> Option<Instant> {
+    fn last_asked_at(&self, member: InstanceAddress) -> Option<Instant> {
         let found = self.last_asked.binary_search_by_key(&member, |(m, _)| *m);
         found.ok().map(|i| self.last_asked[i].1)
     }
 
     /// Fraction of the expected credit that the zone is assumed to deliver now.
-    fn zone_yield(&self, now: Instant, zone: ShortName) -> f64 {
+    fn zone_yield(&self, now: Instant, zone: NameHash) -> f64 {
         let Some(measured) = self.yields.iter().find(|y| y.zone == zone) else {
             return 1.0;
         };
--- a/crates/decisions/src/dispatch/choice.rs
+++ b/crates/decisions/src/dispatch/choice.rs
@@ -9,7 +9,7 @@
 use super::size::Reading;
 use super::upstream::Upstream;
 use super::urgency::{self, Waiting};
-use super::{Dispatch, Job, Why};
+use super::{ChoiceDetails, Dispatcher, Job};
 use crate::id::{ServiceId, UpstreamId};
 
 /// What a new connection costs, counted as time. Users pay for each, and sixty instances that spread
@@ -24,7 +24,7 @@
 /// come free and would send there at once; of a few picked at random the best is nearly as good.
 const FAR_CHOICES: u64 = 3;
 
-impl Dispatch {
+impl Dispatcher {
     /// The replicas that can take one more request now. When all are full, which is when most
     /// requests wait, nothing else is looked at.
     pub(super) fn open(&mut self, now: Instant) -> Vec<usize> {
@@ -54,7 +54,7 @@
         w: &Waiting,
         candidates: C,
         warm: &W,
-    ) -> Option<(usize, Why)>
+    ) -> Option<(usize, ChoiceDetails)>
     where
         C: Iterator<Item = usize>,
         W: Fn(&UpstreamId) -> bool,
@@ -64,7 +64,7 @@
         let ends_elsewhere = LazyCell::new(|| self.ends_somewhere(now, job, &reading));
         let usual = self.usual_failing(now, &job.service);
         let far = self.upstreams.iter().filter(|u| is_far(u, job)).count() as u64;
-        let mut best: Option<(usize, Why)> = None;
+        let mut best: Option<(usize, ChoiceDetails)> = None;
         let mut with_room = 0;
         for index in candidates {
             let u = &self.upstreams[index];
@@ -81,17 +81,25 @@
             let opening_ms = if warm(&u.replica.id) { 0.0 } else { OPENING_MS };
             let cost_ms = u.cost_ms(now, job, &reading, usual) + opening_ms;
             if best.is_none_or(|(_, least)| cost_ms < least.cost_ms) {
-                let why = Why {
+                let why = ChoiceDetails {
                     cost_ms,
-                    with_room,
-                    own: u.running.len() as u32,
-                    elsewhere: u.elsewhere,
-                    cold: u.is_cold(now),
+                    replicas_with_room: with_room,
+                    own_running: u.running.len() as u32,
+                    remote_running: u.elsewhere,
+                    is_cold: u.is_cold(now),
                 };
                 best = Some((index, why));
             }
         }
-        best.map(|(index, why)| (index, Why { with_room, ..why }))
+        best.map(|(index, why)| {
+            (
+                index,
+                ChoiceDetails {
+                    replicas_with_room: with_room,
+                    ..why
+                },
+            )
+        })
     }
 
     /// Whether some replica that takes work would end the answer in time.
@@ -110,7 +118,14 @@
     /// Whether a place that is free at the replica is this instance's to take.
     fn may_take(&self, now: Instant, u: &Upstream, w: &Waiting) -> bool {
         let id = &u.replica.id;
-        let patience = urgency::patience(now, w, self.key, &self.contenders, id, u.replica.news);
+        let patience = urgency::patience(
+            now,
+            w,
+            self.key,
+            &self.contenders,
+            id,
+            u.replica.propagation_delay,
+        );
         patience.is_some_and(|p| u.free_for(now) >= p)
     }
 
@@ -126,7 +141,7 @@
 
 /// Whether a replica stands so far off that its load is known late.
 fn is_far(u: &Upstream, job: &Job) -> bool {
-    u.replica.travel >= FAR && serves(u, job)
+    u.replica.network_round_trip >= FAR && serves(u, job)
 }
 
 /// Whether a far replica is among the few that this request looks at.
@@ -141,5 +156,5 @@
 }
 
 fn fits(u: &Upstream, job: &Job) -> bool {
-    serves(u, job) && !job.tried.contains(&u.replica.id)
+    serves(u, job) && !job.tried_replicas.contains(&u.replica.id)
 }
--- a/crates/decisions/src/dispatch/urgency.rs
+++ b/crates/decisions/src/dispatch/urgency.rs
@@ -35,7 +35,7 @@
 const OWN_MS: u64 = 200;
 
 /// Urgency of a request, the lowest first: its organisation's rank, and its tier in halves.
-pub type Class = (u32, u32);
+pub type PriorityClass = (u32, u32);
 
 /// A request that waits, and by how many halves of a tier it is set back for its size.
 #[derive(Debug)]
@@ -46,10 +46,10 @@
 
 impl Waiting {
     /// Its class now; it sinks once the request can't be on time any more.
-    pub(super) fn class(&self, now: Instant) -> Class {
+    pub(super) fn class(&self, now: Instant) -> PriorityClass {
         let job = &self.job;
-        let late = LATE * u32::from(now + FIRST_EVENT >= job.due);
-        (job.rank.0, job.rank.1 * 2 + self.setback + late)
+        let late = LATE * u32::from(now + FIRST_EVENT >= job.slo_deadline);
+        (job.priority.0, job.priority.1 * 2 + self.setback + late)
     }
 }
 
@@ -59,13 +59,13 @@
 
 /// Another instance of the zone at which requests for a service wait.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Contender {
+pub struct Competitor {
     /// The service.
     pub service: ServiceId,
     /// The instance, by a number that all give it alike.
-    pub key: u32,
+    pub address: u32,
     /// The most urgent class that waits there.
-    pub class: Class,
+    pub class: PriorityClass,
 }
 
 /// How long a free place must have been free before this instance's request may take it; `None` if
@@ -76,7 +76,7 @@
     now: Instant,
     w: &Waiting,
     own_key: u32,
-    contenders: &[Contender],
+    contenders: &[Competitor],
     replica: &UpstreamId,
     news: Duration,
 ) -> Option<Duration> {
@@ -86,7 +86,7 @@
         return None;
     }
     let mine = claim(own_key, replica);
-    let first = others().all(|c| c.class > class || claim(c.key, replica) <= mine);
+    let first = others().all(|c| c.class > class || claim(c.address, replica) <= mine);
     Some(if first { news } else { news + NEIGHBOUR })
 }
 
@@ -97,6 +97,6 @@
 
 /// Whether the request goes by its own instance's queue alone now.
 fn is_own_time(now: Instant, job: &Job) -> bool {
-    let waited = now.saturating_duration_since(job.received).as_millis() as u64;
+    let waited = now.saturating_duration_since(job.received_at).as_millis() as u64;
     (waited + job.salt % ROUND_MS) % ROUND_MS < OWN_MS
 }
--- a/crates/decisions/src/fanout.rs
+++ b/crates/decisions/src/fanout.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::id::Member;
+use crate::id::InstanceAddress;
 
 /// Number of instances that one relay serves.
 const INSTANCES_PER_RELAY: usize = 12;
@@ -36,9 +36,9 @@
 #[derive(Debug, Default)]
 pub struct Relays {
     /// Current relays, and the time since which each is one.
-    relays_since: Vec<(Member, Instant)>,
+    relays_since: Vec<(InstanceAddress, Instant)>,
     /// Instances that must not become relays, and the time until which that applies.
-    excluded: Vec<(Member, Instant)>,
+    excluded: Vec<(InstanceAddress, Instant)>,
 }
 
 impl Relays {
@@ -48,15 +48,15 @@
     pub fn update<F>(
         &mut self,
         now: Instant,
-        own: Member,
-        reachable: &[Member],
+        own: InstanceAddress,
+        reachable: &[InstanceAddress],
         sent_at: F,
-    ) -> Vec<Member>
+    ) -> Vec<InstanceAddress>
     where
-        F: Fn(Member) -> Option<Instant>,
+        F: Fn(InstanceAddress) -> Option<Instant>,
     {
         self.excluded.retain(|(_, until)| *until > now);
-        let silent: Vec<Member> = self
+        let silent: Vec<InstanceAddress> = self
             .relays_since
             .iter()
             .filter(|(relay, since)| {
@@ -67,8 +67,8 @@
             .collect();
         let until = silent.iter().map(|relay| (*relay, now + EXCLUDED_FOR));
         self.excluded.extend(until);
-        let is_excluded = |m: &Member| self.excluded.iter().any(|(p, _)| p == m);
-        let mut members: Vec<Member> = reachable
+        let is_excluded = |m: &InstanceAddress| self.excluded.iter().any(|(p, _)| p == m);
+        let mut members: Vec<InstanceAddress> = reachable
             .iter()
             .copied()
             .filter(|m| !is_excluded(m))
@@ -82,13 +82,13 @@
     }
 
     /// Whether an instance is a relay.
-    pub fn contains(&self, member: Member) -> bool {
+    pub fn contains(&self, member: InstanceAddress) -> bool {
         self.relays_since.iter().any(|(r, _)| *r == member)
     }
 
     /// Returns the instances that `own` sends its updates to. `others` are the other instances of
     /// its zone.
-    pub fn receivers(&self, own: Member, others: &[Member]) -> Receivers {
+    pub fn receivers(&self, own: InstanceAddress, others: &[InstanceAddress]) -> Receivers {
         let relay = self.relay_for(own).filter(|relay| *relay != own);
         let is_small = others.len() < MAX_FULL_MESH;
         let neighbours = others.iter().copied().filter(|m| Some(*m) != relay);
@@ -99,8 +99,8 @@
     }
 
     /// The relay that serves a member.
-    pub fn relay_for(&self, member: Member) -> Option<Member> {
-        let relays: Vec<Member> = self.relays_since.iter().map(|(r, _)| *r).collect();
+    pub fn relay_for(&self, member: InstanceAddress) -> Option<InstanceAddress> {
+        let relays: Vec<InstanceAddress> = self.relays_since.iter().map(|(r, _)| *r).collect();
         relay_of(member, &relays)
     }
 }
@@ -109,13 +109,13 @@
 #[derive(Debug, PartialEq, Eq)]
 pub struct Receivers {
     /// The relay; `None` if the instance is its own relay.
-    pub relay: Option<Member>,
+    pub relay: Option<InstanceAddress>,
     /// The other instances of a small zone; `None` if the relay forwards to the zone.
-    pub neighbours: Option<Vec<Member>>,
+    pub neighbours: Option<Vec<InstanceAddress>>,
 }
 
 /// Selects the relays among the members of a zone, by rank.
-pub fn choose_relays(members: &[Member]) -> Vec<Member> {
+pub fn choose_relays(members: &[InstanceAddress]) -> Vec<InstanceAddress> {
     let mut ranked = members.to_vec();
     ranked.sort_unstable_by_key(|m| Reverse((rank(*m, 0), *m)));
     ranked.dedup();
@@ -124,7 +124,7 @@
 }
 
 /// The relay that serves a member.
-pub fn relay_of(member: Member, relays: &[Member]) -> Option<Member> {
+pub fn relay_of(member: InstanceAddress, relays: &[InstanceAddress]) -> Option<InstanceAddress> {
     let own = relays.iter().find(|r| **r == member);
     let ranked = relays
         .iter()
@@ -132,6 +132,6 @@
     own.or(ranked).copied()
 }
 
-fn rank(member: Member, seed: u64) -> u64 {
+fn rank(member: InstanceAddress, seed: u64) -> u64 {
     xxh3_64_with_seed(&member.to_be_bytes(), seed)
 }
--- a/crates/decisions/src/idempotency/receiver.rs
+++ b/crates/decisions/src/idempotency/receiver.rs
@@ -1,4 +1,4 @@
-//! The life of one call with a key at the instance where it came in.
+//! State machine of one call with a key at the instance that received it.
 
 use std::sync::Arc;
 
@@ -6,172 +6,178 @@
 
 use crate::id::{Incarnation, InstanceId, UpstreamId};
 
-use super::{FromWitness, Key, NotRun, Outcome, Successor, ToWitness};
+use super::{Key, KeyOutcome, KeySuccessor, NotRun, WitnessReply, WitnessRequest};
 
-/// Answer of a key's issuer to a call that was passed on to it.
+/// Reply of a key's issuer to a call that was forwarded to it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum FromIssuer {
-    /// What became of the key.
-    Outcome(Outcome),
-    /// This call did not run for want of capacity or by a limit; the key may be used again.
+pub enum IssuerReply {
+    /// The outcome of the key is final.
+    Outcome(KeyOutcome),
+    /// The call did not run, as it was shed or exceeded a limit; the key may be used again.
     Refused,
-    /// The records were handed over.
+    /// The records were handed over to another instance.
     Moved {
-        /// The instance that knows.
+        /// The instance that holds the records now.
         successor: InstanceId,
     },
-    /// Another life of the instance issued the key, or the record was never here.
+    /// Another incarnation issued the key, or this instance has no record of it.
     NotHere,
 }
 
-/// What the receiving instance has to do next.
+/// Next action of the instance that received the call.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Step {
-    /// Pass the call on to the key's issuer.
+pub enum ReceiverStep {
+    /// Forward the call to the key's issuer.
     Forward {
         /// The issuer.
         to: InstanceId,
     },
-    /// Ask the successor of a leaver what became of the key; never for a dispatch.
+    /// Look up the outcome of the key at the successor of its issuer; this never dispatches the
+    /// call.
     LookUp {
         /// The successor.
         to: InstanceId,
     },
     /// Ask the witness to close the key.
     Close {
-        /// The witness.
+        /// The instance that runs the witness.
         to: InstanceId,
-        /// The message.
-        message: ToWitness,
+        /// A [`WitnessRequest::Close`].
+        message: WitnessRequest,
     },
-    /// Answer the caller.
-    Answer(Outcome),
-    /// Refuse the caller; it did not run, and the key may be used again.
+    /// Send the outcome to the caller.
+    Answer(KeyOutcome),
+    /// Refuse the call; it did not run, and the key may be used again.
     Refuse,
 }
 
-/// Whom the call waits for.
+/// Which reply the call waits for.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum Stage {
+enum ReceiverState {
+    /// That of the issuer.
     Issuer,
-    /// A successor that the issuer named; if it does not know, the witness decides.
+    /// A successor that the issuer named; if it has no record, the witness decides.
     Successor,
+    /// That of the witness, which was asked to close the key.
     Witness,
-    /// A successor that the witness named; if it does not know, nobody does.
-    Forwarded {
-        upstream: UpstreamId,
-    },
+    /// A successor that the witness named; if it has no record, the outcome is unknown.
+    Forwarded { upstream: UpstreamId },
+    /// None; the caller was answered.
     Answered,
 }
 
-/// One call with a key, at the instance where it came in.
+/// One call with a key at the instance that received it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Receiver {
     key: Key,
-    stage: Stage,
+    state: ReceiverState,
 }
 
 impl Receiver {
-    /// Begins with a call whose key was checked. `issuer` is the latest incarnation of the
-    /// issuer that is known here; a later one than the key's means that the issuer's life ended.
-    pub fn start(key: Key, issuer: Option<Incarnation>) -> Started {
+    /// Starts the call; its key was verified.
+    ///
+    /// `latest_incarnation` is the latest incarnation of the issuer that this instance has seen. If it is later
+    /// than the key's, the issuer has restarted and the witness is asked at once.
+    pub fn start(key: Key, latest_incarnation: Option<Incarnation>) -> StartedReceiver {
         let mut receiver = Self {
             key,
-            stage: Stage::Issuer,
+            state: ReceiverState::Issuer,
         };
-        let step = if issuer.is_some_and(|known| known > receiver.key.incarnation) {
-            receiver.close()
+        let step = if latest_incarnation.is_some_and(|latest| latest > receiver.key.incarnation) {
+            receiver.close_at_witness()
         } else {
-            Step::Forward {
+            ReceiverStep::Forward {
                 to: Arc::clone(&receiver.key.issuer),
             }
         };
-        Started { receiver, step }
+        StartedReceiver { receiver, step }
     }
 
-    /// Takes the answer of the issuer or of a successor.
-    pub fn on_issuer(&mut self, answer: FromIssuer) -> Option<Step> {
-        match (&self.stage, answer) {
+    /// Handles the reply of the issuer or of a successor.
+    pub fn on_issuer_reply(&mut self, reply: IssuerReply) -> Option<ReceiverStep> {
+        match (&self.state, reply) {
             (
-                Stage::Issuer | Stage::Successor | Stage::Forwarded { .. },
-                FromIssuer::Outcome(o),
-            ) => Some(self.answer(o)),
-            (Stage::Issuer, FromIssuer::Refused) => {
-                self.stage = Stage::Answered;
-                Some(Step::Refuse)
+                ReceiverState::Issuer | ReceiverState::Successor | ReceiverState::Forwarded { .. },
+                IssuerReply::Outcome(outcome),
+            ) => Some(self.end_with(outcome)),
+            (ReceiverState::Issuer, IssuerReply::Refused) => {
+                self.state = ReceiverState::Answered;
+                Some(ReceiverStep::Refuse)
             }
-            (Stage::Issuer, FromIssuer::Moved { successor }) => {
-                self.stage = Stage::Successor;
-                Some(Step::LookUp { to: successor })
+            (ReceiverState::Issuer, IssuerReply::Moved { successor }) => {
+                self.state = ReceiverState::Successor;
+                Some(ReceiverStep::LookUp { to: successor })
             }
-            (Stage::Witness | Stage::Answered, _) => None,
-            _ => Some(self.lost()),
+            (ReceiverState::Witness | ReceiverState::Answered, _) => None,
+            _ => Some(self.on_no_reply()),
         }
     }
 
-    /// Takes the answer of the witness.
-    pub fn on_witness(&mut self, answer: FromWitness) -> Option<Step> {
-        if self.stage != Stage::Witness {
+    /// Handles the reply of the witness.
+    pub fn on_witness_reply(&mut self, reply: WitnessReply) -> Option<ReceiverStep> {
+        if self.state != ReceiverState::Witness {
             return None;
         }
-        Some(match answer {
-            FromWitness::Closed => self.answer(Outcome::NotRun(NotRun::Closed)),
-            FromWitness::MayHaveRun { upstream } => self.answer(Outcome::Unknown {
+        Some(match reply {
+            WitnessReply::Closed => self.end_with(KeyOutcome::NotRun(NotRun::Closed)),
+            WitnessReply::MayHaveRun { upstream } => self.end_with(KeyOutcome::Unknown {
                 upstream: Some(upstream),
             }),
-            FromWitness::Forwarded(Successor { instance, upstream }) => {
-                self.stage = Stage::Forwarded { upstream };
-                Step::LookUp { to: instance }
+            WitnessReply::Forwarded(KeySuccessor { instance, upstream }) => {
+                self.state = ReceiverState::Forwarded { upstream };
+                ReceiverStep::LookUp { to: instance }
             }
-            FromWitness::Permitted
-            | FromWitness::Repeated
-            | FromWitness::Lost
-            | FromWitness::Noted => self.answer(Outcome::Unknown { upstream: None }),
+            WitnessReply::Permitted
+            | WitnessReply::Repeated
+            | WitnessReply::Lost
+            | WitnessReply::Noted => self.end_with(KeyOutcome::Unknown { upstream: None }),
         })
     }
 
-    /// Whoever the call waits for can't be reached or has not answered in time.
-    pub fn on_unreachable(&mut self) -> Option<Step> {
-        (self.stage != Stage::Answered).then(|| self.lost())
+    /// The instance whose reply the call waits for is unreachable or did not reply in time.
+    pub fn on_unreachable(&mut self) -> Option<ReceiverStep> {
+        (self.state != ReceiverState::Answered).then(|| self.on_no_reply())
     }
 
-    fn lost(&mut self) -> Step {
-        match &self.stage {
-            Stage::Issuer | Stage::Successor => self.close(),
-            Stage::Forwarded { upstream } => {
+    fn on_no_reply(&mut self) -> ReceiverStep {
+        match &self.state {
+            ReceiverState::Issuer | ReceiverState::Successor => self.close_at_witness(),
+            ReceiverState::Forwarded { upstream } => {
                 let upstream = Some(Arc::clone(upstream));
-                self.answer(Outcome::Unknown { upstream })
+                self.end_with(KeyOutcome::Unknown { upstream })
+            }
+            ReceiverState::Witness | ReceiverState::Answered => {
+                self.end_with(KeyOutcome::Unknown { upstream: None })
             }
-            Stage::Witness | Stage::Answered => self.answer(Outcome::Unknown { upstream: None }),
         }
     }
 
-    fn close(&mut self) -> Step {
+    fn close_at_witness(&mut self) -> ReceiverStep {
         let Some(witness) = &self.key.witness else {
-            return self.answer(Outcome::Unknown { upstream: None });
+            return self.end_with(KeyOutcome::Unknown { upstream: None });
         };
-        self.stage = Stage::Witness;
-        Step::Close {
+        self.state = ReceiverState::Witness;
+        ReceiverStep::Close {
             to: Arc::clone(&witness.instance),
-            message: ToWitness::Close {
+            message: WitnessRequest::Close {
                 key: self.key.id(),
                 witness: witness.incarnation,
             },
         }
     }
 
-    fn answer(&mut self, outcome: Outcome) -> Step {
-        self.stage = Stage::Answered;
-        Step::Answer(outcome)
+    fn end_with(&mut self, outcome: KeyOutcome) -> ReceiverStep {
+        self.state = ReceiverState::Answered;
+        ReceiverStep::Answer(outcome)
     }
 }
 
-/// A call and its first step.
+/// A started call and its first step.
 #[derive(Debug)]
-pub struct Started {
+pub struct StartedReceiver {
     /// The call.
     pub receiver: Receiver,
-    /// What to do first.
-    pub step: Step,
+    /// The first step.
+    pub step: ReceiverStep,
 }
--- a/crates/decisions/tests/credit.rs
+++ b/crates/decisions/tests/credit.rs
@@ -6,7 +6,7 @@
     Accrual, Batch, Charge, Credit, Distance, FleetView, GRANT_VALIDITY, Ledger, Limit, Message,
     Tolerance, Verdict, Zone,
 };
-use kingcupfield_decisions::id::Member;
+use kingcupfield_decisions::id::InstanceAddress;
 use proptest::prelude::*;
 use tokio::time::Instant;
 use yare::parameterized;
@@ -25,7 +25,7 @@
 const STEP: Duration = Duration::from_millis(20);
 
 /// A fleet of one zone with `size` instances, of which `reachable` are reachable.
-fn fleet_view(now: Instant, size: u32, reachable: &[Member]) -> FleetView {
+fn fleet_view(now: Instant, size: u32, reachable: &[InstanceAddress]) -> FleetView {
     FleetView {
         zones: vec![Zone {
             name: 1,
@@ -102,9 +102,9 @@
 /// Simulates a fleet for 24 s; returns when each request was granted, and its cost.
 fn admitted(case: &Case) -> Vec<(Instant, f64)> {
     let start = Instant::now();
-    let all: Vec<Member> = (0..case.instances).collect();
+    let all: Vec<InstanceAddress> = (0..case.instances).collect();
     let mut fleet: Vec<Ledger> = all.iter().map(|m| Ledger::new(*m, 1)).collect();
-    let mut in_transit: Vec<(Instant, Member, Member, Message)> = Vec::new();
+    let mut in_transit: Vec<(Instant, InstanceAddress, InstanceAddress, Message)> = Vec::new();
     let each = Duration::from_secs(1) / case.rate;
     let mut admitted = Vec::new();
     for step in 0..1200 {
@@ -116,7 +116,7 @@
             fleet[to as usize].on_message(now, from, message, Some(SMALL));
         }
         for (own, ledger) in all.iter().zip(&mut fleet) {
-            let reachable: Vec<Member> = all.iter().copied().filter(|m| m != own).collect();
+            let reachable: Vec<InstanceAddress> = all.iter().copied().filter(|m| m != own).collect();
             let reachable = if case.partitioned {
                 &[]
             } else {
@@ -363,7 +363,7 @@
 fn credit_counts_once_and_in_time(after: Duration, other: u64, counts: bool) {
     let start = Instant::now();
     let now = start + SPAN;
-    let coordinator = |own: Member| {
+    let coordinator = |own: InstanceAddress| {
         let mut ledger = Ledger::new(own, 1);
         ledger.set_bounds(SPAN, TOLERANCE);
         ledger.set_fleet(start, &fleet_view(start, 2, &[99]));
@@ -424,7 +424,7 @@
 #[test]
 fn a_dead_coordinator_is_replaced() {
     let start = Instant::now();
-    let others: Vec<Member> = (100..103).collect();
+    let others: Vec<InstanceAddress> = (100..103).collect();
     let mut ledger = Ledger::new(1, 1);
     ledger.set_bounds(SPAN, TOLERANCE);
     let mut view = fleet_view(start, 4, &others);
--- a/crates/decisions/tests/credit_use.rs
+++ b/crates/decisions/tests/credit_use.rs
@@ -6,7 +6,7 @@
 use kingcupfield_decisions::credit::{
     Charge, Distance, FleetView, Ledger, Limit, Message, Verdict, Zone,
 };
-use kingcupfield_decisions::id::Member;
+use kingcupfield_decisions::id::InstanceAddress;
 use rand::{RngExt as _, SeedableRng as _};
 use rand_chacha::ChaCha8Rng;
 use tokio::time::Instant;
@@ -45,7 +45,7 @@
     start: Instant,
     ledgers: Vec<Ledger>,
     up: bool,
-    in_transit: BTreeMap<(Instant, u64), (Member, Member, Message)>,
+    in_transit: BTreeMap<(Instant, u64), (InstanceAddress, InstanceAddress, Message)>,
     sent: u64,
     /// When requests were decided, and whether they were granted.
     decided: Vec<(Instant, bool)>,
@@ -73,7 +73,7 @@
     }
 
     /// Distance between the zones of two instances; two zones form a region.
-    fn distance(&self, one: Member, other: Member) -> Distance {
+    fn distance(&self, one: InstanceAddress, other: InstanceAddress) -> Distance {
         let (one, other) = (one % self.zones(), other % self.zones());
         if one == other {
             Distance::SameZone
@@ -98,10 +98,10 @@
             .collect();
     }
 
-    fn fleet_view(&self, own: Member, since: Instant) -> FleetView {
+    fn fleet_view(&self, own: InstanceAddress, since: Instant) -> FleetView {
         let mut zones: Vec<Zone> = (0..self.zones())
             .map(|zone| {
-                let members: Vec<Member> = (0..self.case.instances)
+                let members: Vec<InstanceAddress> = (0..self.case.instances)
                     .filter(|m| m % self.zones() == zone)
                     .collect();
                 Zone {
@@ -198,7 +198,7 @@
         }
     }
 
-    fn flush(&mut self, now: Instant, member: Member) {
+    fn flush(&mut self, now: Instant, member: InstanceAddress) {
         let ledger = &mut self.ledgers[member as usize];
         let granted = |v: &Verdict| matches!(v, Verdict::Granted { .. });
         let verdicts = ledger.take_verdicts();
--- a/crates/decisions/tests/support/limits.rs
+++ b/crates/decisions/tests/support/limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::credit::{Limit, Tolerance};
-use kingcupfield_decisions::id::ShortName;
+use kingcupfield_decisions::id::NameHash;
 use rand::{Rng, RngExt as _};
 
 /// Span over which the operator counts usage.
@@ -28,7 +28,7 @@
 };
 
 /// Organisation that the limits apply to.
-pub const ORGANISATION: ShortName = 7;
+pub const ORGANISATION: NameHash = 7;
 
 /// Largest request, in tokens.
 const MAX_COST: f64 = 40_000.0;
--- a/crates/entry/src/credit.rs
+++ b/crates/entry/src/credit.rs
@@ -1,4 +1,5 @@
-//! Credit of organisations' limits: asked for by requests, told between instances.
+//! Requests for credit of the organisations' limits, and the messages about credit between
+//! instances.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -7,49 +8,49 @@
 use kingcupfield_decisions::credit::{
     Batch, Charge, Distance, Limit, Message, MessageNumber, Verdict,
 };
-use kingcupfield_decisions::id::{Member, ShortName, short_name};
+use kingcupfield_decisions::id::{InstanceAddress, NameHash, name_hash};
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep};
 
-use crate::log::Weight;
-use crate::node::{Node, Stage};
+use crate::log::Priority;
+use crate::node::{Node, ProcessState};
 use crate::peers::PeerMessage;
 use crate::settings::Settings;
 use crate::table::Organisation;
 
-/// Time between two looks at requests that wait for credit.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval at which requests that wait for credit are checked.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a request was charged, and how it got that.
+/// The credit that a request was granted.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Charged {
-    /// What it took of the limit; nothing where there is no limit.
-    pub lot: Option<Batch>,
-    /// How long it waited for the credit.
+pub struct CreditGrant {
+    /// The credit batch that was charged; `None` if the organisation has no limit.
+    pub batch: Option<Batch>,
+    /// How long the request waited for the credit.
     pub waited: Duration,
-    /// The instance that gave it.
-    pub keeper: Option<Ipv4Addr>,
+    /// The credit coordinator that granted it.
+    pub coordinator: Option<Ipv4Addr>,
 }
 
 /// Why a request got no credit.
 #[derive(Debug, Clone, Copy)]
-pub struct Uncharged {
-    /// What the keeper decided.
+pub struct CreditDenial {
+    /// The verdict of the credit coordinator.
     pub verdict: Verdict,
     /// How long the request waited.
     pub waited: Duration,
-    /// The instance that was asked.
-    pub keeper: Ipv4Addr,
+    /// The credit coordinator that was asked.
+    pub coordinator: Ipv4Addr,
 }
 
-/// The time by which credit is counted. It goes on while the machine is suspended: credit that was at
-/// hand before would live longer than it may.
-fn now(node: &Node) -> Instant {
-    Instant::now() + node.clock.suspended()
+/// Time base of the credit ledger. It includes the time for which the machine was suspended:
+/// otherwise credit from before a suspension would outlive its expiry.
+fn credit_now(node: &Node) -> Instant {
+    Instant::now() + node.suspend_detector.total_suspended()
 }
 
-/// The zones of the deployment, by how far they are.
-pub fn zones(cfg: &Settings) -> Vec<(ShortName, Distance)> {
+/// The zones of the deployment with their distance from this instance.
+pub fn zone_distances(cfg: &Settings) -> Vec<(NameHash, Distance)> {
     let distance = |zone: &str, region: &str| {
         if zone == &*cfg.availability_zone {
             Distance::SameZone
@@ -62,90 +63,96 @@
     let mut zones: Vec<_> = cfg
         .regions_by_zone
         .iter()
-        .map(|(zone, region)| (short_name(zone), distance(zone, region)))
+        .map(|(zone, region)| (name_hash(zone), distance(zone, region)))
         .collect();
     if !cfg.regions_by_zone.contains_key(&*cfg.availability_zone) {
-        zones.push((short_name(&cfg.availability_zone), Distance::SameZone));
+        zones.push((name_hash(&cfg.availability_zone), Distance::SameZone));
     }
     zones
 }
 
-/// Takes a request's cost from its organisation's limit.
-pub async fn take(
+/// Charges a request's cost to its organisation's limit, waiting for the credit coordinator's
+/// verdict.
+pub async fn charge(
     node: &Node,
     organisation: &Organisation,
     limit: Limit,
     charge: Charge,
-) -> Result<Charged, Uncharged> {
-    let name = short_name(&organisation.name);
-    let began = now(node);
+) -> Result<CreditGrant, CreditDenial> {
+    let name = name_hash(&organisation.name);
+    let started = credit_now(node);
     let (tx, rx) = oneshot::channel();
-    let keeper = Ipv4Addr::from_bits(node.ledger.borrow().coordinator(began, name));
-    let number = node.ledger.borrow_mut().request(began, name, limit, charge);
-    node.verdicts.borrow_mut().push((number, tx));
+    let coordinator = Ipv4Addr::from_bits(node.credit_ledger.borrow().coordinator(started, name));
+    let number = node
+        .credit_ledger
+        .borrow_mut()
+        .request(started, name, limit, charge);
+    node.credit_waiters.borrow_mut().push((number, tx));
     flush(node);
-    let _forget = Forget { node, number };
+    let _guard = WaitGuard { node, number };
     let verdict = rx.await.unwrap_or(Verdict::Unanswered);
-    let waited = now(node).saturating_duration_since(began);
+    let waited = credit_now(node).saturating_duration_since(started);
     let Verdict::Granted { left_ms } = verdict else {
-        return Err(Uncharged {
+        return Err(CreditDenial {
             verdict,
             waited,
-            keeper,
+            coordinator,
         });
     };
-    let lot = Batch {
-        expires: began + Duration::from_millis(u64::from(left_ms)),
+    let batch = Batch {
+        expires: started + Duration::from_millis(u64::from(left_ms)),
         amount: charge.cost,
     };
-    Ok(Charged {
-        lot: Some(lot),
+    Ok(CreditGrant {
+        batch: Some(batch),
         waited,
-        keeper: Some(keeper),
+        coordinator: Some(coordinator),
     })
 }
 
-/// Takes back what a request was charged that did not run.
-pub fn give_back(node: &Node, organisation: &Organisation, charged: &Charged) {
-    if let Some(lot) = charged.lot {
-        let name = short_name(&organisation.name);
-        node.ledger.borrow_mut().refund(now(node), name, lot);
+/// Refunds the credit of a request that did not run.
+pub fn refund(node: &Node, organisation: &Organisation, grant: &CreditGrant) {
+    if let Some(batch) = grant.batch {
+        let name = name_hash(&organisation.name);
+        node.credit_ledger
+            .borrow_mut()
+            .refund(credit_now(node), name, batch);
     }
 }
 
-/// Takes a message of another instance.
-pub fn receive(node: &Node, from: Ipv4Addr, message: Message) {
+/// Applies a credit message of another instance.
+pub fn on_message(node: &Node, from: Ipv4Addr, message: Message) {
     let organisation = match &message {
         Message::Ask { organisation, .. } => Some(*organisation),
         _ => None,
     };
     let table = node.table();
     let limit = organisation.and_then(|name| table?.organisation_by_short_name(name)?.limit);
-    let mut ledger = node.ledger.borrow_mut();
-    ledger.on_message(now(node), from.to_bits(), message, limit);
+    let mut ledger = node.credit_ledger.borrow_mut();
+    ledger.on_message(credit_now(node), from.to_bits(), message, limit);
     drop(ledger);
     flush(node);
 }
 
-/// Looks at who is there.
-pub fn see_fleet(node: &Node) {
+/// Updates the members of the fleet in the credit ledger and in the dispatcher.
+pub fn update_roster(node: &Node) {
     let mut roster = node.peers.borrow_mut().roster(Instant::now());
-    // Instances that end have left the others' counts.
-    if node.stage() >= Stage::Closing {
+    // The others no longer count an instance that shuts down, so it must not accrue credit.
+    if node.process_state() >= ProcessState::Closing {
         roster.accrues_since = None;
     }
-    let known = roster.accrues_since.is_some();
+    let accrues = roster.accrues_since.is_some();
     let members = node.peers.borrow().zone_members();
-    let members = Some(members).filter(|_| known);
+    let members = Some(members).filter(|_| accrues);
     node.dispatch
         .borrow_mut()
-        .set_members(Instant::now(), members);
-    let slept = node.clock.suspended();
-    roster.accrues_since = roster.accrues_since.map(|at| at + slept);
-    let mut ledger = node.ledger.borrow_mut();
+        .update_members(Instant::now(), members);
+    let suspended = node.suspend_detector.total_suspended();
+    roster.accrues_since = roster.accrues_since.map(|at| at + suspended);
+    let mut ledger = node.credit_ledger.borrow_mut();
     if ledger.accrues() != roster.accrues_since.is_some() {
         node.log.line(
-            Weight::Notable,
+            Priority::High,
             format_args!(
                 "event=credit mints={} zone_size={}",
                 roster.accrues_since.is_some(),
@@ -153,24 +160,24 @@
             ),
         );
     }
-    ledger.set_fleet(now(node), &roster);
+    ledger.set_fleet(credit_now(node), &roster);
 }
 
-/// Looks after the requests that wait for credit until the process ends.
+/// Checks the requests that wait for credit until the process ends.
 pub async fn run(node: Rc<Node>) {
     loop {
-        node.credit_waits.notified().await;
-        while !node.ledger.borrow().is_idle() {
-            sleep(LOOK).await;
-            node.ledger.borrow_mut().on_tick(now(&node));
+        node.credit_wakeup.notified().await;
+        while !node.credit_ledger.borrow().is_idle() {
+            sleep(CHECK_INTERVAL).await;
+            node.credit_ledger.borrow_mut().on_tick(credit_now(&node));
             flush(&node);
         }
     }
 }
 
-/// Sends what is to be sent, and tells requests what was decided.
+/// Sends the ledger's pending messages and delivers its verdicts to the waiting requests.
 fn flush(node: &Node) {
-    let mut ledger = node.ledger.borrow_mut();
+    let mut ledger = node.credit_ledger.borrow_mut();
     let messages = ledger.take_messages();
     let verdicts = ledger.take_verdicts();
     let idle = ledger.is_idle();
@@ -179,17 +186,17 @@
         send(node, to, message);
     }
     for (number, verdict) in verdicts {
-        if let Some(tx) = waiter(node, number) {
-            // A caller that left meanwhile needs no answer.
+        if let Some(tx) = take_waiter(node, number) {
+            // A caller that has disconnected needs no verdict.
             let _ = tx.send(verdict);
         }
     }
     if !idle {
-        node.credit_waits.notify_one();
+        node.credit_wakeup.notify_one();
     }
 }
 
-fn send(node: &Node, to: Member, message: Message) {
+fn send(node: &Node, to: InstanceAddress, message: Message) {
     let Some(socket) = node.peer_socket.get() else {
         return;
     };
@@ -197,24 +204,24 @@
         return;
     };
     let to = SocketAddr::from((Ipv4Addr::from_bits(to), node.settings().peer_port));
-    // What is lost is asked for again, or expires.
+    // Lost requests are sent again, and lost credit expires.
     let _ = socket.try_send_to(&message, to);
 }
 
-fn waiter(node: &Node, number: MessageNumber) -> Option<oneshot::Sender<Verdict>> {
-    let mut waiters = node.verdicts.borrow_mut();
-    let at = waiters.iter().position(|(n, _)| *n == number)?;
-    Some(waiters.swap_remove(at).1)
+fn take_waiter(node: &Node, number: MessageNumber) -> Option<oneshot::Sender<Verdict>> {
+    let mut waiters = node.credit_waiters.borrow_mut();
+    let index = waiters.iter().position(|(waiting, _)| *waiting == number)?;
+    Some(waiters.swap_remove(index).1)
 }
 
-/// Forgets a request whose caller goes away.
-struct Forget<'a> {
+/// Removes a waiting request when its caller disconnects.
+struct WaitGuard<'a> {
     node: &'a Node,
     number: MessageNumber,
 }
 
-impl Drop for Forget<'_> {
+impl Drop for WaitGuard<'_> {
     fn drop(&mut self) {
-        waiter(self.node, self.number);
+        take_waiter(self.node, self.number);
     }
 }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -1,7 +1,7 @@
-//! What one entry instance knows and does, shared by its tasks.
+//! State of one entry instance, shared by its tasks.
 
-mod places;
 mod replicas;
+mod slots;
 
 use std::cell::{Cell, OnceCell, RefCell};
 use std::net::Ipv4Addr;
@@ -9,118 +9,118 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::credit::{Ledger, MessageNumber, Verdict as CreditVerdict};
-use kingcupfield_decisions::dispatch::{Dispatch, JobId};
-use kingcupfield_decisions::emptied::EmptiedZones;
-use kingcupfield_decisions::id::{ServiceId, ShortName, UpstreamId, short_name};
+use kingcupfield_decisions::dispatch::{Dispatcher, JobId};
+use kingcupfield_decisions::drained_zones::DrainedZones;
+use kingcupfield_decisions::id::{NameHash, ServiceId, UpstreamId, name_hash};
 use kingcupfield_decisions::store_view::StoreView;
 use kingcupfield_decisions::upstream_retries::UpstreamRetryBudget;
 use tokio::net::UdpSocket;
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
-use crate::clock::Clock;
+use crate::adapter::{DirectoryClient, ProtocolAdapter};
+use crate::clock::SuspendDetector;
 use crate::credit;
-use crate::directory::Reader;
-use crate::log::{Log, Weight};
+use crate::directory::DirectoryReader;
+use crate::log::{Log, Priority};
 use crate::metrics::Metrics;
 use crate::outbox::Outbox;
 use crate::peers::Peers;
-use crate::port::{Dialect, Source};
 use crate::settings::Settings;
 use crate::table::Table;
 
-use places::Verdict;
-pub use places::{NoPlace, Place};
 pub use replicas::Target;
+use slots::SlotResult;
+pub use slots::{SlotError, SlotGuard};
 
-/// An instance that the store has not answered for this long does not count as one that reads it: a
-/// watch waits for four seconds at most.
-const STORE_LOST: Duration = Duration::from_millis(5500);
+/// Age of the last store response from which an instance no longer counts as a reader of the store.
+/// A watch waits for four seconds at most, so a healthy reader stays below this.
+const STORE_RESPONSE_MAX_AGE: Duration = Duration::from_millis(5500);
 
-/// Where a process stands in its life.
+/// Lifecycle state of a process, in the order in which it passes through them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Stage {
-    /// It takes connections and requests.
+pub enum ProcessState {
+    /// Accepts connections and requests.
     Serving,
-    /// It says that it is not ready, and still answers what comes.
+    /// Reports not ready, and still accepts and answers requests.
     Leaving,
-    /// It closes connections as they become idle.
+    /// Closes connections as they become idle.
     Closing,
-    /// It takes no connection any more, and answers what it has.
+    /// Accepts no new connections, and finishes the requests in progress.
     Shut,
-    /// It does nothing any more; what it still has is cut.
+    /// Terminated; requests still in progress are cut off.
     Ended,
 }
 
-/// Everything that the tasks of an instance share.
+/// State shared by all tasks of an instance; they run on one thread.
 pub struct Node {
     cfg: RefCell<Rc<Settings>>,
-    /// Words of callers and upstreams.
-    pub dialect: Rc<dyn Dialect>,
-    /// The published directory.
-    pub source: Rc<dyn Source>,
-    /// Its log.
+    /// Translates between the wire protocol and the types of this crate.
+    pub protocol: Rc<dyn ProtocolAdapter>,
+    /// Client of the store that publishes the directory.
+    pub directory_client: Rc<dyn DirectoryClient>,
+    /// Log of this instance.
     pub log: Log,
-    /// Notices suspension.
-    pub clock: Clock,
-    /// Counters and histograms.
+    /// Detects suspension of the machine.
+    pub suspend_detector: SuspendDetector,
+    /// Counters, gauges and histograms.
     pub metrics: Metrics,
-    /// Credit of organisations' limits.
-    pub ledger: RefCell<Ledger>,
-    /// Requests that wait for credit.
-    pub verdicts: RefCell<Vec<(MessageNumber, oneshot::Sender<CreditVerdict>)>>,
-    /// Wakes the timer of requests that wait for credit.
-    pub credit_waits: Notify,
-    /// Sends to the other instances.
+    /// Credit of the organisations' limits.
+    pub credit_ledger: RefCell<Ledger>,
+    /// Requests that wait for a credit decision, by credit request number.
+    pub credit_waiters: RefCell<Vec<(MessageNumber, oneshot::Sender<CreditVerdict>)>>,
+    /// Wakes the task that times out requests waiting for credit.
+    pub credit_wakeup: Notify,
+    /// UDP socket for messages to the other instances; set when gossip starts.
     pub peer_socket: OnceCell<Rc<UdpSocket>>,
-    /// Budget for repeats.
-    pub repeats: RefCell<UpstreamRetryBudget>,
-    /// Published entries.
-    pub known: RefCell<StoreView>,
-    /// The other instances.
+    /// Budget for retries.
+    pub retry_budget: RefCell<UpstreamRetryBudget>,
+    /// Latest known entry of each directory key.
+    pub directory: RefCell<StoreView>,
+    /// The other instances, their load and their spending.
     pub peers: RefCell<Peers>,
-    /// Zones whose replicas get nothing new.
-    pub emptied: RefCell<EmptiedZones>,
-    /// Waiting requests and the load of replicas.
-    pub dispatch: RefCell<Dispatch>,
-    /// Wakes the reader of the directory.
-    pub reread: Notify,
-    /// Instances that are to be told everything at once.
-    pub greet: RefCell<Vec<Ipv4Addr>>,
-    /// Wakes the sender of messages to new instances.
-    pub greeting: Notify,
-    /// Wakes the sender of news of this instance.
-    pub changed: Notify,
-    /// News that this instance passes on.
+    /// Drained zones, whose replicas get no new requests.
+    pub drained_zones: RefCell<DrainedZones>,
+    /// Waiting requests and the load of the replicas.
+    pub dispatch: RefCell<Dispatcher>,
+    /// Wakes the directory reader after a suspension of the machine, to list the directory again.
+    pub resync_wakeup: Notify,
+    /// Instances to which a complete state message is sent at once.
+    pub greeting_targets: RefCell<Vec<Ipv4Addr>>,
+    /// Wakes the gossip task when `greeting_targets` grows.
+    pub greeting_wakeup: Notify,
+    /// Wakes the gossip task when the state of this instance has changed.
+    pub state_changed: Notify,
+    /// Digests of other instances that this instance forwards as a relay.
     pub outbox: RefCell<Outbox>,
-    /// Wakes the sender of what is passed on.
-    pub gathered: Notify,
-    /// Whether the directory is to be read whole.
-    pub relist: Cell<bool>,
-    /// What was read of the directory.
-    pub reader: RefCell<Reader>,
-    /// Where the process stands in its life.
-    pub stage: watch::Sender<Stage>,
-    /// The table's version, for those that wait for a change.
-    pub version: watch::Sender<u64>,
-    /// When the last answers are given, once the process was told to stop.
-    pub answers_by: Cell<Option<Instant>>,
-    /// Requests being answered.
-    pub active: Cell<usize>,
-    /// Connections of callers that are open, from their acceptance until all is written.
-    pub connections: watch::Sender<usize>,
-    /// Requests that were taken from callers since the start.
-    pub taken: Cell<u64>,
-    /// Wakes the timer of waiting requests.
-    pub waiting: Notify,
+    /// Wakes the gossip task when the outbox grows.
+    pub outbox_wakeup: Notify,
+    /// Whether the next read of the store must be a full listing.
+    pub needs_full_list: Cell<bool>,
+    /// Parsed directory entries, and when the store last failed.
+    pub directory_reader: RefCell<DirectoryReader>,
+    /// Lifecycle state of the process.
+    pub process_state: watch::Sender<ProcessState>,
+    /// Version of the table in force, for tasks that wait for a change.
+    pub version_tx: watch::Sender<u64>,
+    /// Time at which the last responses end, once shutdown has begun.
+    pub response_deadline: Cell<Option<Instant>>,
+    /// Number of requests being answered.
+    pub active_requests: Cell<usize>,
+    /// Number of open caller connections, from their acceptance until all is written.
+    pub open_connections: watch::Sender<usize>,
+    /// Number of requests accepted from callers since the start.
+    pub accepted_requests: Cell<u64>,
+    /// Wakes the task that expires waiting requests when a request starts to wait.
+    pub queue_wakeup: Notify,
     store_answered: Cell<Option<Instant>>,
     table: RefCell<Option<Rc<Table>>>,
     targets: RefCell<Vec<Rc<Target>>>,
-    /// Replicas by their short names.
-    short_names: RefCell<Vec<(ShortName, UpstreamId)>>,
-    /// Services by their short names.
-    services: RefCell<Vec<(ShortName, ServiceId)>>,
-    waiters: RefCell<Vec<(JobId, oneshot::Sender<Verdict>)>>,
+    /// Replica ids, sorted by short name.
+    short_names: RefCell<Vec<(NameHash, UpstreamId)>>,
+    /// Service ids, sorted by short name.
+    services: RefCell<Vec<(NameHash, ServiceId)>>,
+    waiters: RefCell<Vec<(JobId, oneshot::Sender<SlotResult>)>>,
     next_job: Cell<JobId>,
 }
 
@@ -133,45 +133,49 @@
 }
 
 impl Node {
-    /// Makes an instance that knows nothing yet.
-    pub fn new(cfg: Settings, dialect: Rc<dyn Dialect>, source: Rc<dyn Source>) -> Rc<Self> {
+    /// Creates the state of an instance that has read neither the directory nor any message.
+    pub fn new(
+        cfg: Settings,
+        protocol: Rc<dyn ProtocolAdapter>,
+        directory_client: Rc<dyn DirectoryClient>,
+    ) -> Rc<Self> {
         let now = Instant::now();
         let mut ledger = Ledger::new(cfg.address().to_bits(), rand::random());
-        ledger.set_bounds(cfg.limit_window(), cfg.tolerance());
+        ledger.set_bounds(cfg.limit_window(), cfg.credit_tolerance());
         Rc::new(Self {
-            dialect,
-            source,
+            protocol,
+            directory_client,
             log: Log::new(),
-            clock: Clock::new(),
+            suspend_detector: SuspendDetector::new(),
             metrics: Metrics::new(),
-            ledger: RefCell::new(ledger),
-            verdicts: RefCell::new(Vec::new()),
-            credit_waits: Notify::new(),
+            credit_ledger: RefCell::new(ledger),
+            credit_waiters: RefCell::new(Vec::new()),
+            credit_wakeup: Notify::new(),
             peer_socket: OnceCell::new(),
-            repeats: RefCell::new(UpstreamRetryBudget::new(cfg.repeat_bounds())),
-            known: RefCell::new(StoreView::new()),
+            retry_budget: RefCell::new(UpstreamRetryBudget::new(cfg.retry_bounds())),
+            directory: RefCell::new(StoreView::new()),
             peers: RefCell::new(
                 Peers::new(now, cfg.address(), cfg.has_other_contacts())
-                    .with_zones(credit::zones(&cfg)),
+                    .with_zones(credit::zone_distances(&cfg)),
             ),
-            dispatch: RefCell::new(Dispatch::new().with_key(cfg.address().to_bits())),
-            emptied: RefCell::new(EmptiedZones::new()),
-            reread: Notify::new(),
-            greet: RefCell::new(Vec::new()),
-            greeting: Notify::new(),
-            changed: Notify::new(),
+            dispatch: RefCell::new(Dispatcher::new().with_address(cfg.address().to_bits())),
+            drained_zones: RefCell::new(DrainedZones::new()),
+            resync_wakeup: Notify::new(),
+            greeting_targets: RefCell::new(Vec::new()),
+            greeting_wakeup: Notify::new(),
+            state_changed: Notify::new(),
             outbox: RefCell::new(Outbox::default()),
-            gathered: Notify::new(),
-            relist: Cell::new(false),
+            outbox_wakeup: Notify::new(),
+            needs_full_list: Cell::new(false),
             store_answered: Cell::new(None),
-            reader: RefCell::new(Reader::default()),
-            stage: watch::Sender::new(Stage::Serving),
-            version: watch::Sender::new(0),
-            answers_by: Cell::new(None),
-            active: Cell::new(0),
-            connections: watch::Sender::new(0),
-            taken: Cell::new(0),
-            waiting: Notify::new(),
+            directory_reader: RefCell::new(DirectoryReader::default()),
+            process_state: watch::Sender::new(ProcessState::Serving),
+            version_tx: watch::Sender::new(0),
+            response_deadline: Cell::new(None),
+            active_requests: Cell::new(0),
+            open_connections: watch::Sender::new(0),
+            accepted_requests: Cell::new(0),
+            queue_wakeup: Notify::new(),
             table: RefCell::new(None),
             targets: RefCell::new(Vec::new()),
             short_names: RefCell::new(Vec::new()),
@@ -187,13 +191,15 @@
         Rc::clone(&self.cfg.borrow())
     }
 
-    /// Takes from newer settings what takes effect while the process runs.
-    pub fn adjust(&self, newer: &Settings) {
+    /// Applies those of the newer settings that can change while the process runs.
+    pub fn apply_settings(&self, newer: &Settings) {
         let mut cfg = Settings::clone(&self.settings());
-        cfg.adjust(newer);
-        self.repeats.borrow_mut().set_bounds(cfg.repeat_bounds());
-        let mut ledger = self.ledger.borrow_mut();
-        ledger.set_bounds(cfg.limit_window(), cfg.tolerance());
+        cfg.apply_reloadable(newer);
+        self.retry_budget
+            .borrow_mut()
+            .set_bounds(cfg.retry_bounds());
+        let mut ledger = self.credit_ledger.borrow_mut();
+        ledger.set_bounds(cfg.limit_window(), cfg.credit_tolerance());
         drop(ledger);
         *self.cfg.borrow_mut() = Rc::new(cfg);
     }
@@ -208,62 +214,65 @@
         self.table.borrow().as_ref().map_or(0, |t| t.version)
     }
 
-    /// Where the process stands in its life.
-    pub fn stage(&self) -> Stage {
-        *self.stage.borrow()
+    /// Lifecycle state of the process.
+    pub fn process_state(&self) -> ProcessState {
+        *self.process_state.borrow()
     }
 
-    /// Ends when the process has just time left to answer; never while it was not told to stop.
-    pub async fn last_answers(&self) {
-        let mut stage = self.stage.subscribe();
+    /// Completes when the time for the last responses has come; never before shutdown has begun.
+    pub async fn response_deadline_reached(&self) {
+        let mut state_rx = self.process_state.subscribe();
         loop {
-            if let Some(at) = self.answers_by.get() {
-                return sleep_until(at).await;
+            if let Some(deadline) = self.response_deadline.get() {
+                return sleep_until(deadline).await;
             }
-            if stage.changed().await.is_err() {
+            if state_rx.changed().await.is_err() {
                 return;
             }
         }
     }
 
-    /// Whether callers may be sent here.
+    /// Whether load balancers may send callers here: not shutting down, and a table is in force.
     pub fn is_ready(&self) -> bool {
-        self.stage() == Stage::Serving && self.table.borrow().is_some()
+        self.process_state() == ProcessState::Serving && self.table.borrow().is_some()
     }
 
-    /// Notes that the store answered.
-    pub fn on_store_answer(&self) {
+    /// Records that the store has just responded.
+    pub fn record_store_response(&self) {
         self.store_answered.set(Some(Instant::now()));
     }
 
-    /// How long ago the store answered last, if it ever did.
+    /// Time since the last response of the store, `None` before the first.
     pub fn store_age(&self) -> Option<Duration> {
         self.store_answered.get().map(|at| at.elapsed())
     }
 
-    /// Whether this instance reads the store itself.
-    pub fn reads(&self) -> bool {
-        let zone = short_name(&self.settings().availability_zone);
-        self.peers.borrow().reads(Instant::now(), zone, STORE_LOST)
+    /// Whether this instance is one of those that read the store; the others get the directory from
+    /// peers.
+    pub fn reads_store(&self) -> bool {
+        let zone = name_hash(&self.settings().availability_zone);
+        self.peers
+            .borrow()
+            .reads_store(Instant::now(), zone, STORE_RESPONSE_MAX_AGE)
     }
 
     /// Puts a newer table in force; an older one is ignored.
     pub fn set_table(&self, table: Rc<Table>) {
-        let held = self.table_version();
-        if held >= table.version && held != 0 {
+        let current = self.table_version();
+        if current >= table.version && current != 0 {
             return;
         }
         let version = table.version;
         self.log.line(
-            Weight::Notable,
-            format_args!("event=table version={version} before={held}"),
+            Priority::High,
+            format_args!("event=table version={version} before={current}"),
         );
         *self.table.borrow_mut() = Some(table);
-        self.version.send_replace(version);
+        self.version_tx.send_replace(version);
     }
 
-    /// A number for a new request.
-    pub fn new_job(&self) -> JobId {
+    /// Returns a number for a new request, unique in this process.
+    pub fn next_job_id(&self) -> JobId {
         let id = self.next_job.get();
         self.next_job.set(id + 1);
         id
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -1,4 +1,4 @@
-//! The life of one request: received, admitted, placed, sent, answered.
+//! Lifecycle of one request: it is received, admitted, assigned a slot, sent and answered.
 
 mod placing;
 mod refusing;
@@ -15,118 +15,123 @@
 use kingcupfield_decisions::id::{ServiceId, UpstreamId};
 use tokio::time::Instant;
 
-use crate::account::{self, Unanswered};
+use crate::adapter::RequestMeta;
 use crate::admission::{charge, pick_service, read_body, resolve};
-use crate::credit::{self, Charged};
-use crate::kind::{Kind, Refusal};
-use crate::metrics::Timing;
-use crate::node::{Node, Stage};
-use crate::over::{Over, time_over};
-use crate::port::Call;
-use crate::relay::Body;
+use crate::credit::{self, CreditGrant};
+use crate::expiry::{Expiry, wait_for_expiry};
+use crate::metrics::Phase;
+use crate::node::{Node, ProcessState};
+use crate::refusal::{Refusal, RefusalKind};
+use crate::relay::ResponseBody;
+use crate::request_log::{self, UnansweredGuard};
 use crate::table::{Organisation, Route, Table};
 
-use refusing::{check_end, check_regions, unavailable};
-use sending::Next;
+use refusing::{check_regions, check_time_to_shutdown, unavailable};
+use sending::NextStep;
 
-/// Longest time that a request waits for the first table: a start reads it in two tenths of a second,
-/// where the store or a peer answers. Also as a part of the caller's time.
-const FOR_TABLE: Duration = Duration::from_millis(600);
-const FOR_TABLE_PART: f64 = 0.25;
+/// Longest time a request waits for the first table after a start. The table is read within two
+/// tenths of a second if the store or a peer responds.
+const MAX_TABLE_WAIT: Duration = Duration::from_millis(600);
 
-/// One request and what was decided of it.
+/// Upper bound on the wait for the first table, as a fraction of the caller's timeout.
+const MAX_TABLE_WAIT_FRACTION: f64 = 0.25;
+
+/// State of one request while the instance handles it.
 #[derive(Debug)]
-pub struct Life {
-    /// The caller's attempt.
-    pub call: Call,
-    /// Head of the request.
+pub struct RequestContext {
+    /// Metadata parsed from the head of the request.
+    pub meta: RequestMeta,
+    /// Head of the request as received.
     pub head: Parts,
-    /// Its body.
+    /// Complete body of the request.
     pub body: Bytes,
-    /// When it had come in.
+    /// Time at which the head of the request was received.
     pub received: Instant,
-    /// Time for which the machine had been suspended by then.
+    /// Total time for which the machine had been suspended when the request was admitted.
     pub suspended: Duration,
-    /// The route in force when it was admitted.
+    /// Route of the request, updated from the table in force each time the request is rechecked.
     pub route: Rc<Route>,
-    /// Who sent it.
+    /// Organisation that owns the caller's API key.
     pub organisation: Option<Rc<Organisation>>,
-    /// The service that it goes to.
+    /// Service that the request is dispatched to.
     pub service: ServiceId,
-    /// Replicas that were tried.
+    /// Replicas that the request was sent to, in order.
     pub tried: Vec<UpstreamId>,
-    /// Replicas that may have run it.
+    /// Number of replicas that may have run the request.
     pub runs: u32,
-    /// How long it waited for its last place.
+    /// Time from `received` to the assignment of the last slot.
     pub waited: Duration,
-    /// What it was charged.
-    pub charge: Charged,
+    /// Credit that was charged to the organisation.
+    pub charge: CreditGrant,
 }
 
-/// Answers one request of a caller.
-pub async fn serve(node: Rc<Node>, req: Request<Incoming>) -> Response<Body> {
-    node.active.set(node.active.get() + 1);
-    node.taken.set(node.taken.get() + 1);
-    let active = Active(Rc::clone(&node));
+/// Handles one request of a caller, from its head to the head of the response.
+pub async fn serve(node: Rc<Node>, req: Request<Incoming>) -> Response<ResponseBody> {
+    node.active_requests.set(node.active_requests.get() + 1);
+    node.accepted_requests.set(node.accepted_requests.get() + 1);
+    let active = ActiveGuard(Rc::clone(&node));
     let received = Instant::now();
     let (head, body) = req.into_parts();
-    let call = node.dialect.call(&head);
+    let meta = node.protocol.parse_request(&head);
     let body = tokio::select! {
         body = read_body(&node, body) => body,
-        () = node.last_answers() => Err(unavailable("this instance ends before the body came in")),
+        () = node.response_deadline_reached() => Err(unavailable("this instance shuts down before the body is complete")),
     };
     let result = match body {
-        Ok(body) => admitted(&node, received, head, call.clone(), body, active).await,
+        Ok(body) => admit_and_run(&node, received, head, meta.clone(), body, active).await,
         Err(refusal) => Err(refusal),
     };
     let mut response = match result {
         Ok(response) => response,
-        Err(refusal) => refuse(&node, &call, received, &refusal),
+        Err(refusal) => refusal_response(&node, &meta, received, &refusal),
     };
-    if node.stage() != Stage::Serving {
+    if node.process_state() != ProcessState::Serving {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
     response
 }
 
-/// Counts a request for as long as it is answered.
+/// Counts a request as active until it is dropped.
 #[derive(Debug)]
-pub struct Active(Rc<Node>);
+pub struct ActiveGuard(Rc<Node>);
 
-impl Drop for Active {
+impl Drop for ActiveGuard {
     fn drop(&mut self) {
-        self.0.active.set(self.0.active.get() - 1);
+        self.0.active_requests.set(self.0.active_requests.get() - 1);
     }
 }
 
-async fn admitted(
+/// Checks a complete request against the table and the organisation's limit, then runs it.
+async fn admit_and_run(
     node: &Rc<Node>,
     received: Instant,
     head: Parts,
-    call: Call,
+    meta: RequestMeta,
     body: Bytes,
-    active: Active,
-) -> Result<Response<Body>, Refusal> {
-    let table = wait_for_table(node, &call).await?;
-    let (route, organisation) = resolve(&table, &head, &call)?;
-    if call.id.is_empty() {
-        return Err(Refusal::new(Kind::BadRequest).with_message("the request has no id"));
+    active: ActiveGuard,
+) -> Result<Response<ResponseBody>, Refusal> {
+    let table = wait_for_table(node, &meta).await?;
+    let (route, organisation) = resolve(&table, &head, &meta)?;
+    if meta.attempt_id.is_empty() {
+        return Err(
+            Refusal::new(RefusalKind::BadRequest).with_message("the request has no attempt id")
+        );
     }
-    let service =
-        pick_service(&route).ok_or_else(|| unavailable("the route leads to no service"))?;
-    check_end(node, &service, &call)?;
+    let service = pick_service(&route)
+        .ok_or_else(|| unavailable(&format!("route {} has no service", route.name)))?;
+    check_time_to_shutdown(node, &service, &meta)?;
     check_regions(&route, organisation.as_deref())?;
-    let charge = charge(node, organisation.as_deref(), &route, &service, &call).await?;
-    node.repeats
+    let charge = charge(node, organisation.as_deref(), &route, &service, &meta).await?;
+    node.retry_budget
         .borrow_mut()
         .on_request(Instant::now(), &service);
-    let life = Life {
-        call,
+    let ctx = RequestContext {
+        meta,
         head,
         body,
         received,
-        suspended: node.clock.suspended(),
+        suspended: node.suspend_detector.total_suspended(),
         route,
         organisation,
         service,
@@ -135,99 +140,120 @@
         waited: Duration::ZERO,
         charge,
     };
-    life.run(Rc::clone(node), active).await
+    ctx.run(Rc::clone(node), active).await
 }
 
-/// The table; a request that comes while the instance starts waits a moment for it.
-async fn wait_for_table(node: &Node, call: &Call) -> Result<Rc<Table>, Refusal> {
-    let mut version = node.version.subscribe();
-    let patience = call.deadline.unwrap_or(FOR_TABLE).mul_f64(FOR_TABLE_PART);
-    let mut over = std::pin::pin!(tokio::time::sleep(FOR_TABLE.min(patience)));
+/// Returns the table in force, or waits for the first one while the instance starts.
+async fn wait_for_table(node: &Node, meta: &RequestMeta) -> Result<Rc<Table>, Refusal> {
+    let mut version = node.version_tx.subscribe();
+    let max_wait = meta
+        .timeout
+        .unwrap_or(MAX_TABLE_WAIT)
+        .mul_f64(MAX_TABLE_WAIT_FRACTION);
+    let mut wait_expired = std::pin::pin!(tokio::time::sleep(MAX_TABLE_WAIT.min(max_wait)));
     loop {
         if let Some(table) = node.table() {
             return Ok(table);
         }
         tokio::select! {
             _ = version.changed() => {}
-            () = &mut over => return Err(unavailable("no table is known yet")),
-            () = node.last_answers() => return Err(unavailable("this instance ends and knows no table")),
+            () = &mut wait_expired => return Err(unavailable("no table received yet")),
+            () = node.response_deadline_reached() => return Err(unavailable("this instance shuts down and has received no table")),
         }
     }
 }
 
-/// Makes the answer of a refusal and tells the log of it.
-fn refuse(node: &Node, call: &Call, received: Instant, refusal: &Refusal) -> Response<Body> {
-    account::refused(node, call, received, refusal);
-    let (status, fields) = node.dialect.refusal(Some(&call.id), refusal);
-    let mut response = Response::new(Body::whole(Bytes::new()));
+/// Builds the response for a refusal and logs it.
+fn refusal_response(
+    node: &Node,
+    meta: &RequestMeta,
+    received: Instant,
+    refusal: &Refusal,
+) -> Response<ResponseBody> {
+    request_log::log_refused(node, meta, received, refusal);
+    let (status, headers) = node
+        .protocol
+        .refusal_response(Some(&meta.attempt_id), refusal);
+    let mut response = Response::new(ResponseBody::complete(Bytes::new()));
     *response.status_mut() = status;
-    *response.headers_mut() = fields;
+    *response.headers_mut() = headers;
     response
 }
 
-impl Life {
-    async fn run(mut self, node: Rc<Node>, active: Active) -> Result<Response<Body>, Refusal> {
-        let mut unanswered = Unanswered::new(&node, &self.call.id, self.received);
-        let result = self.run_watched(&node, active, &mut unanswered).await;
+impl RequestContext {
+    /// Runs the request and logs it if the task is dropped before a response exists.
+    async fn run(
+        mut self,
+        node: Rc<Node>,
+        active: ActiveGuard,
+    ) -> Result<Response<ResponseBody>, Refusal> {
+        let mut unanswered = UnansweredGuard::new(&node, &self.meta.attempt_id, self.received);
+        let result = self.dispatch(&node, active, &mut unanswered).await;
         unanswered.end();
         result
     }
 
-    async fn run_watched(
+    /// Waits for a slot and sends the request, once per retry, until a response or refusal exists.
+    async fn dispatch(
         &mut self,
         node: &Rc<Node>,
-        active: Active,
-        unanswered: &mut Unanswered,
-    ) -> Result<Response<Body>, Refusal> {
+        active: ActiveGuard,
+        unanswered: &mut UnansweredGuard,
+    ) -> Result<Response<ResponseBody>, Refusal> {
         let mut active = Some(active);
         loop {
             unanswered.replica = None;
             let placed = tokio::select! {
-                placed = node.place(self.job(node)) => placed.map_err(|_| Over::Route),
-                over = time_over(node, &self.route, self.received) => Err(over),
-                () = self.bound_elsewhere(node) => {
+                placed = node.acquire_slot(self.job(node)) => placed.map_err(|_| Expiry::RouteTimeout),
+                expiry = wait_for_expiry(node, &self.route, self.received) => Err(expiry),
+                () = self.regions_changed(node) => {
                     self.recheck(node)?;
                     continue;
                 }
             };
             let place = match placed {
                 Ok(place) => place,
-                Err(Over::Route) => return Err(self.give_up(node)),
-                Err(Over::Process) => return Err(self.ends_with_process(node)),
+                Err(Expiry::RouteTimeout) => return Err(self.no_slot_refusal(node)),
+                Err(Expiry::Shutdown) => return Err(self.shutdown_refusal(node)),
             };
             self.waited = self.received.elapsed();
-            node.metrics.observe(Timing::Wait, self.waited);
+            node.metrics.observe(Phase::Queued, self.waited);
             self.recheck(node)?;
             let Some(target) = self.target(node, &place) else {
                 continue;
             };
-            account::sent(node, self, &place);
+            request_log::log_sent(node, self, &place);
             unanswered.replica = Some(place.upstream.clone());
             match self.send(node, &target, place, &mut active).await {
-                Next::Answer(response) => return Ok(*response),
-                Next::Refuse(refusal) => return Err(refusal),
-                Next::Again => {}
+                NextStep::Respond(response) => return Ok(*response),
+                NextStep::Refuse(refusal) => return Err(refusal),
+                NextStep::Retry => {}
             }
         }
     }
 
-    fn uncharge(&self, node: &Node) {
+    /// Refunds the credit of a request that no replica has run.
+    fn refund(&self, node: &Node) {
         if let Some(organisation) = &self.organisation {
-            credit::give_back(node, organisation, &self.charge);
+            credit::refund(node, organisation, &self.charge);
         }
     }
 
-    /// Time that the caller still waits, counting the time that the machine stood still.
-    pub fn left(&self, node: &Node) -> Duration {
-        let slept = node.clock.suspended().saturating_sub(self.suspended);
-        let passed = self.received.elapsed() + slept;
-        let deadline = self.call.deadline.unwrap_or(self.route.timeout);
-        deadline.min(self.route.timeout).saturating_sub(passed)
+    /// Time until the caller's timeout or the route's, whichever is shorter. Time for which the
+    /// machine was suspended counts as elapsed.
+    pub fn time_left(&self, node: &Node) -> Duration {
+        let suspended = node
+            .suspend_detector
+            .total_suspended()
+            .saturating_sub(self.suspended);
+        let elapsed = self.received.elapsed() + suspended;
+        let timeout = self.meta.timeout.unwrap_or(self.route.timeout);
+        timeout.min(self.route.timeout).saturating_sub(elapsed)
     }
 }
 
-/// An answer without content.
-pub fn empty(status: http::StatusCode) -> Response<Full<Bytes>> {
+/// Builds a response without a body.
+pub fn empty_response(status: http::StatusCode) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::default());
     *response.status_mut() = status;
     response
--- a/src/calls.rs
+++ b/src/calls.rs
@@ -8,11 +8,12 @@
 use jsonrpsee::ws_client::WsClient;
 use kingcupfield_decisions::id::{InstanceId, OrganisationId, Rank, RequestId, ServiceId, TierId};
 use kingcupfield_decisions::idempotency::{
-    Estate, FromIssuer, FromWitness, HandedOver, KeyId, ToWitness, WitnessEstate,
+    DispatchRights, EndedKeyRecord, IssuerReply, KeyId, WitnessHandover, WitnessReply,
+    WitnessRequest,
 };
 use serde::{Deserialize, Serialize};
 
-use crate::error::{Error, Kind, Ran, Refusal, Result};
+use crate::error::{Error, Refusal, RefusalKind, Result, RunStatus};
 use crate::fleet::Fleet;
 use crate::message::PROTOCOL;
 use crate::peers::{PeerToken, connect};
@@ -46,14 +47,14 @@
         /// The witness.
         witness: InstanceId,
         /// The question.
-        message: ToWitness,
+        message: WitnessRequest,
     },
     /// Take over records of a leaver.
-    Adopt(Vec<HandedOver>),
+    Adopt(Vec<EndedKeyRecord>),
     /// Take over the unused keys of a leaver.
-    Inherit(Estate),
+    Inherit(DispatchRights),
     /// Take over the memory of a witness that leaves.
-    InheritWitness(WitnessEstate),
+    InheritWitness(WitnessHandover),
     /// Issue a key, as the asked instance stays longer.
     Issue(OrganisationId),
 }
@@ -63,11 +64,11 @@
 #[serde(rename_all = "snake_case")]
 pub enum KeyReply {
     /// Of the issuer or a successor.
-    Issuer(FromIssuer),
+    Issuer(IssuerReply),
     /// The call did not run for want of capacity or by a limit.
     Refused(KeyedRefusal),
     /// Of a witness.
-    Witness(FromWitness),
+    Witness(WitnessReply),
     /// The records were taken.
     Adopted,
     /// A key.
@@ -89,7 +90,7 @@
     /// Takes a refusal apart.
     pub fn new(refusal: &Refusal) -> Self {
         Self {
-            kind: refusal.kind.answer().name.to_owned(),
+            kind: refusal.kind.error_response().name.to_owned(),
             message: refusal.message.clone(),
             retry_after: refusal.retry_after,
         }
@@ -97,10 +98,10 @@
 
     /// The refusal; an unknown kind of a newer instance becomes "unavailable".
     pub fn into_refusal(self) -> Refusal {
-        let kind = Kind::from_name(&self.kind).unwrap_or(Kind::Unavailable);
+        let kind = RefusalKind::from_name(&self.kind).unwrap_or(RefusalKind::Unavailable);
         let mut refusal = Refusal::new(kind)
             .with_message(self.message)
-            .with_ran(Ran::No);
+            .with_ran(RunStatus::No);
         refusal.retry_after = self.retry_after;
         refusal
     }
--- a/src/keyed.rs
+++ b/src/keyed.rs
@@ -10,14 +10,14 @@
 use http::{HeaderMap, HeaderValue, StatusCode};
 use kingcupfield_decisions::id::{InstanceId, RequestId, ServiceId};
 use kingcupfield_decisions::idempotency::{
-    Answer, FromIssuer, FromWitness, Key, KeyError, NotRun, Outcome, Receiver, Started, Step,
-    ToWitness,
+    IssuerReply, Key, KeyError, KeyOutcome, NotRun, Receiver, ReceiverStep, StartedReceiver,
+    StoredResponse, WitnessReply, WitnessRequest,
 };
 use tokio::time::{Instant, sleep_until, timeout};
 
 use crate::caller::Caller;
 use crate::calls::{KeyQuestion, KeyReply, KeyedCall, KeyedRefusal};
-use crate::error::{Kind, Ran, Refusal};
+use crate::error::{Refusal, RefusalKind, RunStatus};
 use crate::issue::heirs;
 use crate::keyed_run;
 use crate::plain::PlainCall;
@@ -66,10 +66,11 @@
     let organisation = &caller.organisation.organisation;
     shared.keys.decode(text, organisation).map_err(|e| {
         let kind = match e {
-            KeyError::OtherOrganisation | KeyError::Forged => Kind::Forbidden,
-            KeyError::TooLong | KeyError::Malformed | KeyError::Cut | KeyError::ShortSecret => {
-                Kind::BadRequest
-            }
+            KeyError::OtherOrganisation | KeyError::Forged => RefusalKind::Forbidden,
+            KeyError::TooLong
+            | KeyError::Malformed
+            | KeyError::Truncated
+            | KeyError::ShortSecret => RefusalKind::BadRequest,
         };
         Refusal::new(kind).with_message(format!("Idempotency-Key: {e}"))
     })
@@ -110,42 +111,42 @@
 impl Follow {
     async fn run(mut self, key: Key) -> Head {
         let known = self.shared.members.view().incarnation(&key.issuer);
-        let Started {
+        let StartedReceiver {
             mut receiver,
             mut step,
         } = Receiver::start(key.clone(), known);
         loop {
             step = match step {
-                Step::Forward { to } => {
+                ReceiverStep::Forward { to } => {
                     let answer = self.forward(&to, &key).await;
                     let next = match answer {
-                        Forwarded::Answer(answer) => receiver.on_issuer(answer),
+                        Forwarded::Answer(answer) => receiver.on_issuer_reply(answer),
                         Forwarded::Unreachable => receiver.on_unreachable(),
                         Forwarded::Late => return Head::Refused(still_running()),
                     };
                     next.unwrap_or_else(|| self.lost(&mut receiver))
                 }
-                Step::LookUp { to } => {
+                ReceiverStep::LookUp { to } => {
                     let answer = self.look_up(&to, &key).await;
                     let next = match answer {
-                        Some(answer) => receiver.on_issuer(answer),
+                        Some(answer) => receiver.on_issuer_reply(answer),
                         None => receiver.on_unreachable(),
                     };
                     next.unwrap_or_else(|| self.lost(&mut receiver))
                 }
-                Step::Close { to, message } => {
+                ReceiverStep::Close { to, message } => {
                     if let Some(head) = self.try_heirs(&key).await {
                         return head;
                     }
                     let answer = ask_witness(&self.shared, &to, message).await;
                     let next = match answer {
-                        Some(answer) => receiver.on_witness(answer),
+                        Some(answer) => receiver.on_witness_reply(answer),
                         None => receiver.on_unreachable(),
                     };
                     next.unwrap_or_else(|| self.lost(&mut receiver))
                 }
-                Step::Answer(outcome) => return head_of(outcome),
-                Step::Refuse => return self.refused(),
+                ReceiverStep::Answer(outcome) => return head_of(outcome),
+                ReceiverStep::Refuse => return self.refused(),
             };
         }
     }
@@ -174,7 +175,7 @@
             Some(KeyReply::Issuer(answer)) => Forwarded::Answer(answer),
             Some(KeyReply::Refused(refusal)) => {
                 self.refusal = Some(refusal);
-                Forwarded::Answer(FromIssuer::Refused)
+                Forwarded::Answer(IssuerReply::Refused)
             }
             _ => Forwarded::Unreachable,
         }
@@ -186,9 +187,9 @@
     async fn try_heirs(&mut self, key: &Key) -> Option<Head> {
         for heir in heirs(&self.shared, &key.issuer) {
             match self.forward(&heir, key).await {
-                Forwarded::Answer(FromIssuer::Outcome(outcome)) => return Some(head_of(outcome)),
-                Forwarded::Answer(FromIssuer::Refused) => return Some(self.refused()),
-                Forwarded::Answer(FromIssuer::Moved { .. } | FromIssuer::NotHere)
+                Forwarded::Answer(IssuerReply::Outcome(outcome)) => return Some(head_of(outcome)),
+                Forwarded::Answer(IssuerReply::Refused) => return Some(self.refused()),
+                Forwarded::Answer(IssuerReply::Moved { .. } | IssuerReply::NotHere)
                 | Forwarded::Unreachable => {}
                 Forwarded::Late => return Some(Head::Refused(still_running())),
             }
@@ -198,10 +199,10 @@
 
     fn refused(&self) -> Head {
         let refusal = self.refusal.clone().map(KeyedRefusal::into_refusal);
-        Head::Refused(refusal.unwrap_or_else(|| Refusal::new(Kind::Unavailable)))
+        Head::Refused(refusal.unwrap_or_else(|| Refusal::new(RefusalKind::Unavailable)))
     }
 
-    async fn look_up(&self, to: &InstanceId, key: &Key) -> Option<FromIssuer> {
+    async fn look_up(&self, to: &InstanceId, key: &Key) -> Option<IssuerReply> {
         if *to == self.shared.instance {
             return Some(self.shared.keys.look_up(&key.id()));
         }
@@ -213,15 +214,15 @@
     }
 
     /// The receiver had no next step for an answer that did not fit.
-    fn lost(&self, receiver: &mut Receiver) -> Step {
+    fn lost(&self, receiver: &mut Receiver) -> ReceiverStep {
         log::warn!("event=key_answer_unexpected request={}", self.keyed.request);
-        let unknown = Step::Answer(Outcome::Unknown { upstream: None });
+        let unknown = ReceiverStep::Answer(KeyOutcome::Unknown { upstream: None });
         receiver.on_unreachable().unwrap_or(unknown)
     }
 }
 
 enum Forwarded {
-    Answer(FromIssuer),
+    Answer(IssuerReply),
     Unreachable,
     Late,
 }
@@ -233,15 +234,15 @@
 pub async fn ask_witness(
     shared: &Shared,
     to: &InstanceId,
-    message: ToWitness,
-) -> Option<FromWitness> {
+    message: WitnessRequest,
+) -> Option<WitnessReply> {
     let mut answer = ask_one_witness(shared, to, to, &message).await;
-    if answer.as_ref().is_some_and(|a| *a != FromWitness::Lost) {
+    if answer.as_ref().is_some_and(|a| *a != WitnessReply::Lost) {
         return answer;
     }
     for heir in heirs(shared, to) {
         let inherited = ask_one_witness(shared, &heir, to, &message).await;
-        if inherited.as_ref().is_some_and(|a| *a != FromWitness::Lost) {
+        if inherited.as_ref().is_some_and(|a| *a != WitnessReply::Lost) {
             return inherited;
         }
         answer = answer.or(inherited);
@@ -253,8 +254,8 @@
     shared: &Shared,
     asked: &InstanceId,
     witness: &InstanceId,
-    message: &ToWitness,
-) -> Option<FromWitness> {
+    message: &WitnessRequest,
+) -> Option<WitnessReply> {
     if *asked == shared.instance {
         return Some(shared.keys.on_witness(witness, message));
     }
@@ -270,39 +271,39 @@
 
 fn still_running() -> Refusal {
     let message = "the deadline passed while the call was under way; ask again with the same key";
-    Refusal::new(Kind::Unknown).with_message(message)
+    Refusal::new(RefusalKind::Unknown).with_message(message)
 }
 
-fn head_of(outcome: Outcome) -> Head {
+fn head_of(outcome: KeyOutcome) -> Head {
     match outcome {
-        Outcome::Ran {
+        KeyOutcome::Ran {
             answer: Some(answer),
             ..
         } => Head::Stream(replay(answer)),
-        Outcome::Ran {
+        KeyOutcome::Ran {
             upstream,
             answer: None,
         } => {
             let message = format!("it ran once at {upstream}; its answer is no longer kept");
             Head::Refused(
-                Refusal::new(Kind::KeyConflict)
+                Refusal::new(RefusalKind::KeyConflict)
                     .with_message(message)
-                    .with_ran(Ran::Yes),
+                    .with_ran(RunStatus::Yes),
             )
         }
-        Outcome::NotRun(why) => Head::Refused(not_run(why)),
-        Outcome::Unknown { upstream } => {
+        KeyOutcome::NotRun(why) => Head::Refused(not_run(why)),
+        KeyOutcome::Unknown { upstream } => {
             let place = upstream.map_or("an upstream".to_owned(), |u| format!("upstream {u}"));
             let message =
                 format!("it may have run at {place}; it will not run again under this key");
-            Head::Refused(Refusal::new(Kind::Unknown).with_message(message))
+            Head::Refused(Refusal::new(RefusalKind::Unknown).with_message(message))
         }
     }
 }
 
 fn not_run(why: NotRun) -> Refusal {
     match why {
-        NotRun::Late => Refusal::new(Kind::Deadline),
+        NotRun::Late => Refusal::new(RefusalKind::Deadline),
         NotRun::Expired => conflict("the key has expired; get a new one"),
         NotRun::Mismatch => conflict("the key was used for another call"),
         NotRun::Closed => {
@@ -320,14 +321,14 @@
 }
 
 fn conflict(message: &str) -> Refusal {
-    Refusal::new(Kind::KeyConflict).with_message(message)
+    Refusal::new(RefusalKind::KeyConflict).with_message(message)
 }
 
 fn unavailable(message: &str) -> Refusal {
-    Refusal::new(Kind::Unavailable).with_message(message)
+    Refusal::new(RefusalKind::Unavailable).with_message(message)
 }
 
-fn replay(answer: Answer) -> Response {
+fn replay(answer: StoredResponse) -> Response {
     let mut rsp = Response::new(Body::from(answer.body));
     *rsp.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     if let Some(value) = answer
--- a/src/reply.rs
+++ b/src/reply.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 
 use crate::answer::CollectedText;
-use crate::error::{Ran, Refusal};
+use crate::error::{Refusal, RunStatus};
 use crate::prompt::Prompt;
 
 /// Header with the id of the request.
@@ -33,15 +33,15 @@
 pub fn respond(id: &RequestId, head: Head) -> Response {
     match head {
         Head::Refused(refusal) => refused(id, &refusal),
-        Head::Json(body) => with_headers(json_response(&body), id, Ran::Yes),
-        Head::Made(body) => with_headers(json_response(&body), id, Ran::No),
-        Head::Stream(rsp) => with_headers(rsp, id, Ran::Yes),
+        Head::Json(body) => with_headers(json_response(&body), id, RunStatus::Yes),
+        Head::Made(body) => with_headers(json_response(&body), id, RunStatus::No),
+        Head::Stream(rsp) => with_headers(rsp, id, RunStatus::Yes),
     }
 }
 
 /// Makes the response for a refusal.
 pub fn refused(id: &RequestId, refusal: &Refusal) -> Response {
-    let row = refusal.kind.answer();
+    let row = refusal.kind.error_response();
     let body = json!({"error": {
         "kind": row.name,
         "message": refusal.message,
@@ -93,7 +93,7 @@
     })
 }
 
-fn with_headers(mut rsp: Response, id: &RequestId, ran: Ran) -> Response {
+fn with_headers(mut rsp: Response, id: &RequestId, ran: RunStatus) -> Response {
     if let Ok(value) = HeaderValue::from_str(id) {
         rsp.headers_mut().insert(REQUEST_ID, value);
     }
