--- a/crates/decisions/tests/credit.rs
+++ b/crates/decisions/tests/credit.rs
@@ -116,7 +116,8 @@
             fleet[to as usize].on_message(now, from, message, Some(SMALL));
         }
         for (own, ledger) in all.iter().zip(&mut fleet) {
-            let reachable: Vec<InstanceAddress> = all.iter().copied().filter(|m| m != own).collect();
+            let reachable: Vec<InstanceAddress> =
+                all.iter().copied().filter(|m| m != own).collect();
             let reachable = if case.partitioned {
                 &[]
             } else {
