--- a/crates/decisions/tests/shedding.rs
+++ b/crates/decisions/tests/shedding.rs
@@ -1,4 +1,5 @@
-//! The level of a pool: nothing is refused while a lower tier is still admitted somewhere.
+//! Level of a pool: no request may be refused while a lower tier is still admitted by some
+//! instance.
 
 use std::time::Duration;
 
@@ -10,9 +11,10 @@
 use tokio::time::Instant;
 use yare::parameterized;
 
-const BOTTOM: Rank = 3;
+/// Rank of the lowest tier.
+const LOWEST_RANK: Rank = 3;
 
-/// A level with members; messages arrive at once, except to and from those that are cut off.
+/// A level with its members. Messages arrive at once, except to and from the members in `cut`.
 struct Pool {
     now: Instant,
     level: LevelOwner,
@@ -25,9 +27,12 @@
     fn new(members: usize) -> Self {
         let now = Instant::now();
         let names: Vec<InstanceId> = (0..members).map(|n| format!("entry-{n}").into()).collect();
-        let mut level = LevelOwner::new(BOTTOM);
+        let mut level = LevelOwner::new(LOWEST_RANK);
         level.set_members(now, names.clone());
-        let members = names.iter().map(|_| LevelMember::new(BOTTOM)).collect();
+        let members = names
+            .iter()
+            .map(|_| LevelMember::new(LOWEST_RANK))
+            .collect();
         Self {
             now,
             level,
@@ -37,20 +42,23 @@
         }
     }
 
-    /// Delivers until nothing is under way; returns what the members refused.
+    /// Delivers messages until none is in transit; returns the requests that the members refused.
     fn deliver(&mut self, mut sends: Vec<LevelMessage>) -> Vec<RequestId> {
         let mut refused = Vec::new();
         loop {
             for send in std::mem::take(&mut sends) {
-                let at = self.names.binary_search(&send.to).expect("a member");
-                if !self.cut.contains(&at) {
-                    refused.extend(self.members[at].on_message(self.now, &send.message));
+                let index = self.names.binary_search(&send.to).expect("a member");
+                if !self.cut.contains(&index) {
+                    refused.extend(self.members[index].on_message(self.now, &send.message));
                 }
             }
-            for at in 0..self.members.len() {
-                for message in self.members[at].take_outgoing() {
-                    if !self.cut.contains(&at) {
-                        sends.extend(self.level.on_message(self.now, &self.names[at], &message));
+            for index in 0..self.members.len() {
+                for message in self.members[index].take_outgoing() {
+                    if !self.cut.contains(&index) {
+                        sends.extend(
+                            self.level
+                                .on_message(self.now, &self.names[index], &message),
+                        );
                     }
                 }
             }
@@ -60,7 +68,8 @@
         }
     }
 
-    fn pass(&mut self, time: Duration) -> Vec<RequestId> {
+    /// Advances the time in ticks of 50 ms; returns the requests that the members refused.
+    fn advance(&mut self, time: Duration) -> Vec<RequestId> {
         let mut refused = Vec::new();
         let end = self.now + time;
         while self.now < end {
@@ -72,11 +81,11 @@
     }
 }
 
-/// Two instances are full. One holds an urgent request that cannot be served any more, the other
-/// a waiting request of the lowest tier. The urgent caller would be told "no capacity" while the
-/// other caller is served.
+/// Two instances are full. One holds an urgent request that cannot be served, the other a waiting
+/// request of the lowest tier. The waiting one must be refused first, or the urgent caller would
+/// get "no capacity" while the other is served.
 #[test]
-fn lower_tiers_of_all_instances_go_first() {
+fn lower_tiers_are_refused_first_at_all_instances() {
     let mut pool = Pool::new(3);
     pool.members[1].add_waiting(&"low".into(), 3);
     pool.members[1].add_waiting(&"urgent".into(), 0);
@@ -91,18 +100,18 @@
         pool.members[0].request_refusal(pool.now, 1),
         RefusalStep::Allowed
     );
-    let allowed = |rank| {
+    let admitting = |rank| {
         pool.members
             .iter()
             .filter(|m| m.admits(pool.now, rank))
             .count()
     };
-    assert_eq!([0, 1, 2, 3].map(allowed), [3, 3, 0, 0]);
+    assert_eq!([0, 1, 2, 3].map(admitting), [3, 3, 0, 0]);
     assert_eq!(pool.level.lowest_rank(), 1);
 }
 
-/// An instance holds requests of several tiers and one of them has to be refused. A caller of the
-/// higher tier would see its request refused while this very instance keeps a lower one.
+/// An instance holds requests of several tiers and has to refuse one of them. A request of a higher
+/// tier must not be refused while this instance keeps a lower one.
 #[test]
 fn own_lower_tiers_are_evicted_from_the_lowest_up() {
     let mut pool = Pool::new(1);
@@ -122,7 +131,7 @@
     );
 }
 
-/// One instance is paused and cannot acknowledge. Callers of the others must not wait for it until
+/// One instance is paused and cannot acknowledge. Requests at the others must not wait for it until
 /// their deadlines.
 #[test]
 fn a_paused_instance_delays_a_refusal_by_a_bounded_time() {
@@ -137,24 +146,24 @@
         pool.members[0].request_refusal(pool.now, 0),
         RefusalStep::RaiseFirst
     );
-    pool.pass(ACKNOWLEDGE_TIMEOUT);
+    pool.advance(ACKNOWLEDGE_TIMEOUT);
     assert_eq!(
         pool.members[0].request_refusal(pool.now, 0),
         RefusalStep::Allowed
     );
 }
 
-/// The instance that owns the level is cut off from one that is overloaded. Its callers would get
-/// no answer at all before their deadlines.
+/// An overloaded instance is cut off from the owner of the level. Without a timeout its callers
+/// would get no response before their deadlines.
 #[test]
-fn an_instance_without_an_owner_goes_on_alone() {
+fn an_instance_without_a_reachable_owner_refuses_alone() {
     let mut pool = Pool::new(2);
     pool.cut.push(0);
     assert_eq!(
         pool.members[0].request_refusal(pool.now, 1),
         RefusalStep::RaiseFirst
     );
-    pool.pass(ACKNOWLEDGE_TIMEOUT * 2);
+    pool.advance(ACKNOWLEDGE_TIMEOUT * 2);
     assert_eq!(
         pool.members[0].request_refusal(pool.now, 1),
         RefusalStep::Allowed
@@ -163,31 +172,31 @@
     assert!(pool.members[1].admits(pool.now, 2));
 }
 
-/// The overload ends. Low tiers would stay refused for ever, or all come back in one moment and
-/// cause the next overload.
+/// The overload ends. Low tiers must not stay refused forever, nor be admitted again all at once,
+/// which would cause the next overload.
 #[test]
-fn the_level_falls_one_step_at_a_time() {
+fn the_level_is_lowered_by_one_tier_at_a_time() {
     let mut pool = Pool::new(2);
     pool.members[0].request_refusal(pool.now, 0);
     pool.deliver(Vec::new());
     let mut levels = Vec::new();
     for _ in 0..4 {
         levels.push(pool.level.lowest_rank());
-        pool.pass(FALL_AFTER);
+        pool.advance(FALL_AFTER);
     }
     assert_eq!(levels, vec![0, 1, 2, 3]);
-    assert!(pool.members.iter().all(|m| m.admits(pool.now, BOTTOM)));
+    assert!(pool.members.iter().all(|m| m.admits(pool.now, LOWEST_RANK)));
 }
 
-/// Refusals go on. A level that fell between two of them would let in requests of a tier that is
-/// about to be refused again.
+/// Refusals continue. If the level were lowered between two of them, requests of a tier would be
+/// admitted that is about to be refused again.
 #[test]
-fn the_level_stays_while_refusals_go_on() {
+fn the_level_stays_raised_while_refusals_continue() {
     let mut pool = Pool::new(2);
     pool.members[0].request_refusal(pool.now, 1);
     pool.deliver(Vec::new());
     for _ in 0..20 {
-        pool.pass(Duration::from_millis(250));
+        pool.advance(Duration::from_millis(250));
         assert_eq!(
             pool.members[0].request_refusal(pool.now, 1),
             RefusalStep::Allowed
@@ -197,10 +206,10 @@
     assert_eq!(pool.level.lowest_rank(), 1);
 }
 
-/// The level falls while one instance has not heard of it. It would go on to refuse tier 1 while
-/// the others serve tier 2 again.
+/// The level is lowered, but one instance has not received the change yet. It must not refuse tier
+/// 1 while the others serve tier 2 again.
 #[test]
-fn a_right_to_refuse_ends_before_lower_tiers_come_back() {
+fn a_right_to_refuse_ends_before_lower_tiers_are_admitted() {
     let mut pool = Pool::new(2);
     pool.members[0].request_refusal(pool.now, 1);
     pool.deliver(Vec::new());
@@ -225,21 +234,21 @@
     );
 }
 
-/// The word of a fall is lost on the way to one instance, again and again. Until its right has
-/// lapsed it may refuse tier 1, so the other must not serve tier 2 yet.
+/// All messages that lower the level are lost on the way to one instance. Until its right to refuse
+/// has expired it may refuse tier 1, so the other instance must not serve tier 2 yet.
 #[test]
-fn a_lost_fall_waits_for_the_right_to_lapse() {
+fn a_lost_lowering_waits_for_the_right_to_expire() {
     let mut pool = Pool::new(2);
     pool.members[0].request_refusal(pool.now, 1);
     pool.deliver(Vec::new());
     pool.cut.push(0);
-    pool.pass(FALL_AFTER + ACKNOWLEDGE_TIMEOUT * 2);
+    pool.advance(FALL_AFTER + ACKNOWLEDGE_TIMEOUT * 2);
     assert_eq!(
         pool.members[0].request_refusal(pool.now, 1),
         RefusalStep::Allowed
     );
     assert!(!pool.members[1].admits(pool.now, 2));
-    pool.pass(REFUSAL_RIGHT_LEASE);
+    pool.advance(REFUSAL_RIGHT_LEASE);
     assert_eq!(
         pool.members[0].request_refusal(pool.now, 1),
         RefusalStep::RaiseFirst
@@ -247,10 +256,10 @@
     assert!(pool.members[1].admits(pool.now, 2));
 }
 
-/// The level's owner dies. Rights and levels that rest on its word must end by themselves, the
-/// rights first.
+/// The owner of the level dies. Levels and rights to refuse that it has set must expire on their
+/// own, the rights first.
 #[test]
-fn a_right_lapses_before_the_level() {
+fn a_right_to_refuse_expires_before_the_level() {
     let mut pool = Pool::new(2);
     pool.members[0].request_refusal(pool.now, 1);
     pool.deliver(Vec::new());
@@ -262,17 +271,17 @@
     assert!(!pool.members[1].admits(pool.now, 2));
 }
 
-/// A new owner starts counting anew. The members remember the dead owner's higher numbers and
-/// would ignore every change.
+/// A new owner starts at epoch 0, while the members remember higher epochs of the dead owner. It
+/// must continue after those, or the members would ignore every change.
 #[test]
-fn a_new_owner_overtakes_the_dead_one() {
+fn a_new_owner_continues_after_the_epoch_of_the_dead_one() {
     let mut pool = Pool::new(2);
     for _ in 0..3 {
         pool.members[0].request_refusal(pool.now, 1);
         pool.deliver(Vec::new());
-        pool.pass(FALL_AFTER * 4);
+        pool.advance(FALL_AFTER * 4);
     }
-    pool.level = LevelOwner::new(BOTTOM);
+    pool.level = LevelOwner::new(LOWEST_RANK);
     let sends = pool.level.set_members(pool.now, pool.names.clone());
     pool.deliver(sends);
     let sends = pool
@@ -288,14 +297,20 @@
 #[parameterized(
     in_time = { 1000, 400, 600, true, false },
     late = { 1000, 401, 600, false, false },
-    hopeless = { 500, 0, 600, false, true },
+    unmeetable = { 500, 0, 600, false, true },
 )]
-fn deadline(left: u64, wait: u64, service: u64, meets: bool, hopeless: bool) {
+fn deadlines_are_compared_with_estimates(
+    left_ms: u64,
+    wait_ms: u64,
+    service_ms: u64,
+    meets: bool,
+    unmeetable: bool,
+) {
     let ms = Duration::from_millis;
     let estimate = Estimate {
-        wait: ms(wait),
-        service: ms(service),
+        wait: ms(wait_ms),
+        service: ms(service_ms),
     };
-    assert_eq!(can_meet(ms(left), estimate), meets);
-    assert_eq!(is_unmeetable(ms(left), estimate), hopeless);
+    assert_eq!(can_meet(ms(left_ms), estimate), meets);
+    assert_eq!(is_unmeetable(ms(left_ms), estimate), unmeetable);
 }
