--- a/crates/decisions/tests/fairness.rs
+++ b/crates/decisions/tests/fairness.rs
@@ -1,4 +1,5 @@
-//! Order of service, judged by who is served how much and how long the short ones wait.
+//! Order of service, tested by the cost served to each organisation and the waits of short
+//! requests.
 
 use std::time::Duration;
 
@@ -46,10 +47,11 @@
     queue.push(reservation, prompt, Instant::now() + Duration::from_mins(1));
 }
 
-/// Cost served to each organisation when `served` in all is served.
-fn served(queue: &mut FairQueue, organisations: &[&str], served: u64) -> Vec<u64> {
+/// Grants requests until their total cost reaches `total`; returns the cost granted to each
+/// organisation.
+fn served(queue: &mut FairQueue, organisations: &[&str], total: u64) -> Vec<u64> {
     let mut sums = vec![0; organisations.len()];
-    while sums.iter().sum::<u64>() < served {
+    while sums.iter().sum::<u64>() < total {
         let Some(entry) = queue.pop_next(true) else {
             break;
         };
@@ -61,10 +63,10 @@
     sums
 }
 
-/// One organisation sends twenty times what the others send. In order of arrival the others would
-/// wait behind all of it; a planner of a small terminal would see the day's drafts come late.
+/// One organisation sends twenty times as many requests as the others. In order of arrival the
+/// others would wait behind all of them, and the drafts of a small terminal would be late.
 #[test]
-fn hot_organisation_takes_only_its_share() {
+fn a_hot_organisation_gets_only_its_share() {
     let mut queue = FairQueue::new();
     let mut number = 0;
     for _ in 0..100 {
@@ -84,9 +86,9 @@
     }
 }
 
-/// Shares follow weights and cost, not the number of requests.
+/// Shares depend on weight and cost, not on the number of requests.
 #[test]
-fn shares_follow_weight_and_cost() {
+fn shares_depend_on_weight_and_cost() {
     let mut queue = FairQueue::new();
     for number in 0..2_000 {
         let heavy = number % 2 == 0;
@@ -103,7 +105,8 @@
     assert!((2.9..3.1).contains(&ratio), "shares {sums:?}");
 }
 
-/// An organisation asks for little and takes much: the difference is charged when it ends.
+/// The requests of an organisation cost more than estimated. The difference must be charged when
+/// they end.
 #[test]
 fn real_cost_is_charged_at_the_end() {
     let mut queue = FairQueue::new();
@@ -124,10 +127,10 @@
     assert!(honest.abs_diff(3 * modest) <= 3, "grants {grants:?}");
 }
 
-/// A long request of the highest tier waits for a slot that long ones may hold. No lower tier
-/// passes it meanwhile; otherwise it could be refused as late while they were served.
+/// A long request of the highest tier waits for a slot that long ones may hold. No lower tier may
+/// be granted meanwhile, or the long request could be refused as late while lower ones are served.
 #[test]
-fn lower_tiers_do_not_pass_a_long_one_that_waits() {
+fn lower_tiers_do_not_overtake_a_waiting_long_request() {
     let mut queue = FairQueue::new();
     for number in 0..30 {
         push(&mut queue, number, &Job::new("foremen", 10));
@@ -159,9 +162,10 @@
     assert!(ranks.is_sorted(), "{ranks:?}");
 }
 
-/// In a full queue the flood's own requests are pushed out, not those of the quiet ones.
+/// A full queue must evict requests of the organisation that floods it, not of others, and the
+/// lowest tier first.
 #[test]
-fn full_queue_drops_the_lowest_tier_and_there_the_greedy() {
+fn a_full_queue_evicts_the_lowest_tier_and_the_largest_backlog() {
     let mut queue = FairQueue::new();
     for number in 0..50 {
         push(&mut queue, number, &Job::new("hot", 100));
@@ -176,24 +180,26 @@
     assert_eq!(&*last.reservation.request, "r51");
 }
 
-/// Slots of a replica, each busy for as long as its job's cost.
+/// Slots of a replica. Each is busy for as many time units as the cost of its job.
 struct Slots {
-    until: Vec<(u64, SizeClass)>,
+    busy_until: Vec<(u64, SizeClass)>,
     slots: u32,
 }
 
-/// Waits of the short and of the long jobs, in order of their grants.
+/// Waits of short and of long jobs in time units, in order of their grants.
 struct Waits {
     short: Vec<u64>,
     long: Vec<u64>,
 }
 
-/// A short job of cost 10 every 12 units in the mean and, if `flood`, a long one of 1,000 every 100.
+/// Simulates a replica with 8 slots. A short job of cost 10 arrives every 12 time units on average
+/// and, with `flood`, a long one of cost 1,000 every 100. With `capped`, long jobs may hold only
+/// [`max_long_slots`] slots.
 fn run(flood: bool, capped: bool) -> Waits {
     let (slots, end) = (8, 100_000);
     let mut queue = FairQueue::new();
-    let mut busy = Slots {
-        until: Vec::new(),
+    let mut replica = Slots {
+        busy_until: Vec::new(),
         slots,
     };
     let mut waits = Waits {
@@ -209,20 +215,20 @@
                 arrived.push(now);
             }
         }
-        busy.until.retain(|(until, _)| *until > now);
-        while busy.until.len() < busy.slots as usize {
-            let long = busy
-                .until
+        replica.busy_until.retain(|(until, _)| *until > now);
+        while replica.busy_until.len() < replica.slots as usize {
+            let long = replica
+                .busy_until
                 .iter()
                 .filter(|(_, size)| *size == SizeClass::Long);
-            let room = !capped || (long.count() as u32) < max_long_slots(busy.slots);
-            let Some(entry) = queue.pop_next(room) else {
+            let allow_long = !capped || (long.count() as u32) < max_long_slots(replica.slots);
+            let Some(entry) = queue.pop_next(allow_long) else {
                 break;
             };
             let cost = entry.reservation.work.cost();
             let number: usize = entry.reservation.request[1..].parse().expect("a number");
             let wait = now - arrived[number];
-            busy.until.push((now + cost, entry.size));
+            replica.busy_until.push((now + cost, entry.size));
             if cost == 10 {
                 waits.short.push(wait);
             } else {
@@ -239,8 +245,9 @@
     sorted[sorted.len() * 99 / 100]
 }
 
-/// Long stowage summaries, a hundred times a status check, come faster than they can be served.
-/// If they could hold all slots, each foreman would wait until one of them ends.
+/// Long stowage summaries, each a hundred times as costly as a status check, arrive faster than
+/// they can be served. If they could hold all slots, every status check would wait until one of
+/// them ends.
 #[test]
 fn short_jobs_do_not_wait_for_long_ones() {
     let alone = run(false, true);
@@ -256,9 +263,12 @@
         uncapped > 4 * short.max(10),
         "the cap changes nothing: {uncapped}, {short}"
     );
-    // The long ones get all slots that are theirs, a thousand units each.
-    let (long, most) = (with_flood.long.len(), max_long_slots(8) as usize * 100);
-    assert!(long * 12 >= most * 11, "{long} long served of {most}");
+    // The long jobs use all of the slots that they may hold, each for a thousand time units.
+    let (long, max_long) = (with_flood.long.len(), max_long_slots(8) as usize * 100);
+    assert!(
+        long * 12 >= max_long * 11,
+        "{long} long served of {max_long}"
+    );
     println!(
         "short p99 wait: {alone} alone, {short} capped, {uncapped} uncapped; long served: {} capped, {} uncapped",
         with_flood.long.len(),
