--- a/crates/decisions/tests/configuration.rs
+++ b/crates/decisions/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Acceptance, refusal and passing on of published values.
+//! Acceptance, refusal and exchange of published values.
 
 use std::time::Duration;
 
@@ -35,6 +35,7 @@
     json!({ "instances": list })
 }
 
+/// Configuration that has version 5 of all values in force.
 fn started() -> Configuration {
     let mut cfg = Configuration::new(Instant::now());
     cfg.offer(ValueName::Table, 5, &table(1)).expect("valid");
@@ -45,10 +46,10 @@
     cfg
 }
 
-/// A platform replica that was restored from an old copy answers with last week's table. Were it
-/// taken, an organisation would get back a limit that the operator had lifted.
+/// A platform replica that was restored from an old copy answers with last week's table. If it were
+/// accepted, a limit that the operator had lifted would apply again.
 #[test]
-fn a_version_only_grows() {
+fn an_older_version_is_refused() {
     let mut cfg = started();
     assert_eq!(
         cfg.offer(ValueName::Table, 5, &table(1)),
@@ -63,8 +64,8 @@
         offered: 8,
     };
     assert_eq!(cfg.offer(ValueName::Table, 8, &table(1)), Err(older));
-    let differs = Err(Rejected::Conflict { version: 9 });
-    assert_eq!(cfg.offer(ValueName::Table, 9, &table(1)), differs);
+    let conflict = Err(Rejected::Conflict { version: 9 });
+    assert_eq!(cfg.offer(ValueName::Table, 9, &table(1)), conflict);
     assert_eq!(
         cfg.table()
             .unwrap()
@@ -75,10 +76,10 @@
     );
 }
 
-/// An operator saves a table with several bad cells. Half of it must not come into force, and
-/// every fault is named at once, so that one edit mends it.
+/// An operator saves a table with several bad cells. No part of it may come into force, and all
+/// faults must be reported together, so that one edit can correct them.
 #[test]
-fn a_faulty_table_is_refused_whole_with_every_fault() {
+fn a_faulty_table_is_refused_with_all_faults() {
     let mut cfg = started();
     let faulty = json!({"tiers": [{"tier": "urgent", "rank": 1, "weight": 0}, {"tier": "urgent", "rank": 1, "weight": 1}],
         "organisations": [
@@ -119,7 +120,7 @@
     service_twice = { ValueName::Services, json!({"services": [{"service": "a", "kind": "plain"}, {"service": "a", "kind": "plain"}]}) },
     unknown_kind = { ValueName::Services, json!({"services": [{"service": "a", "kind": "other"}]}) },
     call_without_method = { ValueName::Services, json!({"services": [{"service": "a", "kind": "plain", "non_idempotent": ["/x"]}]}) },
-    call_with_more = { ValueName::Services, json!({"services": [{"service": "a", "kind": "plain", "non_idempotent": ["POST /x y"]}]}) },
+    call_with_extra_word = { ValueName::Services, json!({"services": [{"service": "a", "kind": "plain", "non_idempotent": ["POST /x y"]}]}) },
     instance_twice = { ValueName::Instances, instances(&[entry("a"), entry("a"), upstream("u")]) },
     no_entry = { ValueName::Instances, instances(&[upstream("u")]) },
     no_upstream = { ValueName::Instances, instances(&[entry("a")]) },
@@ -165,10 +166,10 @@
     assert_eq!(booking.is_non_idempotent(method, path), expected);
 }
 
-/// An instance starts while the only platform replica that answers is a week old. A peer knows
-/// better; the instance must not serve a single caller by the old table.
+/// An instance starts while the only platform replica that answers is a week behind, and a peer has
+/// newer values. The instance must not serve any caller by the old table.
 #[test]
-fn a_starting_instance_takes_the_highest_of_platform_and_peers() {
+fn a_starting_instance_uses_the_highest_version_of_platform_and_peers() {
     let now = Instant::now();
     let mut peer = started();
     peer.offer(ValueName::Table, 7, &table(9)).expect("valid");
@@ -195,7 +196,7 @@
     platform_alone = { true, false },
     peer_alone = { false, true },
 )]
-fn a_start_does_without_the_one_that_does_not_answer(platform: bool, peer: bool) {
+fn a_start_ignores_a_source_that_does_not_answer(platform: bool, peer: bool) {
     let now = Instant::now();
     let mut cfg = started();
     if platform {
@@ -211,15 +212,15 @@
 }
 
 #[test]
-fn nobody_answered_means_not_ready() {
+fn an_instance_without_any_answer_is_not_ready() {
     let mut cfg = started();
     assert!(!cfg.is_ready(Instant::now() + START_WAIT * 10));
 }
 
-/// Two peers hold different contents under one version, for example after a restored platform
-/// was edited anew. They would differ for ever, so both must say so.
+/// Two peers have different contents under one version, for example after a restored platform was
+/// edited again. They would differ forever, so this must raise an alarm.
 #[test]
-fn contents_that_differ_under_one_version_are_alarmed() {
+fn different_contents_under_one_version_raise_an_alarm() {
     let mut ours = started();
     let mut theirs = Configuration::new(Instant::now());
     theirs.offer(ValueName::Table, 5, &table(2)).expect("valid");
@@ -227,21 +228,22 @@
     assert_eq!(reply.rejected, Some(Rejected::Conflict { version: 5 }));
 }
 
-/// The platform is down for all but one instance; the others hear of an edit from it alone.
+/// Only one instance can reach the platform. The others must receive an edit from it, including
+/// fields that they do not know.
 #[test]
-fn a_version_is_passed_on_with_unknown_fields() {
+fn a_value_is_sent_to_peers_with_unknown_fields() {
     let mut ahead = started();
     let mut behind = started();
     ahead.offer(ValueName::Table, 6, &table(7)).expect("valid");
-    let asked = behind.on_message(&ahead.announcement());
+    let question = behind.on_message(&ahead.announcement());
     assert_eq!(
-        asked.send[0],
+        question.send[0],
         ConfigurationMessage::Ask {
             names: vec![ValueName::Table]
         }
     );
-    let given = ahead.on_message(&asked.send[0]);
-    let text = serde_json::to_string(&given.send[0]).unwrap();
+    let answer = ahead.on_message(&question.send[0]);
+    let text = serde_json::to_string(&answer.send[0]).unwrap();
     assert!(text.contains("later_field"));
     let reply = behind.on_message(&serde_json::from_str(&text).unwrap());
     assert_eq!(reply.in_force, Some(ValueName::Table));
