--- a/crates/decisions/tests/fanout.rs
+++ b/crates/decisions/tests/fanout.rs
@@ -1,4 +1,4 @@
-//! Who passes news on in a zone.
+//! Relays of a zone and the receivers of updates.
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
     relays: usize,
 }
 
-/// A zone of any size is served by few relays, each by about a dozen instances; two instances need one.
+/// A zone of any size must be served by few relays, each of which serves about a dozen instances.
 #[parameterized(
-    alone = { Zone { members: 1, relays: 1 } },
+    one = { Zone { members: 1, relays: 1 } },
     three = { Zone { members: 3, relays: 1 } },
     twelve = { Zone { members: 12, relays: 1 } },
     fifty = { Zone { members: 50, relays: 5 } },
@@ -24,21 +24,21 @@
     let members: Vec<InstanceAddress> = (0..case.members).collect();
     let relays = choose_relays(&members);
     assert_eq!(relays.len(), case.relays);
-    let served = |relay: &InstanceAddress| {
+    let served_count = |relay: &InstanceAddress| {
         let served = members
             .iter()
             .filter(|m| relay_of(**m, &relays) == Some(*relay));
         served.count()
     };
-    let most = relays.iter().map(served).max();
-    assert!(most <= Some(case.members.div_ceil(case.relays as u32) as usize * 2));
+    let max_served = relays.iter().map(served_count).max();
+    assert!(max_served <= Some(case.members.div_ceil(case.relays as u32) as usize * 2));
     assert!(relays.iter().all(|r| relay_of(*r, &relays) == Some(*r)));
 }
 
-/// One instance of fifty dies. Those that it did not serve keep their relays: if all changed them, a zone
-/// would send everything twice for a moment at each restart.
+/// One instance of fifty dies. Instances that it did not serve must keep their relays. If all of
+/// them changed, a zone would send everything twice for a moment at each restart.
 #[test]
-fn few_change_their_relay_when_one_leaves() {
+fn few_instances_change_their_relay_when_one_dies() {
     let members: Vec<InstanceAddress> = (0..50).collect();
     let before = choose_relays(&members);
     let dead = before[0];
@@ -48,100 +48,121 @@
         let relay = relay_of(**m, &before);
         relay != Some(dead) && relay != relay_of(**m, &after)
     });
-    // Those that the new relay takes over beside the dead one's.
+    // Instances that the new relay serves in addition to those of the dead one.
     assert!(moved.count() <= rest.len() / 4);
 }
 
-/// Nobody is known: there is no relay to ask.
+/// Without known members there is no relay.
 #[test]
-fn nobody_has_no_relay() {
+fn an_empty_zone_has_no_relay() {
     assert_eq!(relay_of(1, &choose_relays(&[])), None);
 }
 
-/// The relay of a zone stands still. Whoever it serves tells another one before the rest of the fleet takes
-/// them for silent, which is after 2.5 seconds, and comes back to it once it sends again.
+/// The relay of a zone is paused. The instances that it serves must use another one before the rest
+/// of the fleet considers them silent, which is after 2.5 seconds, and must return to it once it
+/// sends again.
 #[test]
-fn a_relay_that_sends_nothing_is_passed_over_for_a_while() {
+fn a_silent_relay_is_excluded_for_a_while() {
     let start = Instant::now();
     let members: Vec<InstanceAddress> = (0..8).collect();
-    let first = choose_relays(&members)[0];
-    let own = members[usize::from(first == 0)];
-    let heard: Vec<InstanceAddress> = members.iter().copied().filter(|m| *m != own).collect();
-    let mut seen = Relays::default();
-    let still = |_| Some(start);
-    assert!(seen.update(start, own, &heard, still).is_empty());
-    assert_eq!(seen.relay_for(own), Some(first));
+    let first_relay = choose_relays(&members)[0];
+    let own = members[usize::from(first_relay == 0)];
+    let reachable: Vec<InstanceAddress> = members.iter().copied().filter(|m| *m != own).collect();
+    let mut relays = Relays::default();
+    let sent_at_start = |_| Some(start);
+    assert!(
+        relays
+            .update(start, own, &reachable, sent_at_start)
+            .is_empty()
+    );
+    assert_eq!(relays.relay_for(own), Some(first_relay));
     let later = start + Duration::from_millis(800);
-    assert!(seen.update(later, own, &heard, still).is_empty());
-    let lost = start + Duration::from_secs(1);
-    assert_eq!(seen.update(lost, own, &heard, still), [first]);
-    assert!(seen.relay_for(own).is_some_and(|relay| relay != first));
-    assert!(!seen.contains(first));
-    let back = lost + Duration::from_millis(3100);
-    seen.update(back, own, &heard, |_| Some(back));
-    assert_eq!(seen.relay_for(own), Some(first));
+    assert!(
+        relays
+            .update(later, own, &reachable, sent_at_start)
+            .is_empty()
+    );
+    let detected = start + Duration::from_secs(1);
+    assert_eq!(
+        relays.update(detected, own, &reachable, sent_at_start),
+        [first_relay]
+    );
+    assert!(
+        relays
+            .relay_for(own)
+            .is_some_and(|relay| relay != first_relay)
+    );
+    assert!(!relays.contains(first_relay));
+    let resumed = detected + Duration::from_millis(3100);
+    relays.update(resumed, own, &reachable, |_| Some(resumed));
+    assert_eq!(relays.relay_for(own), Some(first_relay));
 }
 
-/// An instance that is a relay itself hears nothing of its own. It does not pass itself over.
+/// An instance that is a relay itself receives no messages of its own. It must not exclude itself.
 #[test]
-fn a_relay_does_not_pass_itself_over() {
+fn a_relay_does_not_exclude_itself() {
     let start = Instant::now();
-    let mut seen = Relays::default();
+    let mut relays = Relays::default();
     for second in 0..5 {
         let now = start + Duration::from_secs(second);
-        assert!(seen.update(now, 1, &[], |_| None).is_empty());
-        assert_eq!(seen.relay_for(1), Some(1));
+        assert!(relays.update(now, 1, &[], |_| None).is_empty());
+        assert_eq!(relays.relay_for(1), Some(1));
     }
 }
 
-/// A relay says that it ends. It is no relay from then on, and not one that sends nothing: the log would send
-/// who reads it after a fault that was none.
+/// A relay announces that it is leaving. From then on it is no relay, but it must not be reported
+/// as silent, or operators would search the log for a fault that never occurred.
 #[test]
-fn a_relay_that_left_is_not_lost() {
+fn a_relay_that_left_is_not_reported_as_silent() {
     let start = Instant::now();
     let members: Vec<InstanceAddress> = (0..8).collect();
-    let first = choose_relays(&members)[0];
-    let own = members[usize::from(first == 0)];
-    let heard: Vec<InstanceAddress> = members.iter().copied().filter(|m| *m != own).collect();
-    let mut seen = Relays::default();
-    seen.update(start, own, &heard, |_| Some(start));
-    let rest: Vec<InstanceAddress> = heard.iter().copied().filter(|m| *m != first).collect();
+    let first_relay = choose_relays(&members)[0];
+    let own = members[usize::from(first_relay == 0)];
+    let reachable: Vec<InstanceAddress> = members.iter().copied().filter(|m| *m != own).collect();
+    let mut relays = Relays::default();
+    relays.update(start, own, &reachable, |_| Some(start));
+    let rest: Vec<InstanceAddress> = reachable
+        .iter()
+        .copied()
+        .filter(|m| *m != first_relay)
+        .collect();
     let later = start + Duration::from_secs(2);
-    let lost = seen.update(later, own, &rest, |m| (m != first).then_some(later));
-    assert!(lost.is_empty(), "{lost:?}");
-    assert!(!seen.contains(first));
+    let silent = relays.update(later, own, &rest, |m| (m != first_relay).then_some(later));
+    assert!(silent.is_empty(), "{silent:?}");
+    assert!(!relays.contains(first_relay));
 }
 
-struct Told {
+struct FullMeshCase {
     members: u32,
-    /// Whether each tells each.
-    directly: bool,
+    /// Whether each instance sends to all others.
+    full_mesh: bool,
 }
 
-/// In a small zone news reach each instance by one way, once: with two ways the place that came free is given
-/// away before, and who hears twice does the work twice. A large zone is told by relays alone.
+/// In a small zone updates must reach each instance by exactly one path. With a second hop a free
+/// slot is already taken when the update arrives, and duplicates cause duplicate work. In a large
+/// zone only relays receive them.
 #[parameterized(
-    two = { Told { members: 2, directly: true } },
-    fifteen = { Told { members: 15, directly: true } },
-    largest_small = { Told { members: MAX_FULL_MESH as u32, directly: true } },
-    fifty = { Told { members: 50, directly: false } },
+    two = { FullMeshCase { members: 2, full_mesh: true } },
+    fifteen = { FullMeshCase { members: 15, full_mesh: true } },
+    largest_small = { FullMeshCase { members: MAX_FULL_MESH as u32, full_mesh: true } },
+    fifty = { FullMeshCase { members: 50, full_mesh: false } },
 )]
-fn a_small_zone_is_told_directly(case: Told) {
+fn a_small_zone_is_a_full_mesh(case: FullMeshCase) {
     let now = Instant::now();
     let members: Vec<InstanceAddress> = (0..case.members).collect();
     for own in &members {
         let others: Vec<InstanceAddress> = members.iter().copied().filter(|m| m != own).collect();
-        let mut seen = Relays::default();
-        seen.update(now, *own, &others, |_| Some(now));
-        let receivers = seen.receivers(*own, &others);
-        assert_eq!(receivers.relay.is_none(), seen.contains(*own));
+        let mut relays = Relays::default();
+        relays.update(now, *own, &others, |_| Some(now));
+        let receivers = relays.receivers(*own, &others);
+        assert_eq!(receivers.relay.is_none(), relays.contains(*own));
         let neighbours = receivers.neighbours.clone().unwrap_or_default();
-        assert_eq!(receivers.neighbours.is_some(), case.directly);
-        let mut told: Vec<InstanceAddress> =
+        assert_eq!(receivers.neighbours.is_some(), case.full_mesh);
+        let mut receivers_of_own: Vec<InstanceAddress> =
             neighbours.into_iter().chain(receivers.relay).collect();
-        told.sort_unstable();
-        if case.directly {
-            assert_eq!(told, others);
+        receivers_of_own.sort_unstable();
+        if case.full_mesh {
+            assert_eq!(receivers_of_own, others);
         }
     }
 }
--- a/crates/decisions/tests/retries.rs
+++ b/crates/decisions/tests/retries.rs
@@ -12,7 +12,8 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A hundred callers are refused in one moment. With one advice for all they come back together.
+/// A hundred callers are refused at the same time. With the same advice they would come back
+/// together.
 #[test]
 fn advice_is_spread() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
@@ -25,7 +26,8 @@
     assert!(advice[0] >= MIN_RETRY_AFTER && advice[advice.len() - 1] <= MAX_RETRY_AFTER);
 }
 
-/// The overload grows. Callers that are told to come back after the same time keep it alive.
+/// The overload grows. If the advice stayed the same, the returning callers would sustain the
+/// overload.
 #[test]
 fn advice_grows_with_pressure() {
     let now = Instant::now();
@@ -44,7 +46,7 @@
     assert!(advice(100_000) <= Some(MAX_RETRY_AFTER));
 }
 
-/// Callers retry each refusal at once. Their retries would multiply the overload that refused them.
+/// Callers retry each refusal at once. Without a budget their retries would multiply the overload.
 #[test]
 fn retries_add_a_tenth_at_most() {
     let mut now = Instant::now();
@@ -64,7 +66,8 @@
     );
 }
 
-/// An organisation has spent its budget and is told when to come back; then it must be let in.
+/// An organisation has spent its budget and is advised when to retry. A retry at that time must be
+/// admitted.
 #[test]
 fn an_advised_retry_is_admitted() {
     let now = Instant::now();
@@ -77,9 +80,9 @@
     assert_eq!(budget.admit(now, &"other".into(), 2), Ok(()));
 }
 
-/// Requests name ever new organisations. The instance's memory would grow with each.
+/// Requests name more and more organisations. The memory of the instance must not grow with each.
 #[test]
-fn remembered_organisations_are_bounded() {
+fn tracked_organisations_are_bounded() {
     let start = Instant::now();
     let mut budget = RetryBudget::new();
     for n in 0..MAX_ORGANISATIONS + 10 {
--- a/crates/decisions/tests/upstream_retries.rs
+++ b/crates/decisions/tests/upstream_retries.rs
@@ -1,4 +1,4 @@
-//! The fleet's budget for repeats, spent by instances that do not ask each other.
+//! Fleet-wide retry budget, spent by instances that do not communicate.
 
 use std::time::Duration;
 
@@ -15,13 +15,13 @@
 
 struct Case {
     instances: usize,
-    /// Requests a second at each instance.
+    /// Requests per second at each instance.
     rate: u64,
 }
 
-/// Every replica fails every request, and each instance would repeat each of them. Together they
-/// stay within the operator's bound in any window, or the repeats would double the load just when
-/// capacity is short.
+/// Every replica fails every request, and each instance wants to retry each of them. In any window
+/// the retries of all instances together must stay within the operator's bound, or they would
+/// double the load just when capacity is short.
 #[parameterized(
     seven_busy = { Case { instances: 7, rate: 20 } },
     seven_idle = { Case { instances: 7, rate: 1 } },
@@ -35,14 +35,14 @@
         .map(|_| UpstreamRetryBudget::new(BOUNDS))
         .collect();
     let mut requests = Vec::new();
-    let mut repeats = Vec::new();
+    let mut retries = Vec::new();
     for ms in (0..30_000).step_by(1000 / case.rate as usize) {
         let now = start + Duration::from_millis(ms);
         for instance in &mut fleet {
             instance.on_request(now, &service);
             requests.push(now);
             if instance.try_spend(now, &service, case.instances) {
-                repeats.push(now);
+                retries.push(now);
             }
         }
     }
@@ -50,14 +50,11 @@
         let from = start + Duration::from_secs(second);
         let within = |t: &&Instant| **t >= from && **t < from + BOUNDS.window;
         let asked = requests.iter().filter(within).count() as f64;
-        let sent = repeats.iter().filter(within).count() as f64;
+        let sent = retries.iter().filter(within).count() as f64;
         assert!(
             sent <= BOUNDS.ratio * asked + BOUNDS.extra,
             "{sent} for {asked}"
         );
     }
-    assert!(
-        !repeats.is_empty(),
-        "a budget that allows nothing helps nobody"
-    );
+    assert!(!retries.is_empty(), "the budget allows no retry at all");
 }
