--- a/crates/decisions/src/configuration.rs
+++ b/crates/decisions/src/configuration.rs
@@ -85,7 +85,7 @@
     },
     /// Two different values have the same version. This raises an alarm, since instances would
     /// differ forever.
-    #[error("version {version} was offered with another content than the one in force")]
+    #[error("version {version} was offered with content that differs from the one in force")]
     Conflict {
         /// The version of both.
         version: Version,
@@ -104,7 +104,7 @@
     },
     /// The list has no entry instance, or no upstream although the one in force has some. At least
     /// this instance runs, so the list must be wrong and the one in force is kept.
-    #[error("the list has lost every {}", if matches!(.role, Role::Entry) { "entry instance" } else { "upstream" })]
+    #[error("the list has no {} left", if matches!(.role, Role::Entry) { "entry instance" } else { "upstream" })]
     RoleMissing {
         /// The role that has no instance left.
         role: Role,
--- a/crates/decisions/src/credit/fleet_view.rs
+++ b/crates/decisions/src/credit/fleet_view.rs
@@ -21,7 +21,7 @@
 /// The instances of one zone.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Zone {
-    /// Short name of the zone.
+    /// Hash of the name of the zone.
     pub name: NameHash,
     /// Distance of the zone from this instance.
     pub distance: Distance,
@@ -48,9 +48,9 @@
     }
 
     /// Whether `member` is a reachable instance of any zone.
-    pub(super) fn has(&self, member: InstanceAddress) -> bool {
-        let has = |z: &Zone| z.members.contains(&member);
-        self.zones.iter().any(has)
+    pub(super) fn is_reachable(&self, member: InstanceAddress) -> bool {
+        let has_member = |z: &Zone| z.members.contains(&member);
+        self.zones.iter().any(has_member)
     }
 
     /// The zone of a reachable instance.
--- a/crates/decisions/src/credit/ledger.rs
+++ b/crates/decisions/src/credit/ledger.rs
@@ -83,7 +83,7 @@
     fleet: FleetView,
     running_time: RunningTime,
     /// When this instance first knew another one.
-    known_since: Option<Instant>,
+    others_known_since: Option<Instant>,
     accounts: Vec<Account>,
     pending: Vec<Pending>,
     answered: Vec<Answered>,
@@ -103,7 +103,7 @@
             tolerance: Tolerance::default(),
             fleet: FleetView::default(),
             running_time: RunningTime::default(),
-            known_since: None,
+            others_known_since: None,
             accounts: Vec::new(),
             pending: Vec::new(),
             answered: Vec::new(),
@@ -125,8 +125,8 @@
         self.running_time
             .observe(now, fleet.zone_size(), fleet.accrues_since);
         let knows_others = fleet.zones.iter().any(|z| !z.members.is_empty());
-        if self.known_since.is_none() && knows_others {
-            self.known_since = Some(now);
+        if self.others_known_since.is_none() && knows_others {
+            self.others_known_since = Some(now);
         }
         self.suspects.retain(|(_, until)| *until > now);
         if self.fleet != *fleet {
@@ -282,7 +282,7 @@
         let cx = context(
             &self.fleet,
             &self.running_time,
-            self.known_since.unwrap_or(now),
+            self.others_known_since.unwrap_or(now),
         );
         let credit = self.accounts[index].give_away(now, &cx, number, is_coordinator);
         self.messages.push((from, Message::Credit(credit)));
@@ -293,7 +293,7 @@
         let cx = context(
             &self.fleet,
             &self.running_time,
-            self.known_since.unwrap_or(now),
+            self.others_known_since.unwrap_or(now),
         );
         if self.accounts[index].on_credit(now, &cx, from, credit) {
             self.serve(now, credit.organisation);
@@ -421,7 +421,7 @@
         let cx = context(
             &self.fleet,
             &self.running_time,
-            self.known_since.unwrap_or(now),
+            self.others_known_since.unwrap_or(now),
         );
         let Outcome { verdicts, collect } = self.accounts[index].serve(now, &cx);
         for (waiting, verdict) in verdicts {
@@ -432,7 +432,7 @@
             let cx = context(
                 &self.fleet,
                 &self.running_time,
-                self.known_since.unwrap_or(now),
+                self.others_known_since.unwrap_or(now),
             );
             let account = &mut self.accounts[index];
             let accrual = account.accrual();
@@ -490,11 +490,11 @@
 fn context<'a>(
     fleet: &'a FleetView,
     running_time: &'a RunningTime,
-    known_since: Instant,
+    others_known_since: Instant,
 ) -> AccountContext<'a> {
     AccountContext {
         fleet,
         running_time,
-        known_since,
+        others_known_since,
     }
 }
--- a/crates/decisions/src/credit/precedence.rs
+++ b/crates/decisions/src/credit/precedence.rs
@@ -17,9 +17,9 @@
 /// all other requests. An order of 200 tokens takes practically nothing from a report of 10,000.
 const CHEAP_PART_OF_BURST: f64 = 0.01;
 
-/// Part of the largest possible stock that is enough for any request that costs no more. A request
-/// that costs more, or would have to leave more unused, could otherwise never pass, although it is
-/// within the limit over time.
+/// Part of the largest possible stock at which a request is granted even if its cost and the part
+/// that it has to leave unused add up to more. Such a request could otherwise never be granted,
+/// although it is within the limit over time.
 const MAX_NEEDED_PART: f64 = 0.9;
 
 /// Weight in the usual class of requests that together cost the largest possible stock.
--- a/crates/decisions/src/credit/sources.rs
+++ b/crates/decisions/src/credit/sources.rs
@@ -37,7 +37,7 @@
     pub(super) fleet: &'a FleetView,
     pub(super) running_time: &'a RunningTime,
     /// Time at which this instance first knew another one.
-    pub(super) known_since: Instant,
+    pub(super) others_known_since: Instant,
 }
 
 impl AccountContext<'_> {
@@ -75,8 +75,9 @@
 #[derive(Debug, Clone, Copy)]
 struct ZoneYield {
     zone: NameHash,
+    /// Delivered fraction, from 0 to 1.
     part: f64,
-    at: Instant,
+    measured: Instant,
 }
 
 /// Estimated credit of an organisation in units, by location.
@@ -107,7 +108,7 @@
 
     /// Forgets when instances that are no longer reachable were asked.
     pub(super) fn retain_reachable(&mut self, fleet: &FleetView) {
-        self.last_asked.retain(|(m, _)| fleet.has(*m));
+        self.last_asked.retain(|(m, _)| fleet.is_reachable(*m));
     }
 
     /// Estimates where credit is, with `held` units held by this instance.
@@ -227,7 +228,7 @@
         self.yields.push(ZoneYield {
             zone,
             part,
-            at: now,
+            measured: now,
         });
     }
 
@@ -242,7 +243,7 @@
     ) -> f64 {
         let accrued_since = self
             .last_asked_at(member)
-            .map_or(cx.known_since, |at| at.max(cx.known_since));
+            .map_or(cx.others_known_since, |at| at.max(cx.others_known_since));
         let passed = now
             .saturating_duration_since(accrued_since)
             .min(accrual.lifetime);
@@ -256,11 +257,11 @@
 
     /// Fraction of the expected credit that the zone is assumed to deliver now.
     fn zone_yield(&self, now: Instant, zone: NameHash) -> f64 {
-        let Some(measured) = self.yields.iter().find(|y| y.zone == zone) else {
+        let Some(last) = self.yields.iter().find(|y| y.zone == zone) else {
             return 1.0;
         };
-        let passed = now.saturating_duration_since(measured.at).as_secs_f64();
+        let passed = now.saturating_duration_since(last.measured).as_secs_f64();
         let recovered = (passed / YIELD_RECOVERY.as_secs_f64()).min(1.0);
-        measured.part + (1.0 - measured.part) * recovered
+        last.part + (1.0 - last.part) * recovered
     }
 }
--- a/crates/decisions/src/limits/member.rs
+++ b/crates/decisions/src/limits/member.rs
@@ -16,11 +16,11 @@
 pub const MAX_ORGANISATIONS: usize = 10_000;
 
 /// Time constant over which demand is smoothed; as long as the interval of the asks that report it.
-const SMOOTHING: Duration = Duration::from_secs(1);
+const DEMAND_SMOOTHING: Duration = Duration::from_secs(1);
 
 /// The organisation has reached its limit at this instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the organisation's limit is reached for {retry_after:?}")]
+#[error("organisation limit reached, retry after {retry_after:?}")]
 pub struct LimitReached {
     /// Time until the next request may be admitted.
     pub retry_after: Duration,
@@ -52,6 +52,7 @@
     running: u32,
     /// Requests refused since the last ask because too many run.
     refused_over_running: u32,
+    /// Smoothed requests per second and tokens per second.
     demand_requests: f64,
     demand_tokens: f64,
     /// When the demand and the buckets were last updated.
@@ -74,13 +75,13 @@
 }
 
 impl LimitMember {
-    /// Creates the state of the instance with index `part` of `parts` in `zone`, without
-    /// organisations.
-    pub fn new(zone: ZoneShare, part: u32, parts: u32) -> Self {
+    /// Creates the state of the instance with index `instance_index` of `instance_count` in `zone`,
+    /// without organisations.
+    pub fn new(zone: ZoneShare, instance_index: u32, instance_count: u32) -> Self {
         Self {
             accounts: Vec::new(),
-            instance_index: part,
-            instance_count: parts.max(1),
+            instance_index,
+            instance_count: instance_count.max(1),
             zone,
         }
     }
@@ -275,12 +276,13 @@
     }
 
     fn record_demand(&mut self, age: Duration, tokens: Tokens) {
-        let decay = (-age.as_secs_f64() / SMOOTHING.as_secs_f64()).exp();
-        let weight = 1.0 / SMOOTHING.as_secs_f64();
+        let decay = (-age.as_secs_f64() / DEMAND_SMOOTHING.as_secs_f64()).exp();
+        let weight = 1.0 / DEMAND_SMOOTHING.as_secs_f64();
         self.demand_requests = self.demand_requests * decay + weight;
         self.demand_tokens = self.demand_tokens * decay + tokens as f64 * weight;
     }
 
+    /// Refills the buckets for the time `age` since the last update.
     fn fill(&mut self, quota: &Quota, age: Duration) {
         if let Some(rate) = quota.requests_per_s {
             let depth = (rate * BURST_WINDOW.as_secs_f64()).max(1.0);
@@ -317,7 +319,7 @@
 
     fn ask(&mut self, now: Instant, holds: Quota) -> ToLimitOwner {
         let age = now.saturating_duration_since(self.updated).as_secs_f64();
-        let decay = (-age / SMOOTHING.as_secs_f64()).exp();
+        let decay = (-age / DEMAND_SMOOTHING.as_secs_f64()).exp();
         let demand = Demand {
             requests_per_s: self.demand_requests * decay,
             tokens_per_s: self.demand_tokens * decay,
--- a/crates/decisions/src/limits/owner.rs
+++ b/crates/decisions/src/limits/owner.rs
@@ -37,7 +37,7 @@
     /// Creates an owner that leases the zone's `share` to `instances` instances.
     ///
     /// A previous owner may have leased all of it. Until those leases have expired, the new owner
-    /// leases an instance no more than an equal part, or the quota that it asks for if that is
+    /// leases an instance no more than an equal part, or the quota that it still holds if that is
     /// less.
     pub fn new(now: Instant, share: Quota, instances: u32) -> Self {
         Self {
--- a/crates/decisions/src/retries.rs
+++ b/crates/decisions/src/retries.rs
@@ -99,7 +99,7 @@
 
 /// The organisation has spent its retry budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the organisation's retry budget is spent for {retry_after:?}")]
+#[error("organisation retry budget spent, retry after {retry_after:?}")]
 pub struct RetryBudgetSpent {
     /// Time until the budget allows the next retry.
     pub retry_after: Duration,
