--- a/crates/decisions/src/configuration/faults.rs
+++ b/crates/decisions/src/configuration/faults.rs
@@ -134,7 +134,7 @@
 
     fn check_location(&mut self, row: Row, column: &'static str, name: &str, known: &[&str]) {
         if known.binary_search(&name).is_err() {
-            let reason = format!("no instance stands in {name:?}");
+            let reason = format!("no instance is in {name:?}");
             self.push(row, column, reason, format!("one of {}", known.join(", ")));
         }
     }
@@ -154,7 +154,7 @@
         keys.sort();
         for pair in keys.windows(2) {
             if pair[0].0 == pair[1].0 {
-                let reason = format!("{} stands in {} too", pair[1].0, pair[0].1);
+                let reason = format!("{} is also in {}", pair[1].0, pair[0].1);
                 self.push(pair[1].1, column, reason, "one row for each");
             }
         }
@@ -162,7 +162,7 @@
 
     fn check_limit(&mut self, row: Row, column: &'static str, limit: Option<f64>) {
         if limit.is_some_and(|l| !l.is_finite() || l <= 0.0) {
-            let reason = format!("{} is no limit", limit.unwrap_or_default());
+            let reason = format!("{} is not a valid limit", limit.unwrap_or_default());
             self.push(
                 row,
                 column,
@@ -174,7 +174,7 @@
 
     fn check_address(&mut self, row: Row, column: &'static str, address: &str) {
         if address.parse::<SocketAddr>().is_err() {
-            let reason = format!("{address:?} is no address");
+            let reason = format!("{address:?} is not an address");
             self.push(row, column, reason, "IP:port without a scheme");
         }
     }
@@ -261,7 +261,7 @@
         f.check_weight(row, organisation.weight);
         if !self.tiers.iter().any(|t| t.tier == organisation.max_tier) {
             let tiers = self.tiers.iter().map(|t| &*t.tier).collect::<Vec<_>>();
-            let reason = format!("{:?} is no tier", organisation.max_tier);
+            let reason = format!("{:?} is not a tier", organisation.max_tier);
             f.push(
                 row,
                 "max_tier",
@@ -272,7 +272,7 @@
         for key in &organisation.key_sha256 {
             if key.len() != 64 || !key.bytes().all(|b| b.is_ascii_hexdigit()) {
                 // The cell may contain the key itself by mistake, so the message omits its content.
-                let reason = format!("a cell of {} characters is no hash", key.len());
+                let reason = format!("a cell of {} characters is not a hash", key.len());
                 f.push(row, "key_sha256", reason, "64 hexadecimal digits");
             }
         }
@@ -285,7 +285,7 @@
             f.push(
                 row,
                 "max_running",
-                "0 is no limit",
+                "0 is not a valid limit",
                 "1 or more, or nothing for no limit",
             );
         }
@@ -304,7 +304,7 @@
                 let upper = !method.is_empty() && method.bytes().all(|b| b.is_ascii_uppercase());
                 let path = parts.next().is_some_and(|p| p.starts_with('/'));
                 if !upper || !path || parts.next().is_some() {
-                    let reason = format!("{call:?} is no call");
+                    let reason = format!("{call:?} is not a call");
                     f.push(
                         row,
                         "non_idempotent",
