--- a/crates/decisions/src/configuration.rs
+++ b/crates/decisions/src/configuration.rs
@@ -123,7 +123,9 @@
 struct ActiveValue<T> {
     version: Version,
     hash: u64,
+    /// The value as published.
     raw: Arc<Value>,
+    /// The decoded value with sorted rows.
     value: Arc<T>,
 }
 
@@ -139,6 +141,7 @@
 /// The three published values in force, with their versions.
 #[derive(Debug, Clone)]
 pub struct Configuration {
+    /// When this instance started.
     started: Instant,
     /// Whether the platform has answered for each name.
     platform_answered: [bool; ValueName::ALL.len()],
@@ -165,7 +168,8 @@
 
     /// Offers a value from the platform or a peer.
     ///
-    /// # Errors Returns the reason of the refusal; the value in force is kept.
+    /// # Errors
+    /// Returns the reason of the refusal; the value in force is kept.
     pub fn offer(
         &mut self,
         name: ValueName,
@@ -173,15 +177,15 @@
         value: &Value,
     ) -> Result<Accepted, Rejected> {
         let hash = hash_of(value);
-        if let Some(held) = self.version(name) {
-            if version < held.version {
+        if let Some(in_force) = self.version(name) {
+            if version < in_force.version {
                 return Err(Rejected::Older {
-                    held: held.version,
+                    held: in_force.version,
                     offered: version,
                 });
             }
-            if version == held.version {
-                return if hash == held.hash {
+            if version == in_force.version {
+                return if hash == in_force.hash {
                     Ok(Accepted::Unchanged(version))
                 } else {
                     Err(Rejected::Conflict { version })
@@ -192,9 +196,9 @@
             ValueName::Table => self.table = Some(decode(version, hash, value)?),
             ValueName::Services => self.services = Some(decode(version, hash, value)?),
             ValueName::Instances => {
-                let held = decode(version, hash, value)?;
-                check_roles_remain(self.instances.as_ref().map(|h| &*h.value), &held.value)?;
-                self.instances = Some(held);
+                let offered = decode(version, hash, value)?;
+                check_roles_remain(self.instances.as_ref().map(|h| &*h.value), &offered.value)?;
+                self.instances = Some(offered);
             }
         }
         Ok(Accepted::Applied(version))
@@ -233,17 +237,17 @@
 
     /// Version of a value in force.
     pub fn version(&self, name: ValueName) -> Option<ValueVersion> {
-        fn versions<T>(name: ValueName, held: Option<&ActiveValue<T>>) -> Option<ValueVersion> {
-            held.map(|h| ValueVersion {
+        fn version_of<T>(name: ValueName, active: Option<&ActiveValue<T>>) -> Option<ValueVersion> {
+            active.map(|h| ValueVersion {
                 name,
                 version: h.version,
                 hash: h.hash,
             })
         }
         match name {
-            ValueName::Table => versions(name, self.table.as_ref()),
-            ValueName::Services => versions(name, self.services.as_ref()),
-            ValueName::Instances => versions(name, self.instances.as_ref()),
+            ValueName::Table => version_of(name, self.table.as_ref()),
+            ValueName::Services => version_of(name, self.services.as_ref()),
+            ValueName::Instances => version_of(name, self.instances.as_ref()),
         }
     }
 
--- a/crates/decisions/src/configuration/faults.rs
+++ b/crates/decisions/src/configuration/faults.rs
@@ -132,6 +132,7 @@
         }
     }
 
+    /// Reports a zone or region that is not in the sorted list `known`.
     fn check_location(&mut self, row: Row, column: &'static str, name: &str, known: &[&str]) {
         if known.binary_search(&name).is_err() {
             let reason = format!("no instance is in {name:?}");
@@ -145,6 +146,7 @@
         }
     }
 
+    /// Reports every key that occurs more than once.
     fn check_duplicates<K, I>(&mut self, keys: I, column: &'static str)
     where
         K: Ord + fmt::Display,
--- a/crates/decisions/src/credit/account.rs
+++ b/crates/decisions/src/credit/account.rs
@@ -29,7 +29,9 @@
 /// A request that waits for credit.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Waiting {
+    /// Instance that sent the request; possibly this one.
     pub(super) member: InstanceAddress,
+    /// Number of the request at that instance.
     pub(super) number: MessageNumber,
     /// Highest `tries` of the messages received for the request.
     pub(super) tries: u32,
@@ -46,12 +48,14 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct Outcome {
     pub(super) verdicts: Vec<(Waiting, Verdict)>,
+    /// Instances to collect credit from.
     pub(super) collect: Vec<InstanceAddress>,
 }
 
 /// Credit account of one organisation.
 #[derive(Debug, Clone)]
 pub(super) struct Account {
+    /// Hash of the name of the organisation.
     pub(super) name: NameHash,
     limit: Option<Limit>,
     accrual: Accrual,
@@ -194,11 +198,13 @@
         missing.max(0.0) / self.accrual.rate.max(f64::MIN_POSITIVE)
     }
 
+    /// Adds a granted cost to the averaged usage.
     fn record_usage(&mut self, now: Instant, cost: f64) {
         self.usage = self.usage_rate(now) + cost / USAGE_SMOOTHING.as_secs_f64();
         self.usage_updated = now;
     }
 
+    /// Averaged usage in units per second at `now`.
     fn usage_rate(&self, now: Instant) -> f64 {
         let passed = now.saturating_duration_since(self.usage_updated);
         self.usage * (-passed.as_secs_f64() / USAGE_SMOOTHING.as_secs_f64()).exp()
--- a/crates/decisions/src/shedding.rs
+++ b/crates/decisions/src/shedding.rs
@@ -34,7 +34,7 @@
 ///
 /// This is longer than the gap between two refusals of one tier at the rates of the requirements
 /// (15 requests/s per instance), so the level does not change twice between two refusals.
-pub const FALL_AFTER: Duration = Duration::from_millis(500);
+pub const LOWER_AFTER: Duration = Duration::from_millis(500);
 
 /// Interval at which the owner confirms a raised level.
 pub const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
@@ -123,23 +123,29 @@
 /// A change of the level that waits for acknowledgements.
 #[derive(Debug, Clone)]
 struct Round {
+    /// When the change was first sent.
     started: Instant,
     /// Time after which missing acknowledgements are ignored.
     timeout: Duration,
+    /// When the change was last sent.
     last_sent: Instant,
 }
 
 /// Owner side of a pool's level.
 #[derive(Debug, Clone)]
 pub struct LevelOwner {
+    /// Rank of the lowest tier of the table.
     lowest_of_table: Rank,
+    /// Lowest admitted tier, including an unsettled change.
     lowest_rank: Rank,
     /// Lowest admitted tier as of the last settled change.
     settled_rank: Rank,
     epoch: Sequence,
     members: Vec<Member>,
     round: Option<Round>,
+    /// When the last change or confirmation started.
     last_set: Option<Instant>,
+    /// When an instance last reported a refusal at the level, or the level was lowered.
     last_pressure: Option<Instant>,
 }
 
@@ -220,7 +226,7 @@
         if self.lowest_rank >= self.lowest_of_table {
             return Vec::new();
         }
-        if elapsed(self.last_pressure, now) >= FALL_AFTER {
+        if elapsed(self.last_pressure, now) >= LOWER_AFTER {
             self.lowest_rank += 1;
             self.last_pressure = Some(now);
             // An instance that has not received the lower level may still refuse by the old one.
@@ -364,6 +370,7 @@
 /// Instance side of a pool's level.
 #[derive(Debug, Clone)]
 pub struct LevelMember {
+    /// Rank of the lowest tier of the table.
     lowest_of_table: Rank,
     epoch: Sequence,
     /// Lowest admitted tier, valid until `level_until`.
@@ -372,8 +379,10 @@
     /// Highest tier that may be refused, valid until `refusal_right_until`.
     refusable: Rank,
     refusal_right_until: Option<Instant>,
+    /// Sorted by rank, then by request.
     waiting: Vec<Waiting>,
     raise: Option<Raise>,
+    /// When this instance last reported a refusal.
     last_pressure: Option<Instant>,
     outgoing: Vec<ToLevelOwner>,
 }
--- a/crates/decisions/tests/shedding.rs
+++ b/crates/decisions/tests/shedding.rs
@@ -5,7 +5,7 @@
 
 use kingcupfield_decisions::id::{InstanceId, Rank, RequestId};
 use kingcupfield_decisions::shedding::{
-    ACKNOWLEDGE_TIMEOUT, Estimate, FALL_AFTER, LevelMember, LevelMessage, LevelOwner,
+    ACKNOWLEDGE_TIMEOUT, Estimate, LOWER_AFTER, LevelMember, LevelMessage, LevelOwner,
     REFUSAL_RIGHT_LEASE, RefusalStep, ToLevelMember, ToLevelOwner, can_meet, is_unmeetable,
 };
 use tokio::time::Instant;
@@ -182,7 +182,7 @@
     let mut levels = Vec::new();
     for _ in 0..4 {
         levels.push(pool.level.lowest_rank());
-        pool.advance(FALL_AFTER);
+        pool.advance(LOWER_AFTER);
     }
     assert_eq!(levels, vec![0, 1, 2, 3]);
     assert!(pool.members.iter().all(|m| m.admits(pool.now, LOWEST_RANK)));
@@ -213,7 +213,7 @@
     let mut pool = Pool::new(2);
     pool.members[0].request_refusal(pool.now, 1);
     pool.deliver(Vec::new());
-    pool.now += FALL_AFTER;
+    pool.now += LOWER_AFTER;
     let set = pool.level.on_tick(pool.now);
     assert!(matches!(
         set[0].message,
@@ -242,7 +242,7 @@
     pool.members[0].request_refusal(pool.now, 1);
     pool.deliver(Vec::new());
     pool.cut.push(0);
-    pool.advance(FALL_AFTER + ACKNOWLEDGE_TIMEOUT * 2);
+    pool.advance(LOWER_AFTER + ACKNOWLEDGE_TIMEOUT * 2);
     assert_eq!(
         pool.members[0].request_refusal(pool.now, 1),
         RefusalStep::Allowed
@@ -279,7 +279,7 @@
     for _ in 0..3 {
         pool.members[0].request_refusal(pool.now, 1);
         pool.deliver(Vec::new());
-        pool.advance(FALL_AFTER * 4);
+        pool.advance(LOWER_AFTER * 4);
     }
     pool.level = LevelOwner::new(LOWEST_RANK);
     let sends = pool.level.set_members(pool.now, pool.names.clone());
