--- a/crates/decisions/src/configuration/faults.rs
+++ b/crates/decisions/src/configuration/faults.rs
@@ -17,7 +17,7 @@
     /// A row of the organisations.
     Organisation(usize),
     /// A row of the drained zones.
-    EmptiedZone(usize),
+    DrainedZone(usize),
     /// A row of the services.
     Service(usize),
     /// A row of the list of instances.
@@ -30,7 +30,7 @@
             Self::EntireValue => write!(f, "the whole value"),
             Self::Tier(n) => write!(f, "tier row {n}"),
             Self::Organisation(n) => write!(f, "organisation row {n}"),
-            Self::EmptiedZone(n) => write!(f, "emptied zone row {n}"),
+            Self::DrainedZone(n) => write!(f, "emptied zone row {n}"),
             Self::Service(n) => write!(f, "service row {n}"),
             Self::Instance(n) => write!(f, "instance row {n}"),
         }
@@ -88,7 +88,7 @@
             f.check_location(row, "allowed_regions", region, &regions);
         }
     }
-    for (row, zone) in rows(&table.emptied_zones, Row::EmptiedZone) {
+    for (row, zone) in rows(&table.emptied_zones, Row::DrainedZone) {
         f.check_location(row, "emptied_zone", zone, &zones);
     }
     f.0
@@ -235,7 +235,7 @@
                 .map(move |k| (k.to_ascii_lowercase(), r))
         });
         f.check_duplicates(keys, "key_sha256");
-        let zones = || rows(&self.emptied_zones, Row::EmptiedZone);
+        let zones = || rows(&self.emptied_zones, Row::DrainedZone);
         for (row, zone) in zones() {
             f.check_name(row, "emptied_zone", zone);
         }
--- a/src/table/cells.rs
+++ b/src/table/cells.rs
@@ -166,7 +166,7 @@
         row: match fault.row {
             configuration::Row::Tier(number) => find(Kind::Tier, number),
             configuration::Row::Organisation(number) => find(Kind::Organisation, number),
-            configuration::Row::EmptiedZone(number) => find(Kind::EmptiedZone, number),
+            configuration::Row::DrainedZone(number) => find(Kind::EmptiedZone, number),
             other => other.to_string(),
         },
         column: match fault.column {
