--- a/crates/decisions/src/credit/account.rs
+++ b/crates/decisions/src/credit/account.rs
@@ -161,7 +161,7 @@
             let eligible = own_zone_suffices || all_zones_suffice || enough_at <= waiting.deadline;
             if eligible
                 && held - reserved >= cost
-                && let Some(batch) = self.batches.take(now, cost)
+                && let Some(batch) = self.batches.withdraw(now, cost)
             {
                 held -= cost;
                 stock_own_zone -= cost;
--- a/crates/decisions/src/credit/batches.rs
+++ b/crates/decisions/src/credit/batches.rs
@@ -82,7 +82,7 @@
 
     /// Removes `cost` units, the earliest to expire first. Returns a batch of that amount that
     /// expires with the first of its units, or `None` if there are too few units.
-    pub(super) fn take(&mut self, now: Instant, cost: f64) -> Option<Batch> {
+    pub(super) fn withdraw(&mut self, now: Instant, cost: f64) -> Option<Batch> {
         if cost > self.available(now) {
             return None;
         }
--- a/crates/decisions/src/credit/ledger.rs
+++ b/crates/decisions/src/credit/ledger.rs
@@ -160,7 +160,7 @@
             return number;
         }
         // Reuses credit that was refunded for requests that did not run.
-        if let Some(batch) = self.accounts[index].batches.take(now, charge.cost) {
+        if let Some(batch) = self.accounts[index].batches.withdraw(now, charge.cost) {
             let left_ms = batch.left_ms(now);
             self.verdicts.push((number, Verdict::Granted { left_ms }));
             return number;
--- a/crates/decisions/tests/credit.rs
+++ b/crates/decisions/tests/credit.rs
@@ -13,9 +13,9 @@
 
 #[expect(dead_code, reason = "the support serves other test programs too")]
 #[path = "support/limits.rs"]
-mod given;
+mod limit_fixtures;
 
-use given::{ORGANISATION, SMALL, SPAN, TOLERANCE};
+use limit_fixtures::{ORGANISATION, SMALL, SPAN, TOLERANCE};
 
 /// Cost of a common request in units.
 const COST: f64 = 4_000.0;
--- a/crates/decisions/tests/credit_use.rs
+++ b/crates/decisions/tests/credit_use.rs
@@ -14,9 +14,9 @@
 
 #[expect(dead_code, reason = "the support serves other test programs too")]
 #[path = "support/limits.rs"]
-mod given;
+mod limit_fixtures;
 
-use given::{LARGE, ORGANISATION, SMALL, SPAN, TOLERANCE, cost};
+use limit_fixtures::{LARGE, ORGANISATION, SMALL, SPAN, TOLERANCE, cost};
 
 /// Time step of the simulation.
 const STEP: Duration = Duration::from_millis(10);
