--- a/crates/decisions/src/slots/queue.rs
+++ b/crates/decisions/src/slots/queue.rs
@@ -236,7 +236,7 @@
         let prefill = self
             .feedback
             .expected_prefill_time(self.used_slots.awaited_prefill());
-        let waiting_ahead = self.waiting.len_above(rank);
+        let waiting_ahead = self.waiting.len_at_or_above(rank);
         if waiting_ahead == 0 && self.used_slots.len() < slots {
             return prefill;
         }
