--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one replica, up to the head of its answer.
+//! One attempt to send a request to one replica, up to the head of its response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,32 +15,33 @@
 use crate::pool::{self, Connection};
 use crate::port::{Dialect, Reply};
 
-/// Kept connections are taken for requests that must not be lost only when they are this fresh:
-/// a replica may drop an idle connection without notice, and what is sent next is then in doubt.
-const FRESH_ENOUGH: Duration = Duration::from_millis(1500);
+/// Maximum idle time of a reused connection for requests that must not be retried: a replica may
+/// drop an idle connection without notice, and it is then unknown whether the request ran.
+const MAX_IDLE_UNRETRYABLE: Duration = Duration::from_millis(1500);
 
-/// Longest answer that is held whole before the caller gets it.
-const MAX_WHOLE: usize = 8 * 1024 * 1024;
+/// Maximum size in bytes of a response that is read completely before it is sent to the caller.
+const MAX_BUFFERED_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Why there is no answer of the replica.
+/// Why an attempt brought no response of the replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendFailure {
-    /// Nothing was sent.
+    /// The request was not sent.
     NotSent,
-    /// The replica says that it has no room and did not run the request.
+    /// The replica reported that it has no free slot and did not run the request.
     Full,
-    /// Another replica answered, which did not run the request.
+    /// A different replica responded, and did not run the request.
     WrongReplica,
-    /// The replica says that it did not run the request.
+    /// The replica reported that it did not run the request.
     NotRun,
-    /// The connection ended as soon as the request had come, as at a replica that has died; it may
-    /// have run.
+    /// The connection was closed as soon as the request had arrived, as by a replica that has died;
+    /// it may have run.
     Dropped,
-    /// It may have run.
+    /// The connection broke or the response was incomplete; the request may have run.
     Broken,
-    /// It was given up here, as the replica brought nothing to anybody, and a repeat is taken for it.
+    /// The attempt was abandoned because the replica sent nothing to any request of this instance,
+    /// and a retry replaces it.
     Abandoned,
-    /// What came is not the answer to this request, which may have run.
+    /// The response belongs to another request; this one may have run.
     Foreign,
 }
 
@@ -67,7 +68,7 @@
         )
     }
 
-    /// What it tells about the replica.
+    /// How the dispatcher should count the failure for the replica.
     pub fn outcome(self) -> Outcome {
         match self {
             Self::NotSent | Self::WrongReplica | Self::Dropped => Outcome::Unreachable,
@@ -78,47 +79,50 @@
     }
 }
 
-/// A replica's answer whose body is still to come.
+/// A replica's response, with the head received and the body still to be read.
 #[derive(Debug)]
 pub struct ReplicaResponse {
-    /// Its head.
+    /// Status and header fields.
     pub head: http::response::Parts,
-    /// Its body.
+    /// Body, not read yet.
     pub body: Incoming,
-    /// The connection that brings it.
+    /// Connection that carries the response.
     pub connection: Connection,
 }
 
-/// Sends a request to the target and waits for the head of the answer.
+/// Sends a request to the target and waits for the head of the response.
+///
+/// `id` identifies the attempt. Method and URI are those of `head`; `fields` are the header fields
+/// that the replica gets.
 pub async fn send(
     target: &Rc<Target>,
-    dialect: &dyn Dialect,
+    protocol: &dyn Dialect,
     id: &str,
     head: &Parts,
     fields: HeaderMap,
     body: Bytes,
-    repeatable: bool,
+    retryable: bool,
 ) -> Result<ReplicaResponse, SendFailure> {
-    let fresh = if repeatable {
+    let max_idle = if retryable {
         Duration::MAX
     } else {
-        FRESH_ENOUGH
+        MAX_IDLE_UNRETRYABLE
     };
     loop {
-        let kept = target.pool.take_idle(Instant::now(), fresh);
-        let was_kept = kept.is_some();
-        let mut connection = match kept {
+        let idle = target.pool.take_idle(Instant::now(), max_idle);
+        let is_reused = idle.is_some();
+        let mut connection = match idle {
             Some(connection) => connection,
             None => pool::connect(target.published.address)
                 .await
                 .map_err(|_| SendFailure::NotSent)?,
         };
-        let req = request(head, fields.clone(), body.clone());
+        let req = build_request(head, fields.clone(), body.clone());
         match connection.sender.try_send_request(req).await {
-            Ok(response) => return judge(dialect, id, response, connection),
-            // The connection was closed before anything was written: a new one is tried.
+            Ok(response) => return classify_response(protocol, id, response, connection),
+            // A reused connection was closed before anything was written: try the next one.
             Err(mut e) => match e.take_message() {
-                Some(_) if was_kept => {}
+                Some(_) if is_reused => {}
                 Some(_) => return Err(SendFailure::NotSent),
                 None => return Err(SendFailure::Broken),
             },
@@ -126,22 +130,22 @@
     }
 }
 
-/// Reads the rest of an answer.
+/// Reads a response body to its end.
 pub async fn read_body(body: Incoming) -> Result<Bytes, SendFailure> {
-    let collected = Limited::new(body, MAX_WHOLE).collect().await;
+    let collected = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect().await;
     collected
         .map(http_body_util::Collected::to_bytes)
         .map_err(|_| SendFailure::Broken)
 }
 
-fn judge(
-    dialect: &dyn Dialect,
+fn classify_response(
+    protocol: &dyn Dialect,
     id: &str,
     response: Response<Incoming>,
     connection: Connection,
 ) -> Result<ReplicaResponse, SendFailure> {
     let (head, body) = response.into_parts();
-    match dialect.reply(id, &head) {
+    match protocol.reply(id, &head) {
         Reply::Ran => Ok(ReplicaResponse {
             head,
             body,
@@ -154,7 +158,7 @@
     }
 }
 
-fn request(head: &Parts, fields: HeaderMap, body: Bytes) -> Request<Full<Bytes>> {
+fn build_request(head: &Parts, fields: HeaderMap, body: Bytes) -> Request<Full<Bytes>> {
     let mut req = Request::new(Full::new(body));
     *req.method_mut() = head.method.clone();
     *req.uri_mut() = head.uri.clone();
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -1,8 +1,10 @@
-//! Passes a stream of events on as they come, and resumes it elsewhere where the route allows it.
+//! Relays a stream of events to the caller, and resumes it at another replica where the route
+//! allows it.
 //!
-//! A replica may stop in the middle of an event. Of a stream that may be resumed only whole events
-//! are passed on, so that the rest from another replica fits; of any other the bytes pass at once.
-//! A stream that is not finished ends by closing the caller's connection, never as if complete.
+//! A replica may stop in the middle of an event. Of a resumable stream only complete events are
+//! relayed, so that the rest from another replica continues it; of other streams all bytes are
+//! relayed at once. A stream that breaks closes the caller's connection, so that it never looks
+//! complete.
 
 use std::cell::Cell;
 use std::pin::Pin;
@@ -27,50 +29,51 @@
 use crate::pool::Connection;
 use crate::request::{Active, Life};
 
-/// Chunks that may wait for a slow caller before the replica is made to wait.
-const CHUNKS: usize = 8;
+/// Number of chunks that are buffered for a slow caller before reading from the replica stops.
+const CHANNEL_CHUNKS: usize = 8;
 
-/// A resumable stream that pauses for this many of its longest pauses is taken up elsewhere: its
-/// caller leaves after eight.
-const STUCK_PAUSES: f64 = 5.0;
+/// A resumable stream without an event for this many times its maximum event gap is resumed at
+/// another replica: its caller disconnects after eight.
+const STALL_GAPS: f64 = 5.0;
 
-/// The stream broke off; the caller's connection is closed.
+/// The stream broke, and the caller's connection is closed.
 #[derive(Debug, thiserror::Error)]
 #[error("the stream broke off")]
 pub struct StreamBroken;
 
-/// Body of an answer: whole, or passed on as it comes.
+/// Body of a response to a caller: complete, or relayed as it arrives.
 #[derive(Debug)]
 pub enum ResponseBody {
-    /// All of it.
+    /// The complete body; `None` once it was read, or if it is empty.
     Complete(Option<Bytes>),
-    /// What a relay passes on.
+    /// Events relayed from a replica.
     Streamed(RelayedStream),
 }
 
-/// The caller's end of a relay.
+/// The caller's end of a relayed stream.
 ///
-/// The end of the channel alone doesn't end the answer: a relay that was dropped, or ended while the
-/// channel was full because its caller reads slowly, would leave a stream that looks complete.
+/// A closed channel alone doesn't complete the response: a relay that was dropped, or that ended
+/// while the channel was full because its caller reads slowly, would leave a stream that looks
+/// complete.
 #[derive(Debug)]
 pub struct RelayedStream {
     rx: mpsc::Receiver<Bytes>,
-    /// Set once the relay has passed everything on.
-    whole: Rc<Cell<bool>>,
+    /// Set once the relay has sent the complete stream to the channel.
+    complete: Rc<Cell<bool>>,
 }
 
 impl RelayedStream {
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, StreamBroken>>> {
         self.rx.poll_recv(cx).map(|chunk| match chunk {
             Some(chunk) => Some(Ok(Frame::data(chunk))),
-            None if self.whole.get() => None,
+            None if self.complete.get() => None,
             None => Some(Err(StreamBroken)),
         })
     }
 }
 
 impl ResponseBody {
-    /// A body that is there as a whole.
+    /// Creates a body from all of its bytes.
     pub fn complete(bytes: Bytes) -> Self {
         Self::Complete(Some(bytes).filter(|b| !b.is_empty()))
     }
@@ -104,145 +107,155 @@
     }
 }
 
-/// Starts to pass a stream on.
+/// Starts a task that relays a stream, and returns the response to the caller.
+///
+/// `active` counts the request as active until the task ends.
 pub fn start(
     node: Rc<Node>,
     life: Life,
     target: Rc<Target>,
-    place: SlotGuard,
-    answer: ReplicaResponse,
+    slot: SlotGuard,
+    replica_response: ReplicaResponse,
     active: Option<Active>,
 ) -> Response<ResponseBody> {
-    let (tx, rx) = mpsc::channel(CHUNKS);
-    let whole = Rc::new(Cell::new(false));
+    let (tx, rx) = mpsc::channel(CHANNEL_CHUNKS);
+    let complete = Rc::new(Cell::new(false));
     let relayed = RelayedStream {
         rx,
-        whole: Rc::clone(&whole),
+        complete: Rc::clone(&complete),
     };
     let mut response = Response::new(ResponseBody::Streamed(relayed));
-    *response.status_mut() = answer.head.status;
-    *response.headers_mut() = node.protocol.answer(&answer.head);
-    let run = Run {
+    *response.status_mut() = replica_response.head.status;
+    *response.headers_mut() = node.protocol.answer(&replica_response.head);
+    let attempt = Attempt {
         target,
-        place,
-        connection: answer.connection,
-        body: answer.body,
-        head: answer.head,
+        slot,
+        connection: replica_response.connection,
+        body: replica_response.body,
+        head: replica_response.head,
     };
     let relay = Relay {
         node,
         life,
         tx,
-        whole,
+        complete,
         scanner: Scanner::new(),
-        held: BytesMut::new(),
-        last: Instant::now(),
-        first: true,
-        first_after: Duration::ZERO,
-        longest_pause: Duration::ZERO,
-        told: false,
+        partial_event: BytesMut::new(),
+        last_event_at: Instant::now(),
+        first_pending: true,
+        time_to_first_event: Duration::ZERO,
+        longest_gap: Duration::ZERO,
+        end_logged: false,
     };
     tokio::task::spawn_local(async move {
-        relay.pass(run).await;
+        relay.run(attempt).await;
         drop(active);
     });
     response
 }
 
-/// A run of the request at one replica.
-struct Run {
+/// An attempt to run the request at one replica, whose response is being relayed.
+struct Attempt {
     target: Rc<Target>,
-    place: SlotGuard,
+    slot: SlotGuard,
     connection: Connection,
     body: Incoming,
     head: http::response::Parts,
 }
 
-/// How passing a run on ended.
-enum End {
+/// How the relay of one attempt ended.
+enum AttemptEnd {
     Complete,
     Broken,
     CallerGone,
-    Over(Over),
+    Expired(Over),
 }
 
+/// Relays the stream of one request from replicas to the caller.
 struct Relay {
     node: Rc<Node>,
     life: Life,
     tx: mpsc::Sender<Bytes>,
-    /// Tells the caller's end that nothing is missing.
-    whole: Rc<Cell<bool>>,
+    /// Tells the caller's end that the stream is complete.
+    complete: Rc<Cell<bool>>,
     scanner: Scanner,
-    held: BytesMut,
-    last: Instant,
-    first: bool,
-    /// When the first event had come, from the request's arrival.
-    first_after: Duration,
-    /// Longest time between two events.
-    longest_pause: Duration,
-    /// Whether the log was told how the stream ended.
-    told: bool,
+    /// Start of an event whose end has not arrived yet, if the stream is resumable.
+    partial_event: BytesMut,
+    /// When the last event arrived, or the current attempt was sent if that was later.
+    last_event_at: Instant,
+    /// Whether no event of the current attempt has arrived yet.
+    first_pending: bool,
+    /// Time from the arrival of the request to the first event.
+    time_to_first_event: Duration,
+    /// Longest time between two events of the stream.
+    longest_gap: Duration,
+    /// Whether the end of the stream has been logged.
+    end_logged: bool,
 }
 
 impl Drop for Relay {
-    /// A process that ends drops the streams that it still passes on.
+    /// A process that terminates drops the streams that it still relays.
     fn drop(&mut self) {
-        if !self.told {
+        if !self.end_logged {
             self.log("cut", "-");
         }
     }
 }
 
 impl Relay {
-    async fn pass(mut self, run: Run) {
-        self.pass_to_end(run).await;
-        self.told = true;
+    /// Relays the stream, and marks its end as logged.
+    async fn run(mut self, attempt: Attempt) {
+        self.relay_to_end(attempt).await;
+        self.end_logged = true;
     }
 
-    async fn pass_to_end(&mut self, mut run: Run) {
+    /// Relays the attempt, and further ones while the stream breaks and can be resumed.
+    async fn relay_to_end(&mut self, mut attempt: Attempt) {
         loop {
-            let end = self.pass_run(&mut run).await;
-            let replica = run.place.upstream.clone();
+            let end = self.relay_attempt(&mut attempt).await;
+            let replica = attempt.slot.upstream.clone();
             match end {
-                End::Complete => {
-                    self.whole.set(true);
-                    run.target
-                        .pool
-                        .put_back(Instant::now(), run.connection, &run.head.headers);
-                    run.place.release(Outcome::Served);
-                    let status = run.head.status.as_u16();
-                    let (first, pause) = (self.first_after, self.longest_pause);
-                    account::answered(&self.node, &self.life, &replica, status, first, pause);
+                AttemptEnd::Complete => {
+                    self.complete.set(true);
+                    attempt.target.pool.put_back(
+                        Instant::now(),
+                        attempt.connection,
+                        &attempt.head.headers,
+                    );
+                    attempt.slot.release(Outcome::Served);
+                    let status = attempt.head.status.as_u16();
+                    let (first, gap) = (self.time_to_first_event, self.longest_gap);
+                    account::answered(&self.node, &self.life, &replica, status, first, gap);
                     return;
                 }
-                End::CallerGone => {
+                AttemptEnd::CallerGone => {
                     self.log("caller_gone", &replica);
                     return;
                 }
-                End::Over(over) => {
-                    let how = match over {
+                AttemptEnd::Expired(expiry) => {
+                    let how = match expiry {
                         Over::Route => "timed_out",
                         Over::Process => "cut",
                     };
                     self.log(how, &replica);
                     return;
                 }
-                End::Broken => {}
+                AttemptEnd::Broken => {}
             }
             self.log("broke_off", &replica);
-            drop(run.connection);
-            drop(run.body);
-            run.place.release(Outcome::Failed);
+            drop(attempt.connection);
+            drop(attempt.body);
+            attempt.slot.release(Outcome::Failed);
             let (node, route) = (Rc::clone(&self.node), Rc::clone(&self.life.route));
-            let over = time_over(&node, &route, self.life.received);
+            let expired = time_over(&node, &route, self.life.received);
             let next = tokio::select! {
                 next = self.resume() => next,
-                _ = over => None,
+                _ = expired => None,
             };
             let Some(next) = next else {
                 return;
             };
-            run = next;
+            attempt = next;
         }
     }
 
@@ -251,104 +264,107 @@
         account::stream_ended(&self.node, &self.life, replica, how, last_event);
     }
 
-    async fn pass_run(&mut self, run: &mut Run) -> End {
+    /// Relays the response of one attempt until it ends.
+    async fn relay_attempt(&mut self, attempt: &mut Attempt) -> AttemptEnd {
         let node = Rc::clone(&self.node);
         let route = Rc::clone(&self.life.route);
         let received = self.life.received;
-        let mut over = std::pin::pin!(time_over(&node, &route, received));
+        let mut expired = std::pin::pin!(time_over(&node, &route, received));
         loop {
             let frame = tokio::select! {
                 biased;
-                () = self.tx.closed() => return End::CallerGone,
-                frame = run.body.frame() => frame,
-                over = &mut over => return End::Over(over),
-                () = self.stuck() => return End::Broken,
+                () = self.tx.closed() => return AttemptEnd::CallerGone,
+                frame = attempt.body.frame() => frame,
+                expired = &mut expired => return AttemptEnd::Expired(expired),
+                () = self.stalled() => return AttemptEnd::Broken,
             };
             let chunk = match frame {
-                None if self.scanner.in_event() => return End::Broken,
-                None => return End::Complete,
-                Some(Err(_)) => return End::Broken,
+                None if self.scanner.in_event() => return AttemptEnd::Broken,
+                None => return AttemptEnd::Complete,
+                Some(Err(_)) => return AttemptEnd::Broken,
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             };
-            if let Some(chunk) = self.take(run, chunk) {
-                let came = Instant::now();
+            if let Some(chunk) = self.scan(attempt, chunk) {
+                let arrived = Instant::now();
                 tokio::select! {
                     sent = self.tx.send(chunk) => {
                         if sent.is_err() {
-                            return End::CallerGone;
+                            return AttemptEnd::CallerGone;
                         }
-                        node.metrics.observe(Timing::Pass, came.elapsed());
+                        node.metrics.observe(Timing::Pass, arrived.elapsed());
                     }
-                    over = &mut over => return End::Over(over),
+                    expired = &mut expired => return AttemptEnd::Expired(expired),
                 }
             }
         }
     }
 
-    /// Reads a chunk's events and returns what goes to the caller now.
-    fn take(&mut self, run: &Run, chunk: Bytes) -> Option<Bytes> {
+    /// Counts a chunk's events and returns the bytes that can be sent to the caller now.
+    fn scan(&mut self, attempt: &Attempt, chunk: Bytes) -> Option<Bytes> {
         let found = self.scanner.read(&chunk);
         let now = Instant::now();
         if found.events > 0 {
-            if self.first {
-                run.place.on_first_event();
-                if self.first_after.is_zero() {
-                    self.first_after = self.life.received.elapsed();
+            if self.first_pending {
+                attempt.slot.on_first_event();
+                if self.time_to_first_event.is_zero() {
+                    self.time_to_first_event = self.life.received.elapsed();
                 }
             } else {
-                self.longest_pause = self.longest_pause.max(now - self.last);
-                run.place.on_events(found.events, now - self.last);
+                self.longest_gap = self.longest_gap.max(now - self.last_event_at);
+                attempt
+                    .slot
+                    .on_events(found.events, now - self.last_event_at);
             }
-            self.first = false;
-            self.last = now;
+            self.first_pending = false;
+            self.last_event_at = now;
         }
         if !self.life.route.kind.is_retryable() {
             return Some(chunk).filter(|c| !c.is_empty());
         }
         if found.complete == 0 {
-            self.held.extend_from_slice(&chunk);
+            self.partial_event.extend_from_slice(&chunk);
             return None;
         }
-        let whole = chunk.slice(..found.complete);
+        let complete = chunk.slice(..found.complete);
         let rest = chunk.slice(found.complete..);
-        if self.held.is_empty() {
-            self.held.extend_from_slice(&rest);
-            return Some(whole);
+        if self.partial_event.is_empty() {
+            self.partial_event.extend_from_slice(&rest);
+            return Some(complete);
         }
-        self.held.extend_from_slice(&whole);
-        let out = std::mem::take(&mut self.held).freeze();
-        self.held.extend_from_slice(&rest);
+        self.partial_event.extend_from_slice(&complete);
+        let out = std::mem::take(&mut self.partial_event).freeze();
+        self.partial_event.extend_from_slice(&rest);
         Some(out)
     }
 
-    /// Ends when a stream that may be resumed has brought nothing for too long.
-    async fn stuck(&self) {
+    /// Completes when a resumable stream has had no event for too long.
+    async fn stalled(&self) {
         if !self.life.route.kind.is_retryable() || self.life.runs >= self.life.route.max_attempts {
             return std::future::pending().await;
         }
-        let pause = self
+        let max_gap = self
             .life
             .route
             .max_event_gap
             .max(Duration::from_millis(200));
-        tokio::time::sleep_until(self.last + pause.mul_f64(STUCK_PAUSES)).await;
+        tokio::time::sleep_until(self.last_event_at + max_gap.mul_f64(STALL_GAPS)).await;
     }
 
-    /// Runs the rest of the stream at another replica.
-    async fn resume(&mut self) -> Option<Run> {
-        self.held.clear();
+    /// Resumes the stream at another replica. Returns `None` if that is no longer possible.
+    async fn resume(&mut self) -> Option<Attempt> {
+        self.partial_event.clear();
         self.scanner.forget_unfinished();
         loop {
             if self.tx.is_closed() || !self.life.may_repeat(&self.node) {
                 return None;
             }
-            let (place, target) = self.life.place_again(&self.node).await?;
-            self.life.tried.push(place.upstream.clone());
+            let (slot, target) = self.life.place_again(&self.node).await?;
+            self.life.tried.push(slot.upstream.clone());
             self.life.runs += 1;
-            let after = self.scanner.last_id().map(str::to_owned);
-            let after = after.or_else(|| self.life.call.last_event.clone());
-            let fields = self.life.onward(&self.node, &target, after.as_deref());
-            let sent = exchange::send(
+            let last_event = self.scanner.last_id().map(str::to_owned);
+            let last_event = last_event.or_else(|| self.life.call.last_event.clone());
+            let fields = self.life.onward(&self.node, &target, last_event.as_deref());
+            let sending = exchange::send(
                 &target,
                 &*self.node.protocol,
                 &self.life.call.id,
@@ -358,28 +374,28 @@
                 true,
             );
             let answer = tokio::select! {
-                answer = sent => answer,
+                answer = sending => answer,
                 () = self.tx.closed() => return None,
             };
-            self.last = Instant::now();
-            self.first = true;
+            self.last_event_at = Instant::now();
+            self.first_pending = true;
             match answer {
                 Ok(answer) if answer.head.status.is_success() => {
-                    self.log("resumed", &place.upstream);
-                    return Some(Run {
+                    self.log("resumed", &slot.upstream);
+                    return Some(Attempt {
                         target,
-                        place,
+                        slot,
                         connection: answer.connection,
                         body: answer.body,
                         head: answer.head,
                     });
                 }
-                Ok(_) => place.release(Outcome::Failed),
+                Ok(_) => slot.release(Outcome::Failed),
                 Err(e) => {
                     if !e.may_have_run() {
                         self.life.runs -= 1;
                     }
-                    place.release(e.outcome());
+                    slot.release(e.outcome());
                 }
             }
         }
