--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -238,7 +238,7 @@
     let peer_address = node
         .peers
         .borrow()
-        .find_ahead(Instant::now(), upto, location, salt)
+        .pick_sync_peer(Instant::now(), upto, location, salt)
         .map(|p| p.address);
     let Some(address) = peer_address else {
         return;
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -68,7 +68,7 @@
     let mut ticks = interval(CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        let home_due = sender.home_due(&node);
+        let own_zone_due = sender.own_zone_due(&node);
         tokio::select! {
             _ = ticks.tick() => {
                 receiver::expire_silent(&node);
@@ -84,8 +84,8 @@
                 sleep(MIN_STATE_INTERVAL).await;
             }
             () = node.outbox_wakeup.notified() => {}
-            () = sleep_until(home_due.unwrap_or_else(Instant::now)), if home_due.is_some() => {
-                sender.flush_home(&node, &socket);
+            () = sleep_until(own_zone_due.unwrap_or_else(Instant::now)), if own_zone_due.is_some() => {
+                sender.flush_own_zone(&node, &socket);
             }
         }
     }
@@ -100,12 +100,13 @@
     Heartbeat,
     /// The current state, the speed of the replicas and the clock.
     Full,
-    /// All of `Full`, and the instances that it knows.
+    /// All of `Full`, and the known instances; a receiver that has just learned of the sender
+    /// answers with its own greeting.
     Greeting,
 }
 
 struct Sender {
-    own: Ipv4Addr,
+    own_address: Ipv4Addr,
     incarnation: u64,
     zone: ShortName,
     region: ShortName,
@@ -116,11 +117,11 @@
     full_state_sent_at: Option<Instant>,
     contacts_sent_at: Option<Instant>,
     /// When collected digests were last sent to the zone.
-    home_sent_at: Instant,
+    own_zone_sent_at: Instant,
     /// When they were last sent to the other zones of the region.
-    near_sent_at: Instant,
+    near_zones_sent_at: Instant,
     /// When they were last sent to the other regions.
-    far_sent_at: Instant,
+    far_zones_sent_at: Instant,
     relays: Relays,
 }
 
@@ -129,7 +130,7 @@
         let cfg = node.settings();
         let now = Instant::now();
         Self {
-            own: cfg.address(),
+            own_address: cfg.address(),
             incarnation,
             zone: short_name(&cfg.availability_zone),
             region: short_name(&cfg.region),
@@ -138,9 +139,9 @@
             state_sent_at: None,
             full_state_sent_at: None,
             contacts_sent_at: None,
-            home_sent_at: now,
-            near_sent_at: now,
-            far_sent_at: now,
+            own_zone_sent_at: now,
+            near_zones_sent_at: now,
+            far_zones_sent_at: now,
             relays: Relays::default(),
         }
     }
@@ -170,21 +171,21 @@
             self.greet_contacts(node, socket);
         }
         if self.is_relay()
-            && now.saturating_duration_since(self.home_sent_at) >= RELAY_HEARTBEAT_INTERVAL
+            && now.saturating_duration_since(self.own_zone_sent_at) >= RELAY_HEARTBEAT_INTERVAL
         {
-            self.flush_home(node, socket);
+            self.flush_own_zone(node, socket);
         }
-        if now.saturating_duration_since(self.near_sent_at)
+        if now.saturating_duration_since(self.near_zones_sent_at)
             >= cross_zone_interval(node, NEAR_ZONE_INTERVAL)
         {
-            self.near_sent_at = now;
+            self.near_zones_sent_at = now;
             let collected = node.outbox.borrow_mut().take_near_zones();
             self.send_cross_zone(node, socket, collected, true);
         }
-        if now.saturating_duration_since(self.far_sent_at)
+        if now.saturating_duration_since(self.far_zones_sent_at)
             >= cross_zone_interval(node, FAR_ZONE_INTERVAL)
         {
-            self.far_sent_at = now;
+            self.far_zones_sent_at = now;
             let collected = node.outbox.borrow_mut().take_far_zones();
             self.send_cross_zone(node, socket, collected, false);
         }
@@ -203,7 +204,7 @@
         self.update_relays(node, now);
         let others = node.peers.borrow().reachable(now, self.zone);
         let others: Vec<Member> = others.iter().map(|a| a.to_bits()).collect();
-        let receivers = self.relays.receivers(self.own.to_bits(), &others);
+        let receivers = self.relays.receivers(self.own_address.to_bits(), &others);
         self.send_digest(node, socket, digest, receivers);
     }
 
@@ -227,9 +228,9 @@
         }
         let mut outbox = node.outbox.borrow_mut();
         match scope {
-            ForwardScope::AllZones => outbox.add_for_all_zones(self.own, *digest),
+            ForwardScope::AllZones => outbox.add_for_all_zones(self.own_address, *digest),
             ForwardScope::OtherZones | ForwardScope::Nobody => {
-                outbox.add_for_other_zones(self.own, *digest);
+                outbox.add_for_other_zones(self.own_address, *digest);
             }
         }
     }
@@ -242,7 +243,9 @@
         let live = peers.all().iter().filter(in_zone);
         let live: Vec<Member> = live.map(|p| p.address.to_bits()).collect();
         let sent_at = |member: Member| peers.last_datagram_at(Ipv4Addr::from_bits(member));
-        let lost = self.relays.see(now, self.own.to_bits(), &live, sent_at);
+        let lost = self
+            .relays
+            .see(now, self.own_address.to_bits(), &live, sent_at);
         for relay in lost.into_iter().map(Ipv4Addr::from_bits) {
             node.log.line(
                 Weight::Notable,
@@ -252,24 +255,24 @@
     }
 
     fn is_relay(&self) -> bool {
-        self.relays.has(self.own.to_bits())
+        self.relays.has(self.own_address.to_bits())
     }
 
     /// When the collected digests are due to be sent to the zone; `None` if there are none.
-    fn home_due(&self, node: &Node) -> Option<Instant> {
+    fn own_zone_due(&self, node: &Node) -> Option<Instant> {
         if !node.outbox.borrow().has_own_zone() {
             return None;
         }
         let members = node.peers.borrow().zone_size() as u32;
         let collect_time =
             (COLLECT_TIME_PER_PAIR * members.saturating_mul(members)).min(MAX_COLLECT_TIME);
-        Some(self.home_sent_at + collect_time.max(MIN_STATE_INTERVAL))
+        Some(self.own_zone_sent_at + collect_time.max(MIN_STATE_INTERVAL))
     }
 
     /// Sends the collected digests to all instances of the zone.
-    fn flush_home(&mut self, node: &Node, socket: &UdpSocket) {
+    fn flush_own_zone(&mut self, node: &Node, socket: &UdpSocket) {
         let now = Instant::now();
-        self.home_sent_at = now;
+        self.own_zone_sent_at = now;
         let collected = node.outbox.borrow_mut().take_own_zone();
         let to = node.peers.borrow().reachable(now, self.zone);
         send_collected(node, socket, collected, &to);
@@ -289,12 +292,12 @@
         }
         // Alternates between two relays, so that a dead one does not swallow all messages.
         let turn = self.seq as usize;
-        let by_turns = |relays: &[Member]| relays.get(turn % relays.len().clamp(1, 2)).copied();
+        let alternate = |relays: &[Member]| relays.get(turn % relays.len().clamp(1, 2)).copied();
         let zones = self
             .other_zones(node)
             .into_iter()
             .filter(|(_, in_region)| *in_region == same_region);
-        let relays = zones.filter_map(|(zone, _)| by_turns(&relays_of(node, zone)));
+        let relays = zones.filter_map(|(zone, _)| alternate(&relays_of(node, zone)));
         let to: Vec<Ipv4Addr> = relays.map(Ipv4Addr::from_bits).collect();
         send_collected(node, socket, collected, &to);
     }
@@ -309,8 +312,8 @@
             .collect()
     }
 
-    /// Sends the complete state to instances that have just become known: a fleet that starts at
-    /// once is complete after a few round trips instead of some seconds.
+    /// Sends greetings to instances that have just become known: a fleet that starts at once is
+    /// complete after a few round trips instead of some seconds.
     fn greet(&mut self, node: &Node, socket: &UdpSocket) {
         let now = Instant::now();
         let to = std::mem::take(&mut *node.greeting_targets.borrow_mut());
@@ -326,7 +329,7 @@
         );
     }
 
-    /// Sends the complete state to the configured contacts that are not live.
+    /// Sends greetings to the configured contacts that are not live.
     fn greet_contacts(&mut self, node: &Node, socket: &UdpSocket) {
         let now = Instant::now();
         let cfg = node.settings();
@@ -340,7 +343,7 @@
             all.any(|p| p.address == a && p.is_live(now))
         };
         let to: Vec<Ipv4Addr> = contacts
-            .filter(|a| *a != self.own && !is_live(*a))
+            .filter(|a| *a != self.own_address && !is_live(*a))
             .collect();
         drop(peers);
         if to.is_empty() {
@@ -355,14 +358,14 @@
         );
     }
 
-    /// As a relay, sends the list of known instances to the relays of other zones: two parts of the
-    /// fleet that have found only themselves would not find each other.
+    /// As a relay, sends greetings to the relays of other zones: two parts of the fleet that have
+    /// found only themselves would not find each other.
     fn greet_relays(&mut self, node: &Node, socket: &UdpSocket) {
         if !self.is_relay() {
             return;
         }
-        let own = self.own.to_bits();
-        let relay = |zone| fanout::relay_of(own, &relays_of(node, zone));
+        let own_address = self.own_address.to_bits();
+        let relay = |zone| fanout::relay_of(own_address, &relays_of(node, zone));
         let relays = self
             .other_zones(node)
             .into_iter()
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -54,6 +54,7 @@
 
 /// State shared by all tasks of an instance; they run on one thread.
 pub struct Node {
+    /// Settings in force.
     cfg: RefCell<Rc<Settings>>,
     /// Translates between the wire protocol and the types of this crate.
     pub protocol: Rc<dyn Dialect>,
@@ -85,7 +86,7 @@
     pub dispatch: RefCell<Dispatch>,
     /// Wakes the directory reader after a suspension of the machine, to list the directory again.
     pub resync_wakeup: Notify,
-    /// Instances to which a complete state message is sent at once.
+    /// Instances to which a greeting, a message with the complete state, is sent at once.
     pub greeting_targets: RefCell<Vec<Ipv4Addr>>,
     /// Wakes the gossip task when `greeting_targets` grows.
     pub greeting_wakeup: Notify,
@@ -113,15 +114,19 @@
     pub accepted_requests: Cell<u64>,
     /// Wakes the task that expires waiting requests when a request starts to wait.
     pub queue_wakeup: Notify,
-    store_answered: Cell<Option<Instant>>,
+    /// When the store last responded.
+    last_store_response: Cell<Option<Instant>>,
+    /// Table in force.
     table: RefCell<Option<Rc<Table>>>,
+    /// Published replicas, sorted by id.
     targets: RefCell<Vec<Rc<Target>>>,
     /// Replica ids, sorted by short name.
     short_names: RefCell<Vec<(ShortName, UpstreamId)>>,
     /// Service ids, sorted by short name.
     services: RefCell<Vec<(ShortName, ServiceId)>>,
-    waiters: RefCell<Vec<(JobId, oneshot::Sender<SlotResult>)>>,
-    next_job: Cell<JobId>,
+    /// Requests that wait for a concurrency slot.
+    slot_waiters: RefCell<Vec<(JobId, oneshot::Sender<SlotResult>)>>,
+    next_job_id: Cell<JobId>,
 }
 
 impl std::fmt::Debug for Node {
@@ -163,7 +168,7 @@
             outbox: RefCell::new(Outbox::default()),
             outbox_wakeup: Notify::new(),
             needs_full_list: Cell::new(false),
-            store_answered: Cell::new(None),
+            last_store_response: Cell::new(None),
             directory_reader: RefCell::new(DirectoryReader::default()),
             process_state: watch::Sender::new(ProcessState::Serving),
             version_tx: watch::Sender::new(0),
@@ -176,8 +181,8 @@
             targets: RefCell::new(Vec::new()),
             short_names: RefCell::new(Vec::new()),
             services: RefCell::new(Vec::new()),
-            waiters: RefCell::new(Vec::new()),
-            next_job: Cell::new(1),
+            slot_waiters: RefCell::new(Vec::new()),
+            next_job_id: Cell::new(1),
             cfg: RefCell::new(Rc::new(cfg)),
         })
     }
@@ -235,12 +240,12 @@
 
     /// Records that the store has just responded.
     pub fn record_store_response(&self) {
-        self.store_answered.set(Some(Instant::now()));
+        self.last_store_response.set(Some(Instant::now()));
     }
 
     /// Time since the last response of the store, `None` before the first.
     pub fn store_age(&self) -> Option<Duration> {
-        self.store_answered.get().map(|at| at.elapsed())
+        self.last_store_response.get().map(|at| at.elapsed())
     }
 
     /// Whether this instance is one of those that read the store; the others get the directory from
@@ -269,8 +274,8 @@
 
     /// Returns a number for a new request, unique in this process.
     pub fn next_job_id(&self) -> JobId {
-        let id = self.next_job.get();
-        self.next_job.set(id + 1);
+        let id = self.next_job_id.get();
+        self.next_job_id.set(id + 1);
         id
     }
 }
--- a/crates/entry/src/node/slots.rs
+++ b/crates/entry/src/node/slots.rs
@@ -17,6 +17,7 @@
     TimedOut,
 }
 
+/// The replica whose slot a request got, and why the dispatcher chose it.
 pub(super) type SlotResult = Result<(UpstreamId, Why), SlotError>;
 
 /// Removes a waiting request from the queue when its caller disconnects.
@@ -30,7 +31,7 @@
 impl Drop for WaitGuard {
     fn drop(&mut self) {
         self.node
-            .waiters
+            .slot_waiters
             .borrow_mut()
             .retain(|(id, _)| *id != self.job);
         self.node.dispatch.borrow_mut().withdraw(self.job);
@@ -100,7 +101,7 @@
     pub async fn acquire_slot(self: &Rc<Self>, job: Job) -> Result<SlotGuard, SlotError> {
         let id = job.id;
         let (tx, rx) = oneshot::channel();
-        self.waiters.borrow_mut().push((id, tx));
+        self.slot_waiters.borrow_mut().push((id, tx));
         self.dispatch.borrow_mut().enqueue(job);
         let mut guard = WaitGuard {
             node: Rc::clone(self),
@@ -161,8 +162,9 @@
         }
     }
 
+    /// Sends the result to the request that waits for a slot; returns whether it was still waiting.
     fn notify_waiter(&self, job: JobId, result: SlotResult) -> bool {
-        let mut waiters = self.waiters.borrow_mut();
+        let mut waiters = self.slot_waiters.borrow_mut();
         let Some(index) = waiters.iter().position(|(id, _)| *id == job) else {
             return false;
         };
@@ -170,6 +172,7 @@
         tx.send(result).is_ok()
     }
 
+    /// Reports the end of a request to the dispatcher, which frees its slot.
     fn end_request(&self, upstream: &UpstreamId, job: JobId, outcome: Outcome) {
         self.dispatch
             .borrow_mut()
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -21,21 +21,21 @@
 pub use digest::{Digest, ForwardScope, PeerMessage};
 pub use peer::{Nearness, Peer};
 
-/// Time without a message after which an instance may be cut off: its load is no longer counted,
+/// Time without a digest after which an instance may be partitioned: its load is no longer counted,
 /// and its share of the organisations' limits stays reserved for it. Three intervals of the slowest
 /// messages.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Time without a message after which an instance is considered gone: longer than any network
+/// Time without a digest after which an instance is considered gone: longer than any network
 /// partition that users see, so that the two sides of a partition never spend the same share.
 const FORGET_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// An instance that was sent the complete state less than this ago gets it no second time when its
-/// first message arrives.
+/// Minimum interval of greetings, messages with the complete state, to an instance that is heard
+/// for the first time.
 const GREETING_COOLDOWN: Duration = Duration::from_millis(500);
 
-/// Number of instances assumed while no other was ever heard: the size of the largest fleets today.
-/// An instance that starts behind a partition then spends only its own share.
+/// Number of instances assumed until the first digest arrives: the size of the largest fleets
+/// today. An instance that starts behind a partition then spends only its own share.
 const ASSUMED_INSTANCES: usize = 64;
 
 /// An estimate of the difference between two clocks is logged again if it is better by this, in
@@ -54,7 +54,7 @@
 pub struct DigestEffects {
     /// Whether the sender is new, restarted, or back after a silence.
     pub is_new: bool,
-    /// Instances to which the complete state should be sent at once.
+    /// Instances to which a greeting should be sent at once.
     pub greet: Vec<Ipv4Addr>,
     /// Instances that have fallen silent since the last check.
     pub silent: Vec<Ipv4Addr>,
@@ -65,29 +65,35 @@
 struct LeavingPeer {
     address: Ipv4Addr,
     incarnation: u64,
-    since: Instant,
+    removed_at: Instant,
 }
 
 /// The other instances, sorted by address.
 #[derive(Debug)]
 pub struct Peers {
+    /// Address of this instance.
     own: Ipv4Addr,
     /// The zones of the deployment with their distance, the own zone first.
     zones: Vec<(ShortName, Distance)>,
+    /// Whether the settings name other instances to contact.
     has_contacts: bool,
+    /// Sorted by address.
     others: Vec<Peer>,
+    /// Instances that have shut down, kept so that late digests don't add them again.
     leaving: Vec<LeavingPeer>,
+    /// Sum of the load that live instances report, by replica.
     remote_load: Elsewhere,
     started: Instant,
-    /// When an instance was last added, in any zone and in the own zone.
+    /// When an instance of any zone was last added.
     last_added: Instant,
-    last_added_home: Instant,
-    /// Whether an instance that knows the whole fleet has sent its member list, and whether one of
-    /// the own zone has.
+    /// When an instance of the own zone was last added.
+    last_added_in_zone: Instant,
+    /// Whether an instance that knows the whole fleet has sent its member list.
     got_full_list: bool,
-    got_full_home_list: bool,
-    /// Since when this instance has received messages of others without interruption.
-    hearing_since: Option<Instant>,
+    /// Whether an instance of the own zone that knows the whole fleet has sent its member list.
+    got_full_list_in_zone: bool,
+    /// Since when there has always been a live instance besides this one; `None` if there is none.
+    connected_since: Option<Instant>,
     /// Since when this instance accrues credit; `None` while it may not.
     accruing_since: Option<Instant>,
     /// No instance can fall silent before this, so that not every message has to check all of them.
@@ -95,7 +101,7 @@
 }
 
 impl Peers {
-    /// Creates the view of an instance that has heard no other. `has_contacts` says whether the
+    /// Creates the view of an instance that has received no digest. `has_contacts` says whether the
     /// settings name other instances to contact.
     pub fn new(now: Instant, own: Ipv4Addr, has_contacts: bool) -> Self {
         Self {
@@ -107,10 +113,10 @@
             remote_load: Elsewhere::new(),
             started: now,
             last_added: now,
-            last_added_home: now,
+            last_added_in_zone: now,
             got_full_list: false,
-            got_full_home_list: false,
-            hearing_since: None,
+            got_full_list_in_zone: false,
+            connected_since: None,
             accruing_since: None,
             next_silence_check: now,
         }
@@ -141,7 +147,7 @@
     /// Records a datagram that came from the instance itself, not through a relay.
     pub fn record_datagram(&mut self, now: Instant, address: Ipv4Addr) {
         if let Ok(index) = self.index_of(address) {
-            self.others[index].last_datagram = Some(now);
+            self.others[index].last_datagram_at = Some(now);
         }
     }
 
@@ -153,14 +159,15 @@
 
     /// When the last datagram from the instance itself arrived.
     pub fn last_datagram_at(&self, address: Ipv4Addr) -> Option<Instant> {
-        self.others[self.index_of(address).ok()?].last_datagram
+        self.others[self.index_of(address).ok()?].last_datagram_at
     }
 
     /// The instances of a zone that are live, or became known a short time ago.
     pub fn reachable(&self, now: Instant, zone: ShortName) -> Vec<Ipv4Addr> {
-        let is_new = |p: &Peer| now.saturating_duration_since(p.added) < SILENCE_TIMEOUT;
+        let is_new = |p: &Peer| now.saturating_duration_since(p.added_at) < SILENCE_TIMEOUT;
         let in_zone = self.others.iter().filter(|p| p.digest.zone == zone);
-        let reachable = in_zone.filter(|p| p.is_live(now) || p.last_heard.is_none() && is_new(p));
+        let reachable =
+            in_zone.filter(|p| p.is_live(now) || p.last_digest_at.is_none() && is_new(p));
         reachable.map(|p| p.address).collect()
     }
 
@@ -182,9 +189,9 @@
     /// load.
     pub fn max_report_age(&self, now: Instant) -> Duration {
         let live = self.others.iter().filter(|p| p.is_live(now));
-        let oldest = live.filter_map(|p| p.last_heard).min();
-        oldest.map_or(Duration::ZERO, |heard_at| {
-            now.saturating_duration_since(heard_at)
+        let oldest = live.filter_map(|p| p.last_digest_at).min();
+        oldest.map_or(Duration::ZERO, |digest_at| {
+            now.saturating_duration_since(digest_at)
         })
     }
 
@@ -198,10 +205,10 @@
         if let Err(index) = self.index_of(address) {
             let peer = Peer {
                 address,
-                last_heard: None,
-                added: now,
-                last_datagram: None,
-                last_greeting: None,
+                last_digest_at: None,
+                added_at: now,
+                last_datagram_at: None,
+                last_greeting_at: None,
                 digest: Digest {
                     zone,
                     ..Digest::default()
@@ -212,17 +219,17 @@
             self.others.insert(index, peer);
             self.last_added = now;
             if zone == self.zones[0].0 {
-                self.last_added_home = now;
+                self.last_added_in_zone = now;
             }
             return true;
         }
         false
     }
 
-    /// Records that an instance was sent the complete state.
+    /// Records that a greeting was sent to an instance.
     pub fn record_greeting(&mut self, now: Instant, address: Ipv4Addr) {
         if let Ok(index) = self.index_of(address) {
-            self.others[index].last_greeting = Some(now);
+            self.others[index].last_greeting_at = Some(now);
         }
     }
 
@@ -233,7 +240,7 @@
         }
         let mut greet = Vec::new();
         self.got_full_list |= digest.settled;
-        self.got_full_home_list |= digest.settled && digest.zone == self.zones[0].0;
+        self.got_full_list_in_zone |= digest.settled && digest.zone == self.zones[0].0;
         for (zone, members) in std::mem::take(&mut digest.members) {
             for member in members {
                 // Instances of other zones learn of this instance through relays.
@@ -254,7 +261,7 @@
         let home = self.zones[0].0;
         let peer = &mut self.others[index];
         let same_incarnation = peer.digest.incarnation == digest.incarnation;
-        if same_incarnation && peer.last_heard.is_some() && digest.seq < peer.digest.seq {
+        if same_incarnation && peer.last_digest_at.is_some() && digest.seq < peer.digest.seq {
             return DigestEffects {
                 greet,
                 silent,
@@ -265,9 +272,9 @@
         digest.upto = digest.upto.max(peer.digest.upto);
         peer.count_load(&mut self.remote_load, &digest.loads);
         peer.digest = digest;
-        peer.last_heard = Some(now);
+        peer.last_digest_at = Some(now);
         let recently_greeted = peer
-            .last_greeting
+            .last_greeting_at
             .is_some_and(|at| now.saturating_duration_since(at) < GREETING_COOLDOWN);
         if is_new && !recently_greeted && (peer.digest.zone == home || peer.digest.greeting) {
             greet.push(from);
@@ -294,7 +301,7 @@
         self.leaving.push(LeavingPeer {
             address: from,
             incarnation,
-            since: now,
+            removed_at: now,
         });
         if let Ok(index) = self.index_of(from) {
             let mut peer = self.others.remove(index);
@@ -311,7 +318,7 @@
         let mut next = now + SILENCE_TIMEOUT;
         for peer in self.others.iter_mut().filter(|p| p.counted) {
             if peer.is_live(now) {
-                next = next.min(peer.last_heard.map_or(next, |at| at + SILENCE_TIMEOUT));
+                next = next.min(peer.last_digest_at.map_or(next, |at| at + SILENCE_TIMEOUT));
             } else {
                 peer.uncount_load(&mut self.remote_load);
                 silent.push(peer.address);
@@ -344,7 +351,7 @@
     pub fn remove_gone(&mut self, now: Instant) {
         self.others.retain(|p| !p.is_gone(now));
         let is_gone =
-            |peer: &LeavingPeer| now.saturating_duration_since(peer.since) >= FORGET_TIMEOUT;
+            |peer: &LeavingPeer| now.saturating_duration_since(peer.removed_at) >= FORGET_TIMEOUT;
         self.leaving.retain(|peer| !is_gone(peer));
     }
 
@@ -377,13 +384,14 @@
         self.remote_load.take_changed()
     }
 
-    /// An instance with a directory revision above `upto`: one of the nearest, chosen by `salt`,
-    /// which is random.
+    /// Picks a peer to get newer directory entries from: one of the nearest whose revision is above
+    /// `upto`, chosen by `salt`, which is random. `location` is the zone and the region of this
+    /// instance.
     ///
     /// If all instances asked the one with the highest revision, they would ask the same one at the
     /// same time, and a large table occupies a small machine's link for a tenth of a second per
     /// request.
-    pub fn find_ahead(
+    pub fn pick_sync_peer(
         &self,
         now: Instant,
         upto: Revision,
@@ -406,7 +414,8 @@
     /// Whether this instance is one of the few that read the store, so that the others need not.
     ///
     /// The first instance of each zone by address reads it, and the first two of the fleet. An
-    /// instance reads it as well if no live instance has had a response of the store within `lost`.
+    /// instance reads it as well if no live instance has had a response of the store within
+    /// `max_store_age`.
     pub fn reads_store(&self, now: Instant, zone: ShortName, max_store_age: Duration) -> bool {
         let mut lower_in_zone = 0;
         let mut lower_in_fleet = 0;
@@ -429,7 +438,7 @@
     }
 
     /// Time since the start of this instance.
-    pub fn age(&self, now: Instant) -> Duration {
+    pub fn uptime(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.started)
     }
 }
--- a/crates/entry/src/peers/discovery.rs
+++ b/crates/entry/src/peers/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery of the other instances after a start, and the members of the own zone.
+//! Discovery of the other instances after a start, and the size and members of the zones.
 
 use std::time::Duration;
 
@@ -15,17 +15,17 @@
 const DISCOVERY_QUIET_PERIOD: Duration = Duration::from_millis(300);
 
 /// Minimum time for discovery of the own zone, whose instances learn of each other at once.
-const MIN_HOME_DISCOVERY: Duration = Duration::from_millis(300);
+const MIN_ZONE_DISCOVERY: Duration = Duration::from_millis(300);
 
-/// The same for the own zone as `DISCOVERY_QUIET_PERIOD` for the fleet.
-const HOME_DISCOVERY_QUIET_PERIOD: Duration = Duration::from_millis(200);
+/// Discovery of the own zone is complete once no instance was added to it for this long.
+const ZONE_DISCOVERY_QUIET_PERIOD: Duration = Duration::from_millis(200);
 
-/// An instance that hears another one this soon after its start was not isolated before.
+/// An instance that receives its first digest within this time after its start was not isolated.
 const ISOLATION_THRESHOLD: Duration = Duration::from_millis(1200);
 
-/// The instances of its zone know this one at this time after the first message, if they can hear
-/// it at all.
-const HOME_DISCOVERY_TIMEOUT: Duration = Duration::from_secs(2);
+/// Discovery of the own zone ends this long after the first digest: the other instances have added
+/// this one by then, if its messages arrive at all.
+const ZONE_DISCOVERY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Discovery of the fleet ends after this at the latest: a growing fleet may never be quiet for
 /// long enough.
@@ -34,7 +34,7 @@
 impl Peers {
     /// The zones, their sizes and members, as needed to share the credit of limits.
     pub fn roster(&mut self, now: Instant) -> Roster {
-        if self.accruing_since.is_none() && self.is_home_discovered(now) {
+        if self.accruing_since.is_none() && self.is_zone_discovered(now) {
             self.accruing_since = Some(self.accrual_start(now));
         }
         Roster {
@@ -49,14 +49,16 @@
     /// long, or got its member list from one that has its share already, must not claim what others
     /// had meanwhile.
     fn accrual_start(&self, now: Instant) -> Instant {
-        let first_heard = self.hearing_since.unwrap_or(now);
-        let isolated = first_heard.saturating_duration_since(self.started);
-        if self.got_full_home_list || isolated >= ISOLATION_THRESHOLD {
+        let first_digest_at = self.connected_since.unwrap_or(now);
+        let isolated_for = first_digest_at.saturating_duration_since(self.started);
+        if self.got_full_list_in_zone || isolated_for >= ISOLATION_THRESHOLD {
             return now;
         }
         self.started
     }
 
+    /// The zones of the deployment, each with the larger of the known and the reported size, and its
+    /// live members.
     fn roster_zones(&self, now: Instant) -> Vec<Zone> {
         let zone = |(name, distance): &(ShortName, Distance)| Zone {
             name: *name,
@@ -84,43 +86,44 @@
 
     /// Number of known instances of the own zone, including this one and the silent ones.
     pub fn zone_size(&self) -> usize {
-        let home = self.zones[0].0;
-        let in_zone = self.others.iter().filter(|p| p.digest.zone == home);
+        let own_zone = self.zones[0].0;
+        let in_zone = self.others.iter().filter(|p| p.digest.zone == own_zone);
         in_zone.count() + 1
     }
 
     /// The known instances of the own zone, including this one and the silent ones.
     pub fn zone_members(&self) -> Vec<Member> {
-        let home = self.zones[0].0;
-        let in_zone = self.others.iter().filter(|p| p.digest.zone == home);
+        let own_zone = self.zones[0].0;
+        let in_zone = self.others.iter().filter(|p| p.digest.zone == own_zone);
         let members = in_zone.map(|p| p.address.to_bits());
         members.chain([self.own.to_bits()]).collect()
     }
 
     /// Whether discovery of the own zone is complete: this instance has found the others there, and
-    /// they know at least as many as it hears.
+    /// each of them knows at least as many instances of the zone as are live here.
     ///
     /// Otherwise each instance of a fleet that starts would take a share as if there were few. An
-    /// instance that hears nobody may be partitioned from a fleet that holds its share already;
-    /// after the time in which the others would have forgotten it, it counts as the only one.
-    fn is_home_discovered(&mut self, now: Instant) -> bool {
+    /// instance that receives no digest may be partitioned from a fleet that holds its share
+    /// already; after the time in which the others would have removed it, it counts as the only
+    /// one.
+    fn is_zone_discovered(&mut self, now: Instant) -> bool {
         if self.live_count(now) == 1 {
-            self.hearing_since = None;
-            return !self.has_contacts || self.age(now) >= FORGET_TIMEOUT;
+            self.connected_since = None;
+            return !self.has_contacts || self.uptime(now) >= FORGET_TIMEOUT;
         }
-        let hearing_since = *self.hearing_since.get_or_insert(now);
-        let hearing_for = now.saturating_duration_since(hearing_since);
-        if hearing_for >= HOME_DISCOVERY_TIMEOUT {
+        let connected_since = *self.connected_since.get_or_insert(now);
+        let connected_for = now.saturating_duration_since(connected_since);
+        if connected_for >= ZONE_DISCOVERY_TIMEOUT {
             return true;
         }
-        let home = self.zones[0].0;
-        let in_zone = |p: &&Peer| p.is_live(now) && p.digest.zone == home;
+        let own_zone = self.zones[0].0;
+        let in_zone = |p: &&Peer| p.is_live(now) && p.digest.zone == own_zone;
         let live_in_zone = self.others.iter().filter(in_zone).count() + 1;
-        let quiet = now.saturating_duration_since(self.last_added_home);
-        let found = hearing_for >= MIN_HOME_DISCOVERY && quiet >= HOME_DISCOVERY_QUIET_PERIOD;
-        // An instance that hears nobody of its zone has not been found yet, or is the only one
-        // there.
-        if live_in_zone == 1 || !self.got_full_home_list && !found {
+        let quiet_for = now.saturating_duration_since(self.last_added_in_zone);
+        let found = connected_for >= MIN_ZONE_DISCOVERY && quiet_for >= ZONE_DISCOVERY_QUIET_PERIOD;
+        // Without a live instance of the own zone, this one has not been found yet, or is the only
+        // one there.
+        if live_in_zone == 1 || !self.got_full_list_in_zone && !found {
             return false;
         }
         let mut in_zone = self.others.iter().filter(in_zone);
@@ -134,11 +137,11 @@
 
     /// Whether discovery of the fleet is still going on.
     fn is_discovering(&self, now: Instant) -> bool {
-        let age = self.age(now);
-        let quiet = now.saturating_duration_since(self.last_added);
+        let uptime = self.uptime(now);
+        let quiet_for = now.saturating_duration_since(self.last_added);
         !self.got_full_list
             && self.has_contacts
-            && age < DISCOVERY_TIMEOUT
-            && (age < MIN_DISCOVERY || quiet < DISCOVERY_QUIET_PERIOD)
+            && uptime < DISCOVERY_TIMEOUT
+            && (uptime < MIN_DISCOVERY || quiet_for < DISCOVERY_QUIET_PERIOD)
     }
 }
--- a/crates/entry/src/peers/peer.rs
+++ b/crates/entry/src/peers/peer.rs
@@ -15,13 +15,13 @@
     pub address: Ipv4Addr,
     /// When its last digest arrived, directly or through a relay; `None` while it is only known by
     /// name.
-    pub last_heard: Option<Instant>,
+    pub last_digest_at: Option<Instant>,
     /// When it was added.
-    pub added: Instant,
+    pub added_at: Instant,
     /// When the last datagram from it arrived directly.
-    pub last_datagram: Option<Instant>,
+    pub last_datagram_at: Option<Instant>,
     /// When it was last sent the complete state.
-    pub last_greeting: Option<Instant>,
+    pub last_greeting_at: Option<Instant>,
     /// Its last digest.
     pub digest: Digest,
     /// By how many milliseconds its clock was ahead when the difference was last logged.
@@ -36,7 +36,7 @@
 pub enum Nearness {
     /// In the same availability zone.
     Zone,
-    /// In another zone of the region, or not heard yet.
+    /// In another zone of the region, or its zone is not known from itself yet.
     Region,
     /// In another region.
     Far,
@@ -45,13 +45,13 @@
 impl Peer {
     /// Whether its last digest is recent enough for it to count as live.
     pub fn is_live(&self, now: Instant) -> bool {
-        self.last_heard
+        self.last_digest_at
             .is_some_and(|at| now.saturating_duration_since(at) < SILENCE_TIMEOUT)
     }
 
     /// Its distance from an instance of this zone and region.
     pub fn nearness(&self, zone: ShortName, region: ShortName) -> Nearness {
-        if self.last_heard.is_none() {
+        if self.last_digest_at.is_none() {
             return Nearness::Region;
         }
         if self.digest.zone == zone {
@@ -80,7 +80,7 @@
     }
 
     pub(super) fn is_gone(&self, now: Instant) -> bool {
-        let last = self.last_heard.unwrap_or(self.added);
+        let last = self.last_digest_at.unwrap_or(self.added_at);
         now.saturating_duration_since(last) >= FORGET_TIMEOUT
     }
 }
