--- a/crates/decisions/tests/idempotency_key.rs
+++ b/crates/decisions/tests/idempotency_key.rs
@@ -1,7 +1,7 @@
 //! The text of a key against whoever forges, cuts or borrows one.
 
 use kingcupfield_decisions::idempotency::{
-    FromIssuer, FromWitness, HandedOver, Key, KeyError, Secret, ToWitness, WitnessName,
+    EndedKeyRecord, IssuerReply, Key, KeyError, Secret, WitnessId, WitnessReply, WitnessRequest,
 };
 use yare::parameterized;
 
@@ -13,7 +13,7 @@
     Key {
         issuer: "north-sea-1".into(),
         incarnation: 1_760_000_000_000,
-        witness: Some(WitnessName {
+        witness: Some(WitnessId {
             instance: "north-sea-2".into(),
             incarnation: 1_760_000_000_001,
         }),
@@ -42,7 +42,7 @@
     for end in 0..text.len() {
         let refused = Key::decode(&text[..end], &secret(1), "org");
         assert!(
-            matches!(refused, Err(KeyError::Cut | KeyError::Malformed)),
+            matches!(refused, Err(KeyError::Truncated | KeyError::Malformed)),
             "{end}: {refused:?}"
         );
     }
@@ -64,7 +64,7 @@
     padded = { "AAAA====", KeyError::Malformed },
     other_script = { "khóa", KeyError::Malformed },
     format = { "AgAAAA", KeyError::Malformed },
-    huge_length = { "Af__AA", KeyError::Cut },
+    huge_length = { "Af__AA", KeyError::Truncated },
     long = { &"A".repeat(5000), KeyError::TooLong },
 )]
 fn malformed_texts_have_a_reason(text: &str, expected: KeyError) {
@@ -105,8 +105,8 @@
     status = { r#"{"outcome":{"ran":{"upstream":"r","answer":{"status":70000,"content_type":null,"body":""}}}}"# },
 )]
 fn malformed_messages_are_refused_by_every_decoder(text: &str) {
-    assert!(serde_json::from_str::<ToWitness>(text).is_err());
-    assert!(serde_json::from_str::<FromWitness>(text).is_err());
-    assert!(serde_json::from_str::<FromIssuer>(text).is_err());
-    assert!(serde_json::from_str::<HandedOver>(text).is_err());
+    assert!(serde_json::from_str::<WitnessRequest>(text).is_err());
+    assert!(serde_json::from_str::<WitnessReply>(text).is_err());
+    assert!(serde_json::from_str::<IssuerReply>(text).is_err());
+    assert!(serde_json::from_str::<EndedKeyRecord>(text).is_err());
 }
--- /dev/null
+++ b/crates/entry/src/adapter.rs
@@ -0,0 +1,147 @@
+//! Interfaces that a platform adapter implements: protocol translation and access to the directory.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use futures::future::LocalBoxFuture;
+use http::request::Parts as RequestParts;
+use http::response::Parts as ResponseParts;
+use http::{HeaderMap, StatusCode};
+use kingcupfield_decisions::id::ZoneId;
+use kingcupfield_decisions::store_view::{Entry, Revision};
+
+use crate::refusal::Refusal;
+use crate::replica::PublishedReplica;
+use crate::table::Table;
+
+/// Metadata in the head of a caller's request.
+#[derive(Debug, Clone, Default)]
+pub struct RequestMeta {
+    /// Id that the caller chose for this attempt; empty if the request has none.
+    pub attempt_id: String,
+    /// API key of the caller.
+    pub api_key: Option<String>,
+    /// Time for which the caller waits for the response, from the receipt of the request.
+    pub timeout: Option<Duration>,
+    /// Number of tokens in the prompt.
+    pub prompt_tokens: Option<u32>,
+    /// Largest number of tokens to generate.
+    pub max_output_tokens: Option<u32>,
+    /// Expected number of tokens to generate.
+    pub expected_output_tokens: Option<u32>,
+    /// Id of the last event that the caller received, if it resumes a stream.
+    pub last_event_id: Option<String>,
+}
+
+impl RequestMeta {
+    /// Estimated number of tokens to generate: the expected number, else the largest, else 0.
+    pub fn estimated_output_tokens(&self) -> f64 {
+        f64::from(
+            self.expected_output_tokens
+                .or(self.max_output_tokens)
+                .unwrap_or(0),
+        )
+    }
+}
+
+/// Information that the instance adds to a request when it forwards it to a replica.
+#[derive(Debug)]
+pub struct ForwardInfo<'a> {
+    /// Id of the only replica that may run the request.
+    pub replica: &'a str,
+    /// Time left until the request's timeout.
+    pub time_left: Option<Duration>,
+    /// Organisation that owns the caller's API key.
+    pub organisation: Option<&'a str>,
+    /// Id of the last event that was sent to the caller, if the replica resumes a stream.
+    pub last_event_id: Option<&'a str>,
+}
+
+/// Classification of a replica's response by its head.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ResponseClass {
+    /// Response of the intended replica, which ran the request.
+    Executed,
+    /// The replica has no capacity left and did not run the request.
+    AtCapacity,
+    /// A different replica listens at the address; it did not run the request.
+    WrongReplica,
+    /// The replica did not run the request for another reason.
+    NotExecuted,
+    /// Response to a different request, or one without the required headers.
+    Invalid,
+}
+
+/// Translation between the instance and the HTTP headers of callers and replicas.
+pub trait ProtocolAdapter {
+    /// Parses the head of a caller's request.
+    fn parse_request(&self, head: &RequestParts) -> RequestMeta;
+
+    /// Builds the headers with which a request is forwarded to a replica.
+    fn forward_headers(&self, head: &RequestParts, info: &ForwardInfo<'_>) -> HeaderMap;
+
+    /// Classifies a replica's response to the attempt `id`.
+    fn classify_response(&self, id: &str, head: &ResponseParts) -> ResponseClass;
+
+    /// Builds the headers of a replica's response that are passed to the caller.
+    fn response_headers(&self, head: &ResponseParts) -> HeaderMap;
+
+    /// Builds the status and headers of a refusal; `id` is the caller's attempt id.
+    fn refusal_response(&self, id: Option<&str>, refusal: &Refusal) -> (StatusCode, HeaderMap);
+}
+
+/// Entries read from the directory.
+#[derive(Debug)]
+pub struct Listing {
+    /// Revision of the directory up to which the listing is complete.
+    pub revision: Revision,
+    /// All entries of the directory, or those that changed.
+    pub entries: Vec<Entry>,
+}
+
+/// Error of a call to the directory.
+#[derive(Debug, thiserror::Error)]
+pub enum DirectoryError {
+    /// The directory refused the call, for example because of a rate limit.
+    #[error("refused with status {0}")]
+    Refused(StatusCode),
+    /// The directory no longer has the changes since the requested revision.
+    #[error("changes since the requested revision are no longer available")]
+    HistoryCompacted,
+    /// No response, or one that can't be parsed.
+    #[error("{0}")]
+    NoResponse(String),
+}
+
+/// Parsed directory entry.
+#[derive(Debug)]
+pub enum ParsedEntry {
+    /// A version of the table.
+    Table(Rc<Table>),
+    /// A replica.
+    Replica(PublishedReplica),
+    /// A zone whose replicas receive no new requests while the entry exists.
+    DrainedZone(ZoneId),
+    /// A replica entry that can't be parsed, with the reason.
+    InvalidReplica(String),
+    /// A table that can't be parsed, with the reason; the last valid one stays in force.
+    InvalidTable(String),
+    /// An entry of an unrelated kind.
+    Other,
+}
+
+/// Read-only client of the published directory.
+pub trait DirectoryClient {
+    /// Reads all entries.
+    fn list(&self) -> LocalBoxFuture<'_, Result<Listing, DirectoryError>>;
+
+    /// Waits for changes after a revision, at most for `wait`; returns no entries if there are none.
+    fn watch(
+        &self,
+        after: Revision,
+        wait: Duration,
+    ) -> LocalBoxFuture<'_, Result<Listing, DirectoryError>>;
+
+    /// Parses an entry by its key and value.
+    fn parse_entry(&self, key: &str, value: &[u8]) -> ParsedEntry;
+}
--- a/crates/entry/src/credit.rs
+++ b/crates/entry/src/credit.rs
@@ -5,12 +5,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcupfield_decisions::credit::{Charge, Distance, Limit, Lot, Message, Number, Verdict};
-use kingcupfield_decisions::id::{Member, ShortName, short_name};
+use kingcupfield_decisions::credit::{
+    Batch, Charge, Distance, Limit, Message, MessageNumber, Verdict,
+};
+use kingcupfield_decisions::id::{InstanceAddress, NameHash, name_hash};
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep};
 
-use crate::log::Weight;
+use crate::log::Priority;
 use crate::node::{Node, ProcessState};
 use crate::peers::PeerMessage;
 use crate::settings::Settings;
@@ -23,7 +25,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct CreditGrant {
     /// The credit batch that was charged; `None` if the organisation has no limit.
-    pub batch: Option<Lot>,
+    pub batch: Option<Batch>,
     /// How long the request waited for the credit.
     pub waited: Duration,
     /// The credit coordinator that granted it.
@@ -48,23 +50,23 @@
 }
 
 /// The zones of the deployment with their distance from this instance.
-pub fn zone_distances(cfg: &Settings) -> Vec<(ShortName, Distance)> {
+pub fn zone_distances(cfg: &Settings) -> Vec<(NameHash, Distance)> {
     let distance = |zone: &str, region: &str| {
         if zone == &*cfg.availability_zone {
-            Distance::Home
+            Distance::SameZone
         } else if region == &*cfg.region {
-            Distance::Near
+            Distance::SameRegion
         } else {
-            Distance::Far
+            Distance::OtherRegion
         }
     };
     let mut zones: Vec<_> = cfg
         .regions_by_zone
         .iter()
-        .map(|(zone, region)| (short_name(zone), distance(zone, region)))
+        .map(|(zone, region)| (name_hash(zone), distance(zone, region)))
         .collect();
     if !cfg.regions_by_zone.contains_key(&*cfg.availability_zone) {
-        zones.push((short_name(&cfg.availability_zone), Distance::Home));
+        zones.push((name_hash(&cfg.availability_zone), Distance::SameZone));
     }
     zones
 }
@@ -77,10 +79,10 @@
     limit: Limit,
     charge: Charge,
 ) -> Result<CreditGrant, CreditDenial> {
-    let name = short_name(&organisation.name);
+    let name = name_hash(&organisation.name);
     let started = credit_now(node);
     let (tx, rx) = oneshot::channel();
-    let coordinator = Ipv4Addr::from_bits(node.credit_ledger.borrow().keeper(started, name));
+    let coordinator = Ipv4Addr::from_bits(node.credit_ledger.borrow().coordinator(started, name));
     let number = node
         .credit_ledger
         .borrow_mut()
@@ -97,7 +99,7 @@
             coordinator,
         });
     };
-    let batch = Lot {
+    let batch = Batch {
         expires: started + Duration::from_millis(u64::from(left_ms)),
         amount: charge.cost,
     };
@@ -111,10 +113,10 @@
 /// Refunds the credit of a request that did not run.
 pub fn refund(node: &Node, organisation: &Organisation, grant: &CreditGrant) {
     if let Some(batch) = grant.batch {
-        let name = short_name(&organisation.name);
+        let name = name_hash(&organisation.name);
         node.credit_ledger
             .borrow_mut()
-            .give_back(credit_now(node), name, batch);
+            .refund(credit_now(node), name, batch);
     }
 }
 
@@ -137,28 +139,28 @@
     let mut roster = node.peers.borrow_mut().roster(Instant::now());
     // The others no longer count an instance that shuts down, so it must not accrue credit.
     if node.process_state() >= ProcessState::Closing {
-        roster.mints_since = None;
+        roster.accrues_since = None;
     }
-    let accrues = roster.mints_since.is_some();
+    let accrues = roster.accrues_since.is_some();
     let members = node.peers.borrow().zone_members();
     let members = Some(members).filter(|_| accrues);
     node.dispatch
         .borrow_mut()
-        .set_members(Instant::now(), members);
+        .update_members(Instant::now(), members);
     let suspended = node.suspend_detector.total_suspended();
-    roster.mints_since = roster.mints_since.map(|at| at + suspended);
+    roster.accrues_since = roster.accrues_since.map(|at| at + suspended);
     let mut ledger = node.credit_ledger.borrow_mut();
-    if ledger.mints() != roster.mints_since.is_some() {
+    if ledger.accrues() != roster.accrues_since.is_some() {
         node.log.line(
-            Weight::Notable,
+            Priority::High,
             format_args!(
                 "event=credit mints={} zone_size={}",
-                roster.mints_since.is_some(),
-                roster.size()
+                roster.accrues_since.is_some(),
+                roster.zone_size()
             ),
         );
     }
-    ledger.set_roster(credit_now(node), &roster);
+    ledger.set_fleet(credit_now(node), &roster);
 }
 
 /// Checks the requests that wait for credit until the process ends.
@@ -167,7 +169,7 @@
         node.credit_wakeup.notified().await;
         while !node.credit_ledger.borrow().is_idle() {
             sleep(CHECK_INTERVAL).await;
-            node.credit_ledger.borrow_mut().tick(credit_now(&node));
+            node.credit_ledger.borrow_mut().on_tick(credit_now(&node));
             flush(&node);
         }
     }
@@ -194,7 +196,7 @@
     }
 }
 
-fn send(node: &Node, to: Member, message: Message) {
+fn send(node: &Node, to: InstanceAddress, message: Message) {
     let Some(socket) = node.peer_socket.get() else {
         return;
     };
@@ -206,7 +208,7 @@
     let _ = socket.try_send_to(&message, to);
 }
 
-fn take_waiter(node: &Node, number: Number) -> Option<oneshot::Sender<Verdict>> {
+fn take_waiter(node: &Node, number: MessageNumber) -> Option<oneshot::Sender<Verdict>> {
     let mut waiters = node.credit_waiters.borrow_mut();
     let index = waiters.iter().position(|(waiting, _)| *waiting == number)?;
     Some(waiters.swap_remove(index).1)
@@ -215,7 +217,7 @@
 /// Removes a waiting request when its caller disconnects.
 struct WaitGuard<'a> {
     node: &'a Node,
-    number: Number,
+    number: MessageNumber,
 }
 
 impl Drop for WaitGuard<'_> {
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -11,9 +11,9 @@
 use kingcupfield_decisions::dispatch::Outcome;
 use tokio::time::Instant;
 
+use crate::adapter::{ProtocolAdapter, ResponseClass};
 use crate::node::Target;
 use crate::pool::{self, Connection};
-use crate::port::{Dialect, Reply};
 
 /// Maximum idle time of a reused connection for requests that must not be retried: a replica may
 /// drop an idle connection without notice, and it is then unknown whether the request ran.
@@ -96,7 +96,7 @@
 /// that the replica gets.
 pub async fn send(
     target: &Rc<Target>,
-    protocol: &dyn Dialect,
+    protocol: &dyn ProtocolAdapter,
     id: &str,
     head: &Parts,
     fields: HeaderMap,
@@ -139,22 +139,22 @@
 }
 
 fn classify_response(
-    protocol: &dyn Dialect,
+    protocol: &dyn ProtocolAdapter,
     id: &str,
     response: Response<Incoming>,
     connection: Connection,
 ) -> Result<ReplicaResponse, SendFailure> {
     let (head, body) = response.into_parts();
-    match protocol.reply(id, &head) {
-        Reply::Ran => Ok(ReplicaResponse {
+    match protocol.classify_response(id, &head) {
+        ResponseClass::Executed => Ok(ReplicaResponse {
             head,
             body,
             connection,
         }),
-        Reply::Full => Err(SendFailure::Full),
-        Reply::Another => Err(SendFailure::WrongReplica),
-        Reply::NotRun => Err(SendFailure::NotRun),
-        Reply::Foreign => Err(SendFailure::Foreign),
+        ResponseClass::AtCapacity => Err(SendFailure::Full),
+        ResponseClass::WrongReplica => Err(SendFailure::WrongReplica),
+        ResponseClass::NotExecuted => Err(SendFailure::NotRun),
+        ResponseClass::Invalid => Err(SendFailure::Foreign),
     }
 }
 
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -11,12 +11,12 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::fanout::{self, Receivers, Relays};
-use kingcupfield_decisions::id::{Member, ShortName, short_name};
+use kingcupfield_decisions::id::{InstanceAddress, NameHash, name_hash};
 use tokio::net::UdpSocket;
 use tokio::time::{Instant, interval, sleep, sleep_until};
 
 use crate::credit;
-use crate::log::{self, Weight};
+use crate::log::{self, Priority};
 use crate::node::Node;
 use crate::outbox::{self, DigestBatch};
 use crate::peers::{Digest, ForwardScope, Peer, PeerMessage};
@@ -38,7 +38,7 @@
 const MAX_COLLECT_TIME: Duration = Duration::from_millis(100);
 
 /// Interval of messages to another zone of the region, and to one of another region; longer if a
-/// zone has more than [`fanout::SMALL`] instances, each of which has to receive them.
+/// zone has more than [`fanout::MAX_FULL_MESH`] instances, each of which has to receive them.
 const NEAR_ZONE_INTERVAL: Duration = Duration::from_millis(100);
 const FAR_ZONE_INTERVAL: Duration = Duration::from_millis(400);
 
@@ -108,8 +108,8 @@
 struct Sender {
     own_address: Ipv4Addr,
     incarnation: u64,
-    zone: ShortName,
-    region: ShortName,
+    zone: NameHash,
+    region: NameHash,
     seq: u32,
     /// State at the last message, to detect changes.
     last_sent: LocalState,
@@ -132,8 +132,8 @@
         Self {
             own_address: cfg.address(),
             incarnation,
-            zone: short_name(&cfg.availability_zone),
-            region: short_name(&cfg.region),
+            zone: name_hash(&cfg.availability_zone),
+            region: name_hash(&cfg.region),
             seq: 0,
             last_sent: LocalState::default(),
             state_sent_at: None,
@@ -160,7 +160,7 @@
         } else {
             self.send_state(node, socket, StateKind::Change);
         }
-        let accrues_credit = node.credit_ledger.borrow().mints();
+        let accrues_credit = node.credit_ledger.borrow().accrues();
         let contact_interval = if accrues_credit {
             HEARTBEAT_INTERVAL
         } else {
@@ -203,7 +203,7 @@
         let digest = self.build_digest(node, state, kind);
         self.update_relays(node, now);
         let others = node.peers.borrow().reachable(now, self.zone);
-        let others: Vec<Member> = others.iter().map(|a| a.to_bits()).collect();
+        let others: Vec<InstanceAddress> = others.iter().map(|a| a.to_bits()).collect();
         let receivers = self.relays.receivers(self.own_address.to_bits(), &others);
         self.send_digest(node, socket, digest, receivers);
     }
@@ -241,21 +241,21 @@
         let peers = node.peers.borrow();
         let in_zone = |p: &&Peer| p.is_live(now) && p.digest.zone == self.zone;
         let live = peers.all().iter().filter(in_zone);
-        let live: Vec<Member> = live.map(|p| p.address.to_bits()).collect();
-        let sent_at = |member: Member| peers.last_datagram_at(Ipv4Addr::from_bits(member));
+        let live: Vec<InstanceAddress> = live.map(|p| p.address.to_bits()).collect();
+        let sent_at = |member: InstanceAddress| peers.last_datagram_at(Ipv4Addr::from_bits(member));
         let lost = self
             .relays
-            .see(now, self.own_address.to_bits(), &live, sent_at);
+            .update(now, self.own_address.to_bits(), &live, sent_at);
         for relay in lost.into_iter().map(Ipv4Addr::from_bits) {
             node.log.line(
-                Weight::Notable,
+                Priority::High,
                 format_args!("event=relay_passed_over peer={relay}"),
             );
         }
     }
 
     fn is_relay(&self) -> bool {
-        self.relays.has(self.own_address.to_bits())
+        self.relays.contains(self.own_address.to_bits())
     }
 
     /// When the collected digests are due to be sent to the zone; `None` if there are none.
@@ -292,7 +292,8 @@
         }
         // Alternates between two relays, so that a dead one does not swallow all messages.
         let turn = self.seq as usize;
-        let alternate = |relays: &[Member]| relays.get(turn % relays.len().clamp(1, 2)).copied();
+        let alternate =
+            |relays: &[InstanceAddress]| relays.get(turn % relays.len().clamp(1, 2)).copied();
         let zones = self
             .other_zones(node)
             .into_iter()
@@ -303,11 +304,11 @@
     }
 
     /// The other zones, and whether each is in the region of this instance.
-    fn other_zones(&self, node: &Node) -> Vec<(ShortName, bool)> {
+    fn other_zones(&self, node: &Node) -> Vec<(NameHash, bool)> {
         let cfg = node.settings();
         let zones = cfg.regions_by_zone.iter();
         zones
-            .map(|(zone, region)| (short_name(zone), *region == *cfg.region))
+            .map(|(zone, region)| (name_hash(zone), *region == *cfg.region))
             .filter(|(zone, _)| *zone != self.zone)
             .collect()
     }
@@ -399,7 +400,7 @@
         };
         if matches!(kind, StateKind::Full | StateKind::Greeting) {
             digest.steps = local_step_times(node);
-            digest.time_ms = u64::try_from(log::now_ms()).ok();
+            digest.time_ms = u64::try_from(log::unix_time_ms()).ok();
         }
         if kind == StateKind::Greeting {
             digest.greeting = true;
@@ -411,10 +412,10 @@
 }
 
 /// The relays of a zone, derived from its reachable instances.
-fn relays_of(node: &Node, zone: ShortName) -> Vec<Member> {
+fn relays_of(node: &Node, zone: NameHash) -> Vec<InstanceAddress> {
     let reachable = node.peers.borrow().reachable(Instant::now(), zone);
-    let reachable: Vec<Member> = reachable.iter().map(|a| a.to_bits()).collect();
-    fanout::relays(&reachable)
+    let reachable: Vec<InstanceAddress> = reachable.iter().map(|a| a.to_bits()).collect();
+    fanout::choose_relays(&reachable)
 }
 
 fn send_collected(node: &Node, socket: &UdpSocket, collected: DigestBatch, to: &[Ipv4Addr]) {
@@ -453,6 +454,6 @@
 /// Interval of messages to other zones, for zones of the size of this one.
 fn cross_zone_interval(node: &Node, base_interval: Duration) -> Duration {
     let members = node.peers.borrow().zone_size() as u32;
-    let small_zone = fanout::SMALL as u32;
+    let small_zone = fanout::MAX_FULL_MESH as u32;
     base_interval * members.max(small_zone) / small_zone
 }
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -8,24 +8,24 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcupfield_decisions::credit::{Ledger, Number, Verdict as CreditVerdict};
-use kingcupfield_decisions::dispatch::{Dispatch, JobId};
-use kingcupfield_decisions::emptied::EmptiedZones;
-use kingcupfield_decisions::id::{ServiceId, ShortName, UpstreamId, short_name};
-use kingcupfield_decisions::known::Known;
-use kingcupfield_decisions::repeats::Repeats;
+use kingcupfield_decisions::credit::{Ledger, MessageNumber, Verdict as CreditVerdict};
+use kingcupfield_decisions::dispatch::{Dispatcher, JobId};
+use kingcupfield_decisions::drained_zones::DrainedZones;
+use kingcupfield_decisions::id::{NameHash, ServiceId, UpstreamId, name_hash};
+use kingcupfield_decisions::store_view::StoreView;
+use kingcupfield_decisions::upstream_retries::UpstreamRetryBudget;
 use tokio::net::UdpSocket;
 use tokio::sync::{Notify, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
+use crate::adapter::{DirectoryClient, ProtocolAdapter};
 use crate::clock::SuspendDetector;
 use crate::credit;
 use crate::directory::DirectoryReader;
-use crate::log::{Log, Weight};
+use crate::log::{Log, Priority};
 use crate::metrics::Metrics;
 use crate::outbox::Outbox;
 use crate::peers::Peers;
-use crate::port::{Dialect, Source};
 use crate::settings::Settings;
 use crate::table::Table;
 
@@ -57,9 +57,9 @@
     /// Settings in force.
     cfg: RefCell<Rc<Settings>>,
     /// Translates between the wire protocol and the types of this crate.
-    pub protocol: Rc<dyn Dialect>,
+    pub protocol: Rc<dyn ProtocolAdapter>,
     /// Client of the store that publishes the directory.
-    pub directory_source: Rc<dyn Source>,
+    pub directory_client: Rc<dyn DirectoryClient>,
     /// Log of this instance.
     pub log: Log,
     /// Detects suspension of the machine.
@@ -69,21 +69,21 @@
     /// Credit of the organisations' limits.
     pub credit_ledger: RefCell<Ledger>,
     /// Requests that wait for a credit decision, by credit request number.
-    pub credit_waiters: RefCell<Vec<(Number, oneshot::Sender<CreditVerdict>)>>,
+    pub credit_waiters: RefCell<Vec<(MessageNumber, oneshot::Sender<CreditVerdict>)>>,
     /// Wakes the task that times out requests waiting for credit.
     pub credit_wakeup: Notify,
     /// UDP socket for messages to the other instances; set when gossip starts.
     pub peer_socket: OnceCell<Rc<UdpSocket>>,
     /// Budget for retries.
-    pub retry_budget: RefCell<Repeats>,
+    pub retry_budget: RefCell<UpstreamRetryBudget>,
     /// Latest known entry of each directory key.
-    pub directory: RefCell<Known>,
+    pub directory: RefCell<StoreView>,
     /// The other instances, their load and their spending.
     pub peers: RefCell<Peers>,
     /// Drained zones, whose replicas get no new requests.
-    pub drained_zones: RefCell<EmptiedZones>,
+    pub drained_zones: RefCell<DrainedZones>,
     /// Waiting requests and the load of the replicas.
-    pub dispatch: RefCell<Dispatch>,
+    pub dispatch: RefCell<Dispatcher>,
     /// Wakes the directory reader after a suspension of the machine, to list the directory again.
     pub resync_wakeup: Notify,
     /// Instances to which a greeting, a message with the complete state, is sent at once.
@@ -121,9 +121,9 @@
     /// Published replicas, sorted by id.
     targets: RefCell<Vec<Rc<Target>>>,
     /// Replica ids, sorted by short name.
-    short_names: RefCell<Vec<(ShortName, UpstreamId)>>,
+    short_names: RefCell<Vec<(NameHash, UpstreamId)>>,
     /// Service ids, sorted by short name.
-    services: RefCell<Vec<(ShortName, ServiceId)>>,
+    services: RefCell<Vec<(NameHash, ServiceId)>>,
     /// Requests that wait for a concurrency slot.
     slot_waiters: RefCell<Vec<(JobId, oneshot::Sender<SlotResult>)>>,
     next_job_id: Cell<JobId>,
@@ -139,13 +139,17 @@
 
 impl Node {
     /// Creates the state of an instance that has read neither the directory nor any message.
-    pub fn new(cfg: Settings, dialect: Rc<dyn Dialect>, source: Rc<dyn Source>) -> Rc<Self> {
+    pub fn new(
+        cfg: Settings,
+        protocol: Rc<dyn ProtocolAdapter>,
+        directory_client: Rc<dyn DirectoryClient>,
+    ) -> Rc<Self> {
         let now = Instant::now();
         let mut ledger = Ledger::new(cfg.address().to_bits(), rand::random());
-        ledger.set_bounds(cfg.limit_window(), cfg.tolerance());
+        ledger.set_bounds(cfg.limit_window(), cfg.credit_tolerance());
         Rc::new(Self {
-            protocol: dialect,
-            directory_source: source,
+            protocol,
+            directory_client,
             log: Log::new(),
             suspend_detector: SuspendDetector::new(),
             metrics: Metrics::new(),
@@ -153,14 +157,14 @@
             credit_waiters: RefCell::new(Vec::new()),
             credit_wakeup: Notify::new(),
             peer_socket: OnceCell::new(),
-            retry_budget: RefCell::new(Repeats::new(cfg.repeat_bounds())),
-            directory: RefCell::new(Known::new()),
+            retry_budget: RefCell::new(UpstreamRetryBudget::new(cfg.retry_bounds())),
+            directory: RefCell::new(StoreView::new()),
             peers: RefCell::new(
                 Peers::new(now, cfg.address(), cfg.has_other_contacts())
                     .with_zones(credit::zone_distances(&cfg)),
             ),
-            dispatch: RefCell::new(Dispatch::new().with_key(cfg.address().to_bits())),
-            drained_zones: RefCell::new(EmptiedZones::new()),
+            dispatch: RefCell::new(Dispatcher::new().with_address(cfg.address().to_bits())),
+            drained_zones: RefCell::new(DrainedZones::new()),
             resync_wakeup: Notify::new(),
             greeting_targets: RefCell::new(Vec::new()),
             greeting_wakeup: Notify::new(),
@@ -195,12 +199,12 @@
     /// Applies those of the newer settings that can change while the process runs.
     pub fn apply_settings(&self, newer: &Settings) {
         let mut cfg = Settings::clone(&self.settings());
-        cfg.adjust(newer);
+        cfg.apply_reloadable(newer);
         self.retry_budget
             .borrow_mut()
-            .set_bounds(cfg.repeat_bounds());
+            .set_bounds(cfg.retry_bounds());
         let mut ledger = self.credit_ledger.borrow_mut();
-        ledger.set_bounds(cfg.limit_window(), cfg.tolerance());
+        ledger.set_bounds(cfg.limit_window(), cfg.credit_tolerance());
         drop(ledger);
         *self.cfg.borrow_mut() = Rc::new(cfg);
     }
@@ -251,7 +255,7 @@
     /// Whether this instance is one of those that read the store; the others get the directory from
     /// peers.
     pub fn reads_store(&self) -> bool {
-        let zone = short_name(&self.settings().availability_zone);
+        let zone = name_hash(&self.settings().availability_zone);
         self.peers
             .borrow()
             .reads_store(Instant::now(), zone, STORE_RESPONSE_MAX_AGE)
@@ -265,7 +269,7 @@
         }
         let version = table.version;
         self.log.line(
-            Weight::Notable,
+            Priority::High,
             format_args!("event=table version={version} before={current}"),
         );
         *self.table.borrow_mut() = Some(table);
--- a/crates/entry/src/node/replicas.rs
+++ b/crates/entry/src/node/replicas.rs
@@ -5,14 +5,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcupfield_decisions::dispatch::{Class, Contender, Replica};
-use kingcupfield_decisions::elsewhere::Sum;
-use kingcupfield_decisions::id::{RegionId, ShortName, UpstreamId, ZoneId, short_name};
+use kingcupfield_decisions::dispatch::{Competitor, PriorityClass, Replica};
+use kingcupfield_decisions::id::{NameHash, RegionId, UpstreamId, ZoneId, name_hash};
+use kingcupfield_decisions::remote_load::TotalLoad;
 use tokio::time::Instant;
 
 use super::Node;
 use crate::gossip;
-use crate::log::Weight;
+use crate::log::Priority;
 use crate::pool::ConnectionPool;
 use crate::replica::PublishedReplica;
 use crate::table::ColdStart;
@@ -42,14 +42,14 @@
 impl Node {
     /// Sets the drained zones, whose replicas get no new requests, and logs each change.
     pub fn set_drained_zones(&self, now: Instant, zones: Vec<ZoneId>) {
-        let change = self.drained_zones.borrow_mut().set(now, zones);
+        let change = self.drained_zones.borrow_mut().update(now, zones);
         for (zones, event) in [
-            (change.emptied, "zone_emptied"),
-            (change.refilled, "zone_refilled"),
+            (change.drained, "zone_emptied"),
+            (change.restored, "zone_refilled"),
         ] {
             for zone in zones {
                 self.log
-                    .line(Weight::Notable, format_args!("event={event} zone={zone}"));
+                    .line(Priority::High, format_args!("event={event} zone={zone}"));
             }
         }
     }
@@ -71,10 +71,10 @@
         }
         targets.sort_by(|a, b| a.published.id.cmp(&b.published.id));
         let ids = targets.iter().map(|t| &t.published.id);
-        let mut short_names: Vec<_> = ids.map(|id| (short_name(id), id.clone())).collect();
+        let mut short_names: Vec<_> = ids.map(|id| (name_hash(id), id.clone())).collect();
         short_names.sort_unstable();
         let services = targets.iter().map(|t| &t.published.service);
-        let mut services: Vec<_> = services.map(|s| (short_name(s), s.clone())).collect();
+        let mut services: Vec<_> = services.map(|s| (name_hash(s), s.clone())).collect();
         services.sort_unstable();
         services.dedup();
         *self.services.borrow_mut() = services;
@@ -96,22 +96,22 @@
             .map(|t| self.dispatch_replica(&t.published))
             .collect();
         let now = Instant::now();
-        self.dispatch.borrow_mut().set_replicas(now, &replicas);
+        self.dispatch.borrow_mut().update_replicas(now, &replicas);
     }
 
     /// The replica with this short name, which identifies it in messages between instances.
-    pub fn replica_by_short_name(&self, name: ShortName) -> Option<UpstreamId> {
+    pub fn replica_by_short_name(&self, name: NameHash) -> Option<UpstreamId> {
         let names = self.short_names.borrow();
         let index = names.binary_search_by(|(short, _)| short.cmp(&name)).ok()?;
         Some(names[index].1.clone())
     }
 
     /// Sets the load that the other instances have at a replica.
-    pub fn set_remote_load(&self, name: ShortName, sum: Sum) {
+    pub fn set_remote_load(&self, name: NameHash, sum: TotalLoad) {
         if let Some(id) = self.replica_by_short_name(name) {
             let prompt = sum.prompt as f64;
             let mut dispatch = self.dispatch.borrow_mut();
-            dispatch.set_elsewhere(&id, sum.running, prompt);
+            dispatch.update_remote_load(&id, sum.running, prompt);
         }
     }
 
@@ -119,19 +119,19 @@
     /// urgent class.
     pub fn set_competitors<I>(&self, waiting: I)
     where
-        I: Iterator<Item = (Ipv4Addr, ShortName, Class)>,
+        I: Iterator<Item = (Ipv4Addr, NameHash, PriorityClass)>,
     {
         let services = self.services.borrow();
         let competitors = waiting.filter_map(|(address, service, class)| {
             let index = services.binary_search_by(|(short, _)| short.cmp(&service));
-            Some(Contender {
+            Some(Competitor {
                 service: services[index.ok()?].1.clone(),
-                key: address.to_bits(),
+                address: address.to_bits(),
                 class,
             })
         });
         let competitors = competitors.collect();
-        self.dispatch.borrow_mut().set_contenders(competitors);
+        self.dispatch.borrow_mut().update_competitors(competitors);
     }
 
     /// The replica with this id.
@@ -154,26 +154,26 @@
         let cfg = self.settings();
         Replica {
             id: published.id.clone(),
-            born: published.start_unix_ms,
+            incarnation: published.start_unix_ms,
             service: published.service.clone(),
             region: self.region_of(&published.zone),
             slots: published.slots,
-            round_trip: self.weighted_rtt(&published.zone),
-            travel: self.rtt(&published.zone),
-            news: gossip::propagation_delay(self, &published.zone),
-            engine: tokens_per_event.is_some(),
+            weighted_round_trip: self.weighted_rtt(&published.zone),
+            network_round_trip: self.rtt(&published.zone),
+            propagation_delay: gossip::propagation_delay(self, &published.zone),
+            is_engine: tokens_per_event.is_some(),
             tokens_per_event: tokens_per_event.unwrap_or(1),
-            usable: !published.leaving && !self.drained_zones.borrow().has(&published.zone),
-            home: published.zone == cfg.availability_zone,
+            usable: !published.leaving && !self.drained_zones.borrow().contains(&published.zone),
+            in_own_zone: published.zone == cfg.availability_zone,
             cold_until: self.cold_until(published, cold),
-            bearable: cold.map(|cold| cfg.bearable(cold.requests_per_s)),
+            cold_limit: cold.map(|cold| cfg.cold_rate(cold.requests_per_s)),
         }
     }
 
     /// End of a replica's cold period: as published, or, if later, one cold period after its zone
     /// came back from being drained.
     fn cold_until(&self, published: &PublishedReplica, cold: Option<ColdStart>) -> Option<Instant> {
-        let refilled = self.drained_zones.borrow().refilled_at(&published.zone);
+        let refilled = self.drained_zones.borrow().restored_at(&published.zone);
         let cold_after_refill = refilled.zip(cold).map(|(at, cold)| at + cold.duration);
         published.cold_until.max(cold_after_refill)
     }
--- a/crates/entry/src/node/slots.rs
+++ b/crates/entry/src/node/slots.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcupfield_decisions::dispatch::{Job, JobId, Outcome, Why};
+use kingcupfield_decisions::dispatch::{ChoiceDetails, Job, JobId, Outcome};
 use kingcupfield_decisions::id::UpstreamId;
 use tokio::sync::oneshot;
 use tokio::time::Instant;
@@ -18,7 +18,7 @@
 }
 
 /// The replica whose slot a request got, and why the dispatcher chose it.
-pub(super) type SlotResult = Result<(UpstreamId, Why), SlotError>;
+pub(super) type SlotResult = Result<(UpstreamId, ChoiceDetails), SlotError>;
 
 /// Removes a waiting request from the queue when its caller disconnects.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
             .slot_waiters
             .borrow_mut()
             .retain(|(id, _)| *id != self.job);
-        self.node.dispatch.borrow_mut().withdraw(self.job);
+        self.node.dispatch.borrow_mut().cancel(self.job);
         // A slot that was assigned but never received would stay occupied forever.
         if let Ok(Ok((upstream, _))) = self.rx.try_recv() {
             self.node.end_request(&upstream, self.job, Outcome::Unknown);
@@ -51,7 +51,7 @@
     /// The replica that the slot belongs to.
     pub upstream: UpstreamId,
     /// Why the dispatcher chose this replica.
-    pub selection: Why,
+    pub selection: ChoiceDetails,
     job: JobId,
     ended: bool,
 }
@@ -60,7 +60,7 @@
     /// Records that the replica has begun to answer.
     pub fn on_first_event(&self) {
         let mut dispatch = self.node.dispatch.borrow_mut();
-        dispatch.on_first(Instant::now(), &self.upstream, self.job);
+        dispatch.on_first_event(Instant::now(), &self.upstream, self.job);
         self.node.state_changed.notify_one();
     }
 
@@ -75,7 +75,7 @@
         self.node
             .dispatch
             .borrow()
-            .is_silent(Instant::now(), &self.upstream)
+            .is_unresponsive(Instant::now(), &self.upstream)
     }
 
     /// Frees the slot and records how the request ended.
@@ -131,7 +131,7 @@
             let assigned = self
                 .dispatch
                 .borrow_mut()
-                .place_warm(now, has_idle_connection);
+                .assign_preferring_connected(now, has_idle_connection);
             if !assigned.is_empty() {
                 self.state_changed.notify_one();
             }
@@ -139,7 +139,7 @@
             for assignment in assigned {
                 if !self.notify_waiter(
                     assignment.job,
-                    Ok((assignment.upstream.clone(), assignment.why)),
+                    Ok((assignment.upstream.clone(), assignment.details)),
                 ) {
                     orphaned.push(assignment);
                 }
@@ -156,7 +156,7 @@
 
     /// Times out the waiting requests whose maximum wait has passed.
     pub fn expire_waiting(&self) {
-        let expired = self.dispatch.borrow_mut().give_up(Instant::now());
+        let expired = self.dispatch.borrow_mut().take_timed_out(Instant::now());
         for job in expired {
             self.notify_waiter(job, Err(SlotError::TimedOut));
         }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -12,10 +12,10 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::credit::Distance;
-use kingcupfield_decisions::dispatch::Class;
-use kingcupfield_decisions::elsewhere::{Elsewhere, Sum};
-use kingcupfield_decisions::id::ShortName;
-use kingcupfield_decisions::known::Revision;
+use kingcupfield_decisions::dispatch::PriorityClass;
+use kingcupfield_decisions::id::NameHash;
+use kingcupfield_decisions::remote_load::{RemoteLoad, TotalLoad};
+use kingcupfield_decisions::store_view::Revision;
 use tokio::time::Instant;
 
 pub use digest::{Digest, ForwardScope, PeerMessage};
@@ -74,7 +74,7 @@
     /// Address of this instance.
     own: Ipv4Addr,
     /// The zones of the deployment with their distance, the own zone first.
-    zones: Vec<(ShortName, Distance)>,
+    zones: Vec<(NameHash, Distance)>,
     /// Whether the settings name other instances to contact.
     has_contacts: bool,
     /// Sorted by address.
@@ -82,7 +82,7 @@
     /// Instances that have shut down, kept so that late digests don't add them again.
     leaving: Vec<LeavingPeer>,
     /// Sum of the load that live instances report, by replica.
-    remote_load: Elsewhere,
+    remote_load: RemoteLoad,
     started: Instant,
     /// When an instance of any zone was last added.
     last_added: Instant,
@@ -106,11 +106,11 @@
     pub fn new(now: Instant, own: Ipv4Addr, has_contacts: bool) -> Self {
         Self {
             own,
-            zones: vec![(ShortName::default(), Distance::Home)],
+            zones: vec![(NameHash::default(), Distance::SameZone)],
             has_contacts,
             others: Vec::new(),
             leaving: Vec::new(),
-            remote_load: Elsewhere::new(),
+            remote_load: RemoteLoad::new(),
             started: now,
             last_added: now,
             last_added_in_zone: now,
@@ -126,7 +126,7 @@
     #[must_use]
     pub fn with_zones<I>(mut self, zones: I) -> Self
     where
-        I: IntoIterator<Item = (ShortName, Distance)>,
+        I: IntoIterator<Item = (NameHash, Distance)>,
     {
         self.zones = zones.into_iter().collect();
         self.zones
@@ -152,7 +152,7 @@
     }
 
     /// Whether an instance is known to belong to a zone.
-    pub fn is_in_zone(&self, address: Ipv4Addr, zone: ShortName) -> bool {
+    pub fn is_in_zone(&self, address: Ipv4Addr, zone: NameHash) -> bool {
         let index = self.index_of(address);
         index.is_ok_and(|index| self.others[index].digest.zone == zone)
     }
@@ -163,7 +163,7 @@
     }
 
     /// The instances of a zone that are live, or became known a short time ago.
-    pub fn reachable(&self, now: Instant, zone: ShortName) -> Vec<Ipv4Addr> {
+    pub fn reachable(&self, now: Instant, zone: NameHash) -> Vec<Ipv4Addr> {
         let is_new = |p: &Peer| now.saturating_duration_since(p.added_at) < SILENCE_TIMEOUT;
         let in_zone = self.others.iter().filter(|p| p.digest.zone == zone);
         let reachable =
@@ -198,7 +198,7 @@
     /// Adds an instance by its address.
     ///
     /// Returns whether it was not known before.
-    pub fn add(&mut self, now: Instant, address: Ipv4Addr, zone: ShortName) -> bool {
+    pub fn add(&mut self, now: Instant, address: Ipv4Addr, zone: NameHash) -> bool {
         if address == self.own {
             return false;
         }
@@ -360,8 +360,8 @@
     pub fn waiting_in_zone(
         &self,
         now: Instant,
-        zone: ShortName,
-    ) -> impl Iterator<Item = (Ipv4Addr, ShortName, Class)> {
+        zone: NameHash,
+    ) -> impl Iterator<Item = (Ipv4Addr, NameHash, PriorityClass)> {
         let in_zone = move |p: &&Peer| p.is_live(now) && p.digest.zone == zone;
         self.others.iter().filter(in_zone).flat_map(|p| {
             let waiting = p.digest.waiting.iter();
@@ -370,17 +370,17 @@
     }
 
     /// Load of the other instances at a replica.
-    pub fn load_at(&self, replica: ShortName) -> Sum {
-        self.remote_load.at(replica)
+    pub fn load_at(&self, replica: NameHash) -> TotalLoad {
+        self.remote_load.get(replica)
     }
 
     /// Load of the other instances by replica, including replicas whose load has fallen to zero.
-    pub fn loads(&self) -> &[(ShortName, Sum)] {
-        self.remote_load.all()
+    pub fn loads(&self) -> &[(NameHash, TotalLoad)] {
+        self.remote_load.totals()
     }
 
     /// Returns the replicas whose remote load has changed since the last call.
-    pub fn take_changed_loads(&mut self) -> Vec<ShortName> {
+    pub fn take_changed_loads(&mut self) -> Vec<NameHash> {
         self.remote_load.take_changed()
     }
 
@@ -395,7 +395,7 @@
         &self,
         now: Instant,
         upto: Revision,
-        location: (ShortName, ShortName),
+        location: (NameHash, NameHash),
         salt: u64,
     ) -> Option<&Peer> {
         let (zone, region) = location;
@@ -416,7 +416,7 @@
     /// The first instance of each zone by address reads it, and the first two of the fleet. An
     /// instance reads it as well if no live instance has had a response of the store within
     /// `max_store_age`.
-    pub fn reads_store(&self, now: Instant, zone: ShortName, max_store_age: Duration) -> bool {
+    pub fn reads_store(&self, now: Instant, zone: NameHash, max_store_age: Duration) -> bool {
         let mut lower_in_zone = 0;
         let mut lower_in_fleet = 0;
         let mut readers = 0;
--- a/crates/entry/src/peers/digest.rs
+++ b/crates/entry/src/peers/digest.rs
@@ -3,10 +3,10 @@
 use std::net::Ipv4Addr;
 
 use kingcupfield_decisions::credit;
-use kingcupfield_decisions::dispatch::Class;
-use kingcupfield_decisions::elsewhere::Load;
-use kingcupfield_decisions::id::ShortName;
-use kingcupfield_decisions::known::Revision;
+use kingcupfield_decisions::dispatch::PriorityClass;
+use kingcupfield_decisions::id::NameHash;
+use kingcupfield_decisions::remote_load::ReplicaLoad;
+use kingcupfield_decisions::store_view::Revision;
 use serde::{Deserialize, Serialize};
 
 /// A datagram from one instance to another.
@@ -46,22 +46,22 @@
     /// Directory revision up to which it has all entries.
     pub upto: Revision,
     /// Short name of its availability zone.
-    pub zone: ShortName,
+    pub zone: NameHash,
     /// Short name of its region.
-    pub region: ShortName,
+    pub region: NameHash,
     /// Milliseconds since the last response of the store; none before the first.
     pub store_age_ms: Option<u32>,
     /// Whether it is shutting down.
     pub leaving: bool,
     /// Replicas to which its connections failed recently.
-    pub unreachable: Vec<ShortName>,
+    pub unreachable: Vec<NameHash>,
     /// Its load at replicas; a replica without an entry has none.
-    pub loads: Vec<Load>,
+    pub loads: Vec<ReplicaLoad>,
     /// The most urgent class of its waiting requests by service; services without waiting requests
     /// are left out.
-    pub waiting: Vec<(ShortName, Class)>,
+    pub waiting: Vec<(NameHash, PriorityClass)>,
     /// Measured time per generation step of replicas, in microseconds; not in every message.
-    pub steps: Vec<(ShortName, u32)>,
+    pub steps: Vec<(NameHash, u32)>,
     /// Number of instances of its zone that it knows, including itself and the silent ones.
     pub zone_size: u16,
     /// Whether this is the complete state, sent to the receiver alone. A receiver that hears the
@@ -71,7 +71,7 @@
     /// message.
     pub settled: bool,
     /// Live instances by zone; not in every message.
-    pub members: Vec<(ShortName, Vec<Ipv4Addr>)>,
+    pub members: Vec<(NameHash, Vec<Ipv4Addr>)>,
     /// Its clock in Unix milliseconds; not in every message.
     pub time_ms: Option<u64>,
 }
--- a/crates/entry/src/peers/discovery.rs
+++ b/crates/entry/src/peers/discovery.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use kingcupfield_decisions::credit::{Distance, Roster, Zone};
-use kingcupfield_decisions::id::{Member, ShortName};
+use kingcupfield_decisions::credit::{Distance, FleetView, Zone};
+use kingcupfield_decisions::id::{InstanceAddress, NameHash};
 use tokio::time::Instant;
 
 use super::{FORGET_TIMEOUT, Peer, Peers};
@@ -33,13 +33,13 @@
 
 impl Peers {
     /// The zones, their sizes and members, as needed to share the credit of limits.
-    pub fn roster(&mut self, now: Instant) -> Roster {
+    pub fn roster(&mut self, now: Instant) -> FleetView {
         if self.accruing_since.is_none() && self.is_zone_discovered(now) {
             self.accruing_since = Some(self.accrual_start(now));
         }
-        Roster {
+        FleetView {
             zones: self.roster_zones(now),
-            mints_since: self.accruing_since,
+            accrues_since: self.accruing_since,
         }
     }
 
@@ -60,10 +60,10 @@
     /// The zones of the deployment, each with the larger of the known and the reported size, and its
     /// live members.
     fn roster_zones(&self, now: Instant) -> Vec<Zone> {
-        let zone = |(name, distance): &(ShortName, Distance)| Zone {
+        let zone = |(name, distance): &(NameHash, Distance)| Zone {
             name: *name,
             distance: *distance,
-            size: u32::from(*distance == Distance::Home),
+            size: u32::from(*distance == Distance::SameZone),
             members: Vec::new(),
         };
         let mut zones: Vec<Zone> = self.zones.iter().map(zone).collect();
@@ -92,7 +92,7 @@
     }
 
     /// The known instances of the own zone, including this one and the silent ones.
-    pub fn zone_members(&self) -> Vec<Member> {
+    pub fn zone_members(&self) -> Vec<InstanceAddress> {
         let own_zone = self.zones[0].0;
         let in_zone = self.others.iter().filter(|p| p.digest.zone == own_zone);
         let members = in_zone.map(|p| p.address.to_bits());
--- a/crates/entry/src/peers/peer.rs
+++ b/crates/entry/src/peers/peer.rs
@@ -2,8 +2,8 @@
 
 use std::net::Ipv4Addr;
 
-use kingcupfield_decisions::elsewhere::{Elsewhere, Load};
-use kingcupfield_decisions::id::ShortName;
+use kingcupfield_decisions::id::NameHash;
+use kingcupfield_decisions::remote_load::{RemoteLoad, ReplicaLoad};
 use tokio::time::Instant;
 
 use super::{Digest, FORGET_TIMEOUT, SILENCE_TIMEOUT};
@@ -50,7 +50,7 @@
     }
 
     /// Its distance from an instance of this zone and region.
-    pub fn nearness(&self, zone: ShortName, region: ShortName) -> Nearness {
+    pub fn nearness(&self, zone: NameHash, region: NameHash) -> Nearness {
         if self.last_digest_at.is_none() {
             return Nearness::Region;
         }
@@ -64,8 +64,8 @@
     }
 
     /// Adds its load to the remote load, in place of the load that was counted before.
-    pub(super) fn count_load(&mut self, remote_load: &mut Elsewhere, loads: &[Load]) {
-        let counted_before: &[Load] = if self.counted {
+    pub(super) fn count_load(&mut self, remote_load: &mut RemoteLoad, loads: &[ReplicaLoad]) {
+        let counted_before: &[ReplicaLoad] = if self.counted {
             &self.digest.loads
         } else {
             &[]
@@ -74,7 +74,7 @@
         self.counted = true;
     }
 
-    pub(super) fn uncount_load(&mut self, remote_load: &mut Elsewhere) {
+    pub(super) fn uncount_load(&mut self, remote_load: &mut RemoteLoad) {
         self.count_load(remote_load, &[]);
         self.counted = false;
     }
--- a/crates/entry/src/receiver.rs
+++ b/crates/entry/src/receiver.rs
@@ -4,13 +4,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use kingcupfield_decisions::id::{ShortName, short_name};
+use kingcupfield_decisions::id::{NameHash, name_hash};
 use tokio::net::UdpSocket;
 use tokio::time::Instant;
 
 use crate::credit;
 use crate::directory;
-use crate::log::{self, Weight};
+use crate::log::{self, Priority};
 use crate::node::Node;
 use crate::peers::{Digest, ForwardScope, PeerMessage};
 
@@ -39,7 +39,7 @@
             Ok(PeerMessage::Relayed(digests)) => on_relayed(&node, sender, digests),
             Ok(PeerMessage::Credit(message)) => credit::on_message(&node, *from.ip(), message),
             Err(e) => node.log.line(
-                Weight::Notable,
+                Priority::High,
                 format_args!("event=peer_message_bad from={from} reason={e:?}"),
             ),
         }
@@ -69,7 +69,7 @@
 /// Applies the digests that a relay has collected; those from another zone are queued for this
 /// zone.
 fn on_relayed(node: &Rc<Node>, sender: Ipv4Addr, digests: Vec<(Ipv4Addr, Digest)>) {
-    let zone = short_name(&node.settings().availability_zone);
+    let zone = name_hash(&node.settings().availability_zone);
     let from_other_zone = !node.peers.borrow().is_in_zone(sender, zone);
     for (from, digest) in digests {
         if from_other_zone && digest.zone != zone {
@@ -92,10 +92,8 @@
     let effects = node.peers.borrow_mut().on_digest(now, from, digest);
     log_silent(node, &effects.silent);
     if effects.is_new {
-        node.log.line(
-            Weight::Notable,
-            format_args!("event=peer_heard peer={from}"),
-        );
+        node.log
+            .line(Priority::High, format_args!("event=peer_heard peer={from}"));
     }
     if let Some(time_ms) = time_ms {
         log_clock_offset(node, from, time_ms);
@@ -106,7 +104,7 @@
     }
     apply_step_times(node, &steps);
     apply_unreachable(node, &unreachable);
-    if upto > node.directory.borrow().upto() {
+    if upto > node.directory.borrow().complete_up_to() {
         let delay = if node.reads_store() {
             STORE_HEAD_START
         } else {
@@ -134,7 +132,7 @@
 fn log_silent(node: &Node, silent: &[Ipv4Addr]) {
     for peer in silent {
         node.log.line(
-            Weight::Notable,
+            Priority::High,
             format_args!("event=peer_silent peer={peer}"),
         );
     }
@@ -142,30 +140,30 @@
 
 /// Logs how far another instance's clock differs, for readers who merge several logs.
 fn log_clock_offset(node: &Node, from: Ipv4Addr, time_ms: u64) {
-    let own_ms = u64::try_from(log::now_ms()).unwrap_or(u64::MAX);
+    let own_ms = u64::try_from(log::unix_time_ms()).unwrap_or(u64::MAX);
     let ahead_ms = time_ms.cast_signed().saturating_sub(own_ms.cast_signed());
     if node.peers.borrow_mut().record_clock_offset(from, ahead_ms) {
         node.log.line(
-            Weight::Notable,
+            Priority::High,
             format_args!("event=peer_clock peer={from} ahead_ms={ahead_ms}"),
         );
     }
 }
 
-fn apply_unreachable(node: &Node, unreachable: &[ShortName]) {
+fn apply_unreachable(node: &Node, unreachable: &[NameHash]) {
     let now = Instant::now();
     for name in unreachable {
         if let Some(id) = node.replica_by_short_name(*name) {
-            node.dispatch.borrow_mut().hint_unreachable(now, &id);
+            node.dispatch.borrow_mut().on_peer_unreachable(now, &id);
         }
     }
 }
 
-fn apply_step_times(node: &Node, step_times: &[(ShortName, u32)]) {
+fn apply_step_times(node: &Node, step_times: &[(NameHash, u32)]) {
     for (name, step_us) in step_times {
         if let Some(id) = node.replica_by_short_name(*name) {
             let step_ms = f64::from(*step_us) / 1000.0;
-            node.dispatch.borrow_mut().hint_step(&id, step_ms);
+            node.dispatch.borrow_mut().on_peer_step_time(&id, step_ms);
         }
     }
 }
@@ -181,7 +179,7 @@
 
 /// Passes the requests that wait at the other instances of the zone to the dispatcher.
 pub fn apply_waiting(node: &Node) {
-    let zone = short_name(&node.settings().availability_zone);
+    let zone = name_hash(&node.settings().availability_zone);
     let peers = node.peers.borrow();
     node.set_competitors(peers.waiting_in_zone(Instant::now(), zone));
 }
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -20,14 +20,14 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use crate::account;
-use crate::events::Scanner;
+use crate::events::EventScanner;
 use crate::exchange::{self, ReplicaResponse};
-use crate::metrics::Timing;
+use crate::expiry::{Expiry, wait_for_expiry};
+use crate::metrics::Phase;
 use crate::node::{Node, SlotGuard, Target};
-use crate::over::{Over, time_over};
 use crate::pool::Connection;
-use crate::request::{Active, Life};
+use crate::request::{ActiveGuard, RequestContext};
+use crate::request_log;
 
 /// Number of chunks that are buffered for a slow caller before reading from the replica stops.
 const CHANNEL_CHUNKS: usize = 8;
@@ -112,11 +112,11 @@
 /// `active` counts the request as active until the task ends.
 pub fn start(
     node: Rc<Node>,
-    life: Life,
+    ctx: RequestContext,
     target: Rc<Target>,
     slot: SlotGuard,
     replica_response: ReplicaResponse,
-    active: Option<Active>,
+    active: Option<ActiveGuard>,
 ) -> Response<ResponseBody> {
     let (tx, rx) = mpsc::channel(CHANNEL_CHUNKS);
     let complete = Rc::new(Cell::new(false));
@@ -126,7 +126,7 @@
     };
     let mut response = Response::new(ResponseBody::Streamed(relayed));
     *response.status_mut() = replica_response.head.status;
-    *response.headers_mut() = node.protocol.answer(&replica_response.head);
+    *response.headers_mut() = node.protocol.response_headers(&replica_response.head);
     let attempt = Attempt {
         target,
         slot,
@@ -136,10 +136,10 @@
     };
     let relay = Relay {
         node,
-        life,
+        ctx,
         tx,
         complete,
-        scanner: Scanner::new(),
+        scanner: EventScanner::new(),
         partial_event: BytesMut::new(),
         last_event_at: Instant::now(),
         first_pending: true,
@@ -168,17 +168,17 @@
     Complete,
     Broken,
     CallerGone,
-    Expired(Over),
+    Expired(Expiry),
 }
 
 /// Relays the stream of one request from replicas to the caller.
 struct Relay {
     node: Rc<Node>,
-    life: Life,
+    ctx: RequestContext,
     tx: mpsc::Sender<Bytes>,
     /// Tells the caller's end that the stream is complete.
     complete: Rc<Cell<bool>>,
-    scanner: Scanner,
+    scanner: EventScanner,
     /// Start of an event whose end has not arrived yet, if the stream is resumable.
     partial_event: BytesMut,
     /// When the last event arrived, or the current attempt was sent if that was later.
@@ -225,7 +225,7 @@
                     attempt.slot.release(Outcome::Served);
                     let status = attempt.head.status.as_u16();
                     let (first, gap) = (self.time_to_first_event, self.longest_gap);
-                    account::answered(&self.node, &self.life, &replica, status, first, gap);
+                    request_log::log_answered(&self.node, &self.ctx, &replica, status, first, gap);
                     return;
                 }
                 AttemptEnd::CallerGone => {
@@ -234,8 +234,8 @@
                 }
                 AttemptEnd::Expired(expiry) => {
                     let how = match expiry {
-                        Over::Route => "timed_out",
-                        Over::Process => "cut",
+                        Expiry::RouteTimeout => "timed_out",
+                        Expiry::Shutdown => "cut",
                     };
                     self.log(how, &replica);
                     return;
@@ -246,8 +246,8 @@
             drop(attempt.connection);
             drop(attempt.body);
             attempt.slot.release(Outcome::Failed);
-            let (node, route) = (Rc::clone(&self.node), Rc::clone(&self.life.route));
-            let expired = time_over(&node, &route, self.life.received);
+            let (node, route) = (Rc::clone(&self.node), Rc::clone(&self.ctx.route));
+            let expired = wait_for_expiry(&node, &route, self.ctx.received);
             let next = tokio::select! {
                 next = self.resume() => next,
                 _ = expired => None,
@@ -260,16 +260,16 @@
     }
 
     fn log(&self, how: &'static str, replica: &str) {
-        let last_event = self.scanner.last_id();
-        account::stream_ended(&self.node, &self.life, replica, how, last_event);
+        let last_event = self.scanner.last_event_id();
+        request_log::log_stream_ended(&self.node, &self.ctx, replica, how, last_event);
     }
 
     /// Relays the response of one attempt until it ends.
     async fn relay_attempt(&mut self, attempt: &mut Attempt) -> AttemptEnd {
         let node = Rc::clone(&self.node);
-        let route = Rc::clone(&self.life.route);
-        let received = self.life.received;
-        let mut expired = std::pin::pin!(time_over(&node, &route, received));
+        let route = Rc::clone(&self.ctx.route);
+        let received = self.ctx.received;
+        let mut expired = std::pin::pin!(wait_for_expiry(&node, &route, received));
         loop {
             let frame = tokio::select! {
                 biased;
@@ -279,7 +279,7 @@
                 () = self.stalled() => return AttemptEnd::Broken,
             };
             let chunk = match frame {
-                None if self.scanner.in_event() => return AttemptEnd::Broken,
+                None if self.scanner.in_partial_event() => return AttemptEnd::Broken,
                 None => return AttemptEnd::Complete,
                 Some(Err(_)) => return AttemptEnd::Broken,
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
@@ -291,7 +291,7 @@
                         if sent.is_err() {
                             return AttemptEnd::CallerGone;
                         }
-                        node.metrics.observe(Timing::Pass, arrived.elapsed());
+                        node.metrics.observe(Phase::Relay, arrived.elapsed());
                     }
                     expired = &mut expired => return AttemptEnd::Expired(expired),
                 }
@@ -307,7 +307,7 @@
             if self.first_pending {
                 attempt.slot.on_first_event();
                 if self.time_to_first_event.is_zero() {
-                    self.time_to_first_event = self.life.received.elapsed();
+                    self.time_to_first_event = self.ctx.received.elapsed();
                 }
             } else {
                 self.longest_gap = self.longest_gap.max(now - self.last_event_at);
@@ -318,15 +318,15 @@
             self.first_pending = false;
             self.last_event_at = now;
         }
-        if !self.life.route.kind.is_retryable() {
+        if !self.ctx.route.kind.is_retryable() {
             return Some(chunk).filter(|c| !c.is_empty());
         }
-        if found.complete == 0 {
+        if found.complete_bytes == 0 {
             self.partial_event.extend_from_slice(&chunk);
             return None;
         }
-        let complete = chunk.slice(..found.complete);
-        let rest = chunk.slice(found.complete..);
+        let complete = chunk.slice(..found.complete_bytes);
+        let rest = chunk.slice(found.complete_bytes..);
         if self.partial_event.is_empty() {
             self.partial_event.extend_from_slice(&rest);
             return Some(complete);
@@ -339,38 +339,36 @@
 
     /// Completes when a resumable stream has had no event for too long.
     async fn stalled(&self) {
-        if !self.life.route.kind.is_retryable() || self.life.runs >= self.life.route.max_attempts {
+        if !self.ctx.route.kind.is_retryable() || self.ctx.runs >= self.ctx.route.max_attempts {
             return std::future::pending().await;
         }
-        let max_gap = self
-            .life
-            .route
-            .max_event_gap
-            .max(Duration::from_millis(200));
+        let max_gap = self.ctx.route.max_event_gap.max(Duration::from_millis(200));
         tokio::time::sleep_until(self.last_event_at + max_gap.mul_f64(STALL_GAPS)).await;
     }
 
     /// Resumes the stream at another replica. Returns `None` if that is no longer possible.
     async fn resume(&mut self) -> Option<Attempt> {
         self.partial_event.clear();
-        self.scanner.forget_unfinished();
+        self.scanner.discard_partial_event();
         loop {
-            if self.tx.is_closed() || !self.life.may_repeat(&self.node) {
+            if self.tx.is_closed() || !self.ctx.try_consume_retry(&self.node) {
                 return None;
             }
-            let (slot, target) = self.life.place_again(&self.node).await?;
-            self.life.tried.push(slot.upstream.clone());
-            self.life.runs += 1;
-            let last_event = self.scanner.last_id().map(str::to_owned);
-            let last_event = last_event.or_else(|| self.life.call.last_event.clone());
-            let fields = self.life.onward(&self.node, &target, last_event.as_deref());
+            let (slot, target) = self.ctx.place_for_resume(&self.node).await?;
+            self.ctx.tried.push(slot.upstream.clone());
+            self.ctx.runs += 1;
+            let last_event = self.scanner.last_event_id().map(str::to_owned);
+            let last_event = last_event.or_else(|| self.ctx.meta.last_event_id.clone());
+            let fields = self
+                .ctx
+                .forward_headers(&self.node, &target, last_event.as_deref());
             let sending = exchange::send(
                 &target,
                 &*self.node.protocol,
-                &self.life.call.id,
-                &self.life.head,
+                &self.ctx.meta.attempt_id,
+                &self.ctx.head,
                 fields,
-                self.life.body.clone(),
+                self.ctx.body.clone(),
                 true,
             );
             let answer = tokio::select! {
@@ -393,7 +391,7 @@
                 Ok(_) => slot.release(Outcome::Failed),
                 Err(e) => {
                     if !e.may_have_run() {
-                        self.life.runs -= 1;
+                        self.ctx.runs -= 1;
                     }
                     slot.release(e.outcome());
                 }
--- a/crates/entry/src/reload.rs
+++ b/crates/entry/src/reload.rs
@@ -11,7 +11,7 @@
 use tokio::signal::unix::Signal;
 use tokio::time::interval;
 
-use crate::log::Weight;
+use crate::log::Priority;
 use crate::node::Node;
 use crate::settings::Settings;
 
@@ -46,7 +46,7 @@
         Err(e) => {
             let reason = e.to_string();
             node.log.line(
-                Weight::Notable,
+                Priority::High,
                 format_args!("event=reload changed=false reason={reason:?}"),
             );
             return;
@@ -55,10 +55,10 @@
     let changed = node.settings().differences(&cfg);
     let (in_force, at_next_start): (Vec<&str>, Vec<&str>) = changed
         .iter()
-        .partition(|field| Settings::ADJUSTABLE.contains(field));
+        .partition(|field| Settings::RELOADABLE.contains(field));
     node.apply_settings(&cfg);
     node.log.line(
-        Weight::Notable,
+        Priority::High,
         format_args!(
             "event=reload changed={} in_force={} at_next_start={}",
             !changed.is_empty(),
--- a/crates/entry/src/table.rs
+++ b/crates/entry/src/table.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::credit::Limit;
-use kingcupfield_decisions::id::{OrganisationId, ServiceId, ShortName, Version, short_name};
+use kingcupfield_decisions::id::{NameHash, OrganisationId, ServiceId, Version, name_hash};
 use kingcupfield_decisions::regions::Regions;
 
 /// Whether requests of a route may be sent to a second replica.
@@ -131,7 +131,7 @@
     routes: Vec<Rc<Route>>,
     services: Vec<Service>,
     keys: Vec<(String, Rc<Organisation>)>,
-    short_names: Vec<(ShortName, Rc<Organisation>)>,
+    short_names: Vec<(NameHash, Rc<Organisation>)>,
     requires_key: bool,
 }
 
@@ -152,7 +152,7 @@
         let mut short_names = Vec::new();
         for (organisation, organisation_keys) in organisations.into_iter().flatten() {
             let organisation = Rc::new(organisation);
-            short_names.push((short_name(&organisation.name), Rc::clone(&organisation)));
+            short_names.push((name_hash(&organisation.name), Rc::clone(&organisation)));
             keys.extend(
                 organisation_keys
                     .into_iter()
@@ -192,7 +192,7 @@
     }
 
     /// The organisation with this short name, which identifies it in messages between instances.
-    pub fn organisation_by_short_name(&self, name: ShortName) -> Option<&Rc<Organisation>> {
+    pub fn organisation_by_short_name(&self, name: NameHash) -> Option<&Rc<Organisation>> {
         let index = self
             .short_names
             .binary_search_by(|(short, _)| short.cmp(&name))
--- a/crates/entry/tests/limits.rs
+++ b/crates/entry/tests/limits.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::credit::{Charge, Distance, Ledger, Limit, Message, Verdict};
-use kingcupfield_decisions::id::ShortName;
+use kingcupfield_decisions::id::NameHash;
 use kingcupfield_entry::peers::{Digest, Nearness, Peers};
 use rand::seq::IndexedRandom as _;
 use rand::{RngExt as _, SeedableRng as _};
@@ -391,7 +391,7 @@
     fn tick_credit(&mut self) {
         for at in 0..self.instances.len() {
             if self.instances[at].up && !self.instances[at].ledger.is_idle() {
-                self.instances[at].ledger.tick(self.now);
+                self.instances[at].ledger.on_tick(self.now);
                 self.flush(self.now, at);
             }
         }
@@ -414,9 +414,9 @@
             instance.peers.remove_gone(now);
             let mut roster = instance.peers.roster(now);
             if instance.leaving {
-                roster.mints_since = None;
+                roster.accrues_since = None;
             }
-            instance.ledger.set_roster(now, &roster);
+            instance.ledger.set_fleet(now, &roster);
             if !instance.tick.is_multiple_of(10) {
                 continue;
             }
@@ -474,7 +474,7 @@
             digest.greeting = true;
             digest.settled = instance.peers.is_settled(self.now);
             let live = instance.peers.all().iter().filter(|p| p.is_live(self.now));
-            let mut by_zone: BTreeMap<ShortName, Vec<Ipv4Addr>> = BTreeMap::new();
+            let mut by_zone: BTreeMap<NameHash, Vec<Ipv4Addr>> = BTreeMap::new();
             for peer in live {
                 by_zone
                     .entry(peer.digest.zone)
@@ -552,8 +552,8 @@
         let instance = &mut self.instances[index];
         let charge = Charge {
             cost,
-            class: 0,
-            patience: MAX_CREDIT_WAIT,
+            priority_class: 0,
+            max_wait: MAX_CREDIT_WAIT,
         };
         let request_number = instance
             .ledger
@@ -604,11 +604,11 @@
     ledger.set_bounds(SPAN, TOLERANCE);
     let distance = |other: usize| {
         if other == zone {
-            Distance::Home
+            Distance::SameZone
         } else if location_of(other).1 == location_of(zone).1 {
-            Distance::Near
+            Distance::SameRegion
         } else {
-            Distance::Far
+            Distance::OtherRegion
         }
     };
     let layout = (0..zones).map(|other| (location_of(other).0, distance(other)));
@@ -634,8 +634,8 @@
 }
 
 /// Short names of a zone and of its region; a region has two zones.
-fn location_of(zone: usize) -> (ShortName, ShortName) {
-    (zone as ShortName + 1, (zone / 2) as ShortName + 1)
+fn location_of(zone: usize) -> (NameHash, NameHash) {
+    (zone as NameHash + 1, (zone / 2) as NameHash + 1)
 }
 
 const FAULTS: [Fault; 11] = [
--- a/crates/entry/tests/peers.rs
+++ b/crates/entry/tests/peers.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::credit::Distance;
-use kingcupfield_decisions::elsewhere::{Load, Sum};
+use kingcupfield_decisions::remote_load::{ReplicaLoad, TotalLoad};
 use kingcupfield_entry::peers::{Digest, Nearness, PeerMessage, Peers};
 use proptest::prelude::*;
 use tokio::time::Instant;
@@ -23,7 +23,7 @@
         region: 1,
         store_age_ms: Some(100),
         zone_size: 1,
-        loads: vec![Load {
+        loads: vec![ReplicaLoad {
             replica: 4,
             running: 3,
             prompt: 500,
@@ -37,10 +37,10 @@
 #[test]
 fn a_silent_peer_keeps_its_share_but_not_its_load() {
     let now = Instant::now();
-    let mut peers = Peers::new(now, OWN, true).with_zones([(1, Distance::Home)]);
+    let mut peers = Peers::new(now, OWN, true).with_zones([(1, Distance::SameZone)]);
     peers.on_digest(now, address(1), digest(1));
     peers.on_digest(now, address(2), digest(1));
-    let load = |running, prompt| Sum { running, prompt };
+    let load = |running, prompt| TotalLoad { running, prompt };
     assert_eq!(peers.load_at(4), load(6, 1000));
     let later = now + Duration::from_secs(3);
     peers.on_digest(later, address(2), digest(1));
@@ -66,8 +66,8 @@
     accrues: bool,
 ) {
     let now = Instant::now();
-    let mut peers = Peers::new(now, OWN, has_contacts).with_zones([(1, Distance::Home)]);
-    assert_eq!(peers.roster(now + after).mints_since.is_some(), accrues);
+    let mut peers = Peers::new(now, OWN, has_contacts).with_zones([(1, Distance::SameZone)]);
+    assert_eq!(peers.roster(now + after).accrues_since.is_some(), accrues);
 }
 
 /// An instance started behind a partition and heard nobody for seconds. When the partition heals,
@@ -77,18 +77,18 @@
 #[test]
 fn an_instance_claims_no_credit_for_the_time_behind_a_partition() {
     let start = Instant::now();
-    let mut peers = Peers::new(start, OWN, true).with_zones([(1, Distance::Home)]);
+    let mut peers = Peers::new(start, OWN, true).with_zones([(1, Distance::SameZone)]);
     let healed = start + Duration::from_secs(10);
-    assert_eq!(peers.roster(healed).mints_since, None);
+    assert_eq!(peers.roster(healed).accrues_since, None);
     let mut other_zone = digest(1);
     other_zone.zone = 2;
     peers.on_digest(healed, address(9), other_zone);
-    assert_eq!(peers.roster(healed).mints_since, None);
+    assert_eq!(peers.roster(healed).accrues_since, None);
     let now = healed + Duration::from_millis(500);
     let mut same_zone = digest(1);
     same_zone.zone_size = 2;
     peers.on_digest(healed, address(1), same_zone);
-    assert_eq!(peers.roster(now).mints_since, Some(now));
+    assert_eq!(peers.roster(now).accrues_since, Some(now));
 }
 
 /// A fleet starts at once. An instance accrues credit only once the others of its zone know as many
@@ -97,34 +97,34 @@
 #[test]
 fn an_instance_accrues_credit_once_its_zone_knows_it() {
     let start = Instant::now();
-    let mut peers = Peers::new(start, OWN, true).with_zones([(1, Distance::Home)]);
+    let mut peers = Peers::new(start, OWN, true).with_zones([(1, Distance::SameZone)]);
     let now = start + Duration::from_secs(1);
     let mut other_zone = digest(1);
     other_zone.zone = 2;
     peers.on_digest(start, address(9), other_zone);
-    assert_eq!(peers.roster(start).mints_since, None);
+    assert_eq!(peers.roster(start).accrues_since, None);
     assert_eq!(
-        peers.roster(now).mints_since,
+        peers.roster(now).accrues_since,
         None,
         "it hears nobody of its zone"
     );
     peers.on_digest(start, address(1), digest(1));
     assert_eq!(
-        peers.roster(now).mints_since,
+        peers.roster(now).accrues_since,
         None,
         "the other one knows only itself"
     );
     let mut knows_two = digest(1);
     knows_two.zone_size = 2;
     peers.on_digest(now, address(1), knows_two);
-    assert!(peers.roster(now).mints_since.is_some());
-    assert_eq!(peers.roster(now).size(), 2);
+    assert!(peers.roster(now).accrues_since.is_some());
+    assert_eq!(peers.roster(now).zone_size(), 2);
     peers.on_digest(now, address(2), digest(1));
     assert!(
-        peers.roster(now).mints_since.is_some(),
+        peers.roster(now).accrues_since.is_some(),
         "it goes on accruing when another one joins"
     );
-    assert_eq!(peers.roster(now).size(), 3);
+    assert_eq!(peers.roster(now).zone_size(), 3);
 }
 
 struct Readers {
@@ -164,7 +164,7 @@
 #[test]
 fn new_instances_are_greeted_once() {
     let now = Instant::now();
-    let mut peers = Peers::new(now, OWN, true).with_zones([(1, Distance::Home)]);
+    let mut peers = Peers::new(now, OWN, true).with_zones([(1, Distance::SameZone)]);
     let mut first = digest(1);
     first.members = vec![(1, vec![address(7), OWN])];
     assert_eq!(
@@ -185,8 +185,8 @@
 #[test]
 fn instances_of_other_zones_are_greeted_on_request() {
     let now = Instant::now();
-    let mut peers =
-        Peers::new(now, OWN, true).with_zones([(7, Distance::Home), (1, Distance::Far)]);
+    let mut peers = Peers::new(now, OWN, true)
+        .with_zones([(7, Distance::SameZone), (1, Distance::OtherRegion)]);
     let mut greeting = digest(1);
     greeting.greeting = true;
     greeting.members = vec![(1, vec![address(3)])];
--- a/src/issue.rs
+++ b/src/issue.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 
 use kingcupfield_decisions::id::{InstanceId, OrganisationId};
-use kingcupfield_decisions::idempotency::{Forwarding, Inheritance};
+use kingcupfield_decisions::idempotency::{ForwardNotice, KeysHandover};
 use kingcupfield_decisions::ownership::ranked;
 use tokio::time::{sleep, timeout};
 
 use crate::calls::{KeyQuestion, KeyReply};
-use crate::error::{Kind, Refusal};
+use crate::error::{Refusal, RefusalKind};
 use crate::keyed::ask_witness;
 use crate::keys::Legacy;
 use crate::logging::value;
@@ -40,7 +40,7 @@
 pub fn issue_here(shared: &Shared, organisation: &OrganisationId) -> Result<String, Refusal> {
     let view = shared.members.view();
     let issued = shared.keys.issue(organisation, &shared.zone, &view);
-    issued.map_err(|e| Refusal::new(Kind::Unavailable).with_message(e.to_string()))
+    issued.map_err(|e| Refusal::new(RefusalKind::Unavailable).with_message(e.to_string()))
 }
 
 /// Hands the keys of a leaving instance to a successor, then tells the witnesses.
@@ -84,13 +84,13 @@
     shared: &Shared,
     successor: &InstanceId,
     legacy: Legacy,
-) -> Result<Vec<Forwarding>, String> {
+) -> Result<Vec<ForwardNotice>, String> {
     let mut questions = Vec::new();
     let mut forwardings = Vec::new();
-    for Inheritance { estate, ended } in legacy.inheritances {
-        questions.push(KeyQuestion::Inherit(estate));
+    for KeysHandover { rights, ended } in legacy.inheritances {
+        questions.push(KeyQuestion::Inherit(rights));
         questions.extend(ended.records.into_iter().map(KeyQuestion::Adopt));
-        forwardings.extend(ended.forwardings);
+        forwardings.extend(ended.notices);
     }
     questions.extend(
         legacy
--- a/src/scheduler/refusing.rs
+++ b/src/scheduler/refusing.rs
@@ -4,20 +4,20 @@
 
 use kingcupfield_decisions::id::{RequestId, ServiceId};
 use kingcupfield_decisions::shedding;
-use kingcupfield_decisions::slots::{Outcome, Rejection};
+use kingcupfield_decisions::slots::{Rejection, RequestOutcome};
 use tokio::time::Instant;
 
 use super::{GivenUp, Scheduler};
-use crate::error::{Kind, Refusal};
+use crate::error::{Refusal, RefusalKind};
 
 impl Scheduler {
     /// The caller went away or its deadline passed while the request waited.
     pub fn on_cancel(&mut self, now: Instant, request: &RequestId) {
         let Ok(at) = self.waiter_at(request) else {
             // Granted in the same moment: nobody will send it, so its slot is given back.
-            let outcome = Outcome {
+            let outcome = RequestOutcome {
                 whole: true,
-                ..Outcome::default()
+                ..RequestOutcome::default()
             };
             return self.on_finished(now, request, outcome);
         };
@@ -65,12 +65,15 @@
                 return;
             };
             let meta = self.waiters[at].meta.clone();
-            let step = self.pool_mut(&meta.service).member.refuse(now, meta.rank);
+            let step = self
+                .pool_mut(&meta.service)
+                .member
+                .request_refusal(now, meta.rank);
             self.flush_level(&meta.service);
             match step {
-                shedding::Refusal::Now => return self.refuse_now(now, request, given_up),
-                shedding::Refusal::RaiseFirst => return,
-                shedding::Refusal::Evict(lower) => {
+                shedding::RefusalStep::Allowed => return self.refuse_now(now, request, given_up),
+                shedding::RefusalStep::RaiseFirst => return,
+                shedding::RefusalStep::EvictFirst(lower) => {
                     let why = Rejection::Shed;
                     self.refuse_now(
                         now,
@@ -95,9 +98,9 @@
         let sends = self.holder.withdraw(request);
         self.send_asks(sends);
         let kind = match given_up.why {
-            Rejection::Late => Kind::Deadline,
-            Rejection::Leaving | Rejection::Lapsed => Kind::Unavailable,
-            Rejection::Shed | Rejection::Full => Kind::Shed,
+            Rejection::Late => RefusalKind::Deadline,
+            Rejection::Leaving | Rejection::Lapsed => RefusalKind::Unavailable,
+            Rejection::Shed | Rejection::Full => RefusalKind::Shed,
         };
         let after = self.retry_after(now, &waiter.meta.service, given_up.wait);
         let refusal = Refusal::new(kind).with_retry_after(after);
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -3,16 +3,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use kingcupfield::error::{Kind, Refusal};
+use kingcupfield::error::{Refusal, RefusalKind};
 use kingcupfield::fleet::{Fleet, Snapshot};
 use kingcupfield::members::{View, ZoneLive};
 use kingcupfield::metrics::Metrics;
 use kingcupfield::record::Records;
 use kingcupfield::request::Meta;
 use kingcupfield::scheduler::{Granted, Identity, Need, Scheduler};
-use kingcupfield_decisions::configuration::Name;
+use kingcupfield_decisions::configuration::ValueName;
 use kingcupfield_decisions::id::{InstanceId, Rank, RequestId, UpstreamId};
-use kingcupfield_decisions::slots::{LoadReport, Outcome};
+use kingcupfield_decisions::slots::{LoadReport, RequestOutcome};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use serde_json::{Value, json};
@@ -128,9 +128,9 @@
     }
 
     fn finish(&mut self, at: usize, request: &RequestId) {
-        let outcome = Outcome {
+        let outcome = RequestOutcome {
             whole: true,
-            ..Outcome::default()
+            ..RequestOutcome::default()
         };
         self.nodes[at]
             .scheduler
@@ -219,11 +219,15 @@
 fn published(version: u64, table: &Value, instances: &[Value]) -> Arc<Snapshot> {
     let fleet = Fleet::new(Instant::now(), Metrics::new());
     let services = json!({"services": [{"service": "drafting", "kind": "model"}]});
-    fleet.offer(Name::Table, version, table);
-    fleet.offer(Name::Services, version, &services);
-    fleet.offer(Name::Instances, version, &json!({ "instances": instances }));
+    fleet.offer(ValueName::Table, version, table);
+    fleet.offer(ValueName::Services, version, &services);
+    fleet.offer(
+        ValueName::Instances,
+        version,
+        &json!({ "instances": instances }),
+    );
     assert!(
-        fleet.version(Name::Instances).is_some(),
+        fleet.version(ValueName::Instances).is_some(),
         "the list is valid"
     );
     fleet.snapshot()
@@ -343,7 +347,7 @@
         .try_recv()
         .expect("decided")
         .expect_err("nobody is left");
-    assert_eq!(refusal.kind, Kind::Unavailable);
+    assert_eq!(refusal.kind, RefusalKind::Unavailable);
 }
 
 /// The last replica tells its owner that it leaves before the list or any peer says so. A request
@@ -372,7 +376,7 @@
             .try_recv()
             .expect("decided")
             .expect_err("nobody is left");
-        assert_eq!(refusal.kind, Kind::Unavailable, "instance {at}");
+        assert_eq!(refusal.kind, RefusalKind::Unavailable, "instance {at}");
     }
 }
 
@@ -407,10 +411,10 @@
     let (_, mut urgent) = net.acquire(0, 0, Duration::from_millis(700));
     net.run(Duration::from_secs(1));
     let refusal = urgent.try_recv().expect("decided").expect_err("refused");
-    assert_eq!(refusal.kind, Kind::Deadline);
+    assert_eq!(refusal.kind, RefusalKind::Deadline);
     for (request, decided) in &mut bulk {
         let refusal = decided.try_recv().expect("decided").expect_err("refused");
-        assert_eq!(refusal.kind, Kind::Shed, "{request}");
+        assert_eq!(refusal.kind, RefusalKind::Shed, "{request}");
     }
 }
 
@@ -459,5 +463,5 @@
         .try_recv()
         .expect("a decision")
         .expect_err("refused");
-    assert_eq!(refusal.kind, Kind::Unavailable);
+    assert_eq!(refusal.kind, RefusalKind::Unavailable);
 }
