--- a/crates/entry/src/clock.rs
+++ b/crates/entry/src/clock.rs
@@ -16,6 +16,7 @@
 /// Measures the time for which the machine was suspended.
 #[derive(Debug)]
 pub struct SuspendDetector {
+    /// Total suspension when it was last reported.
     reported: Cell<Duration>,
 }
 
@@ -52,6 +53,7 @@
     }
 }
 
+/// Total suspension since boot: the boot-time clock counts it, the monotonic clock does not.
 fn total_suspended() -> Duration {
     read_clock(ClockId::Boottime).saturating_sub(read_clock(ClockId::Monotonic))
 }
--- a/crates/entry/src/credit.rs
+++ b/crates/entry/src/credit.rs
@@ -127,7 +127,7 @@
         _ => None,
     };
     let table = node.table();
-    let limit = organisation.and_then(|name| table?.organisation_by_short_name(name)?.limit);
+    let limit = organisation.and_then(|name| table?.organisation_by_name_hash(name)?.limit);
     let mut ledger = node.credit_ledger.borrow_mut();
     ledger.on_message(credit_now(node), from.to_bits(), message, limit);
     drop(ledger);
@@ -135,32 +135,32 @@
 }
 
 /// Updates the members of the fleet in the credit ledger and in the dispatcher.
-pub fn update_roster(node: &Node) {
-    let mut roster = node.peers.borrow_mut().roster(Instant::now());
+pub fn update_fleet_view(node: &Node) {
+    let mut fleet_view = node.peers.borrow_mut().fleet_view(Instant::now());
     // The others no longer count an instance that shuts down, so it must not accrue credit.
     if node.process_state() >= ProcessState::Closing {
-        roster.accrues_since = None;
+        fleet_view.accrues_since = None;
     }
-    let accrues = roster.accrues_since.is_some();
+    let accrues = fleet_view.accrues_since.is_some();
     let members = node.peers.borrow().zone_members();
     let members = Some(members).filter(|_| accrues);
     node.dispatch
         .borrow_mut()
         .update_members(Instant::now(), members);
     let suspended = node.suspend_detector.total_suspended();
-    roster.accrues_since = roster.accrues_since.map(|at| at + suspended);
+    fleet_view.accrues_since = fleet_view.accrues_since.map(|at| at + suspended);
     let mut ledger = node.credit_ledger.borrow_mut();
-    if ledger.accrues() != roster.accrues_since.is_some() {
+    if ledger.accrues() != fleet_view.accrues_since.is_some() {
         node.log.line(
             Priority::High,
             format_args!(
                 "event=credit mints={} zone_size={}",
-                roster.accrues_since.is_some(),
-                roster.zone_size()
+                fleet_view.accrues_since.is_some(),
+                fleet_view.zone_size()
             ),
         );
     }
-    ledger.set_fleet(credit_now(node), &roster);
+    ledger.set_fleet(credit_now(node), &fleet_view);
 }
 
 /// Checks the requests that wait for credit until the process ends.
@@ -196,6 +196,7 @@
     }
 }
 
+/// Sends a credit message to another instance.
 fn send(node: &Node, to: InstanceAddress, message: Message) {
     let Some(socket) = node.peer_socket.get() else {
         return;
@@ -208,6 +209,7 @@
     let _ = socket.try_send_to(&message, to);
 }
 
+/// Removes and returns the sender of a waiting request's verdict.
 fn take_waiter(node: &Node, number: MessageNumber) -> Option<oneshot::Sender<Verdict>> {
     let mut waiters = node.credit_waiters.borrow_mut();
     let index = waiters.iter().position(|(waiting, _)| *waiting == number)?;
--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -66,6 +66,7 @@
 /// Minimum interval of directory requests to peers.
 const MIN_PEER_REQUEST_INTERVAL: Duration = Duration::from_millis(30);
 
+/// A directory entry as parsed last. An entry of another kind has neither replica nor zone.
 #[derive(Debug)]
 struct ReadEntry {
     key: String,
@@ -77,11 +78,14 @@
     in_use_until: Option<Instant>,
 }
 
-/// The entries as parsed, sorted by key, and the state of reading.
+/// The parsed directory entries, and the state of reading them.
 #[derive(Debug, Default)]
 pub struct DirectoryReader {
+    /// Sorted by key.
     entries: Vec<ReadEntry>,
+    /// When a call to the store last failed, here or at the peer that sent the entries.
     store_failed_at: Option<Instant>,
+    /// Whether a task that gets entries from a peer is running.
     peer_sync_scheduled: bool,
 }
 
@@ -181,6 +185,7 @@
     *failures = 0;
 }
 
+/// Applies a full listing of the directory.
 fn apply_list(node: &Rc<Node>, listing: Listing) {
     let entries = listing.entries.len();
     let changed = node
@@ -195,7 +200,7 @@
             changed.len()
         ),
     );
-    apply(node);
+    apply_directory(node);
 }
 
 /// Applies a listing of changes; returns whether anything changed.
@@ -205,7 +210,7 @@
         .borrow_mut()
         .apply_changes(listing.revision, listing.entries);
     if !changed.is_empty() {
-        apply(node);
+        apply_directory(node);
         node.state_changed.notify_one();
     }
     !changed.is_empty()
@@ -229,6 +234,7 @@
     });
 }
 
+/// Gets newer entries from a peer, if one has a higher revision.
 async fn sync_from_peer(node: &Rc<Node>) {
     let upto = node.directory.borrow().complete_up_to();
     let cfg = node.settings();
@@ -267,18 +273,19 @@
     }
 }
 
+/// Applies the entries that a peer has sent, unless they are outdated by now.
 fn apply_snapshot(node: &Rc<Node>, upto: Revision, entries: Vec<Entry>) {
     if upto <= node.directory.borrow().complete_up_to() {
         return;
     }
     node.directory.borrow_mut().apply_changes(upto, entries);
-    apply(node);
+    apply_directory(node);
     node.state_changed.notify_one();
 }
 
-/// Parses the entries that changed and passes the table, the drained zones and the replicas to the
-/// node.
-pub fn apply(node: &Rc<Node>) {
+/// Parses the entries that have changed, and passes the table, the drained zones and the replicas
+/// to the node.
+pub fn apply_directory(node: &Rc<Node>) {
     let now = Instant::now();
     let mut any_lapsed = false;
     {
@@ -313,6 +320,7 @@
             .is_some_and(|at| at.elapsed() < STORE_FAILURE_WINDOW)
     }
 
+    /// Parses an entry if its revision is new, and applies it.
     fn apply_entry(&mut self, node: &Node, now: Instant, entry: &Entry, store_failed: bool) {
         let found = self.entries.binary_search_by(|r| r.key.cmp(&entry.key));
         if found.is_ok_and(|index| self.entries[index].revision >= entry.revision) {
@@ -338,6 +346,7 @@
         }
     }
 
+    /// The zones that entries drain.
     fn drained_zones(&self) -> Vec<ZoneId> {
         self.entries
             .iter()
@@ -345,6 +354,7 @@
             .collect()
     }
 
+    /// The replicas in use at `now`, including lapsed ones within their grace time.
     fn replicas(&mut self, now: Instant) -> Vec<PublishedReplica> {
         for entry in &mut self.entries {
             if entry.in_use_until.is_some_and(|deadline| now >= deadline) {
@@ -359,6 +369,7 @@
     }
 }
 
+/// Applies the removal of an entry; its replica stays in use for a while if the store has failed.
 fn apply_lapse(
     node: &Node,
     now: Instant,
@@ -410,6 +421,7 @@
     }
 }
 
+/// Logs a new or changed replica.
 fn log_replica(node: &Node, replica: &PublishedReplica) {
     let cold_ms = replica.remaining_cold_time().as_millis();
     node.log.line(
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -138,6 +138,7 @@
         .map_err(|_| SendFailure::Broken)
 }
 
+/// Turns the head of a response into the response of the replica or a failure.
 fn classify_response(
     protocol: &dyn ProtocolAdapter,
     id: &str,
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -24,7 +24,7 @@
 
 use local_state::{LocalState, live_members, local_state, local_step_times, unreachable_replicas};
 
-/// Interval of the periodic checks.
+/// Interval at which silent peers, changed load and due messages are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Minimum time between two messages of an instance about itself.
@@ -37,16 +37,19 @@
 /// Longest time for which a relay collects digests of its zone.
 const MAX_COLLECT_TIME: Duration = Duration::from_millis(100);
 
-/// Interval of messages to another zone of the region, and to one of another region; longer if a
-/// zone has more than [`fanout::MAX_FULL_MESH`] instances, each of which has to receive them.
+/// Interval of messages to another zone of the region. It is longer if a zone has more than
+/// [`fanout::MAX_FULL_MESH`] instances, each of which has to receive them.
 const NEAR_ZONE_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Interval of messages to a zone of another region; longer in the same way.
 const FAR_ZONE_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Interval of messages while nothing changes.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Interval of messages to the configured contacts until the zone is found: after a kill of all,
-/// instances come up some tenths of a second apart, and no organisation has credit before.
+/// Interval of messages to the configured contacts until discovery of the zone is complete: after
+/// all instances were killed, they start some tenths of a second apart, and no organisation has
+/// credit before.
 const CONTACT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Interval of messages that include the speed of the replicas, which changes slowly.
@@ -72,7 +75,7 @@
         tokio::select! {
             _ = ticks.tick() => {
                 receiver::expire_silent(&node);
-                credit::update_roster(&node);
+                credit::update_fleet_view(&node);
                 receiver::apply_loads(&node);
                 receiver::apply_waiting(&node);
                 node.assign_slots();
@@ -105,23 +108,29 @@
     Greeting,
 }
 
+/// Sends the digests of this instance, and those that it collects as a relay.
 struct Sender {
     own_address: Ipv4Addr,
     incarnation: u64,
     zone: NameHash,
     region: NameHash,
+    /// Sequence number of the last digest.
     seq: u32,
     /// State at the last message, to detect changes.
     last_sent: LocalState,
+    /// When this instance last sent its state.
     state_sent_at: Option<Instant>,
+    /// When the step times and the clock were last included.
     full_state_sent_at: Option<Instant>,
+    /// When greetings were last sent to the configured contacts.
     contacts_sent_at: Option<Instant>,
     /// When collected digests were last sent to the zone.
     own_zone_sent_at: Instant,
-    /// When they were last sent to the other zones of the region.
+    /// When digests were last sent to the other zones of the region.
     near_zones_sent_at: Instant,
-    /// When they were last sent to the other regions.
+    /// When digests were last sent to the other regions.
     far_zones_sent_at: Instant,
+    /// Relays of the own zone.
     relays: Relays,
 }
 
@@ -146,6 +155,7 @@
         }
     }
 
+    /// Sends the messages that are due at a periodic check.
     fn tick(&mut self, node: &Node, socket: &UdpSocket) {
         let now = Instant::now();
         let has_passed = |sent_at: Option<Instant>, interval| {
@@ -254,6 +264,7 @@
         }
     }
 
+    /// Whether this instance is a relay of its zone.
     fn is_relay(&self) -> bool {
         self.relays.contains(self.own_address.to_bits())
     }
@@ -381,6 +392,7 @@
         );
     }
 
+    /// Builds the next digest of this instance.
     fn build_digest(&mut self, node: &Node, state: LocalState, kind: StateKind) -> Digest {
         let now = Instant::now();
         self.seq = self.seq.wrapping_add(1);
@@ -418,12 +430,14 @@
     fanout::choose_relays(&reachable)
 }
 
+/// Sends collected digests to each of the receivers, in as few datagrams as possible.
 fn send_collected(node: &Node, socket: &UdpSocket, collected: DigestBatch, to: &[Ipv4Addr]) {
     for datagram in outbox::datagrams(collected) {
         send_to(node, socket, &PeerMessage::Relayed(datagram), to);
     }
 }
 
+/// Sends a message to each of the receivers.
 fn send_to(node: &Node, socket: &UdpSocket, message: &PeerMessage, to: &[Ipv4Addr]) {
     if to.is_empty() {
         return;
--- a/crates/entry/src/gossip/local_state.rs
+++ b/crates/entry/src/gossip/local_state.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// Short names of the replicas to which connections of this instance failed recently.
+/// Name hashes of the replicas to which connections of this instance failed recently.
 pub(super) fn unreachable_replicas(node: &Node) -> Vec<NameHash> {
     let now = Instant::now();
     let dispatch = node.dispatch.borrow();
@@ -60,10 +60,10 @@
         .dispatch
         .borrow()
         .highest_waiting_priorities(Instant::now());
-    let by_short_name = classes
+    let by_name_hash = classes
         .into_iter()
         .map(|(service, class)| (name_hash(&service), class));
-    by_short_name.collect()
+    by_name_hash.collect()
 }
 
 /// Measured time per generation step of replicas, in microseconds.
@@ -75,7 +75,7 @@
         .collect()
 }
 
-/// The live instances by zone, sorted by the zone's short name.
+/// The live instances by zone, sorted by the zone's name hash.
 pub(super) fn live_members(node: &Node) -> Vec<(NameHash, Vec<Ipv4Addr>)> {
     let now = Instant::now();
     let peers = node.peers.borrow();
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -120,9 +120,9 @@
     table: RefCell<Option<Rc<Table>>>,
     /// Published replicas, sorted by id.
     targets: RefCell<Vec<Rc<Target>>>,
-    /// Replica ids, sorted by short name.
-    short_names: RefCell<Vec<(NameHash, UpstreamId)>>,
-    /// Service ids, sorted by short name.
+    /// Replica ids, sorted by name hash.
+    replicas_by_hash: RefCell<Vec<(NameHash, UpstreamId)>>,
+    /// Service ids, sorted by name hash.
     services: RefCell<Vec<(NameHash, ServiceId)>>,
     /// Requests that wait for a concurrency slot.
     slot_waiters: RefCell<Vec<(JobId, oneshot::Sender<SlotResult>)>>,
@@ -183,7 +183,7 @@
             queue_wakeup: Notify::new(),
             table: RefCell::new(None),
             targets: RefCell::new(Vec::new()),
-            short_names: RefCell::new(Vec::new()),
+            replicas_by_hash: RefCell::new(Vec::new()),
             services: RefCell::new(Vec::new()),
             slot_waiters: RefCell::new(Vec::new()),
             next_job_id: Cell::new(1),
--- a/crates/entry/src/node/replicas.rs
+++ b/crates/entry/src/node/replicas.rs
@@ -71,15 +71,15 @@
         }
         targets.sort_by(|a, b| a.published.id.cmp(&b.published.id));
         let ids = targets.iter().map(|t| &t.published.id);
-        let mut short_names: Vec<_> = ids.map(|id| (name_hash(id), id.clone())).collect();
-        short_names.sort_unstable();
+        let mut replicas_by_hash: Vec<_> = ids.map(|id| (name_hash(id), id.clone())).collect();
+        replicas_by_hash.sort_unstable();
         let services = targets.iter().map(|t| &t.published.service);
         let mut services: Vec<_> = services.map(|s| (name_hash(s), s.clone())).collect();
         services.sort_unstable();
         services.dedup();
         *self.services.borrow_mut() = services;
         *self.targets.borrow_mut() = targets;
-        *self.short_names.borrow_mut() = short_names;
+        *self.replicas_by_hash.borrow_mut() = replicas_by_hash;
         self.refresh_replicas();
         for (name, sum) in self.peers.borrow().loads() {
             self.set_remote_load(*name, *sum);
@@ -99,16 +99,16 @@
         self.dispatch.borrow_mut().update_replicas(now, &replicas);
     }
 
-    /// The replica with this short name, which identifies it in messages between instances.
-    pub fn replica_by_short_name(&self, name: NameHash) -> Option<UpstreamId> {
-        let names = self.short_names.borrow();
-        let index = names.binary_search_by(|(short, _)| short.cmp(&name)).ok()?;
+    /// The replica with this name hash, which identifies it in messages between instances.
+    pub fn replica_by_name_hash(&self, name: NameHash) -> Option<UpstreamId> {
+        let names = self.replicas_by_hash.borrow();
+        let index = names.binary_search_by(|(hash, _)| hash.cmp(&name)).ok()?;
         Some(names[index].1.clone())
     }
 
     /// Sets the load that the other instances have at a replica.
     pub fn set_remote_load(&self, name: NameHash, sum: TotalLoad) {
-        if let Some(id) = self.replica_by_short_name(name) {
+        if let Some(id) = self.replica_by_name_hash(name) {
             let prompt = sum.prompt as f64;
             let mut dispatch = self.dispatch.borrow_mut();
             dispatch.update_remote_load(&id, sum.running, prompt);
@@ -123,7 +123,7 @@
     {
         let services = self.services.borrow();
         let competitors = waiting.filter_map(|(address, service, class)| {
-            let index = services.binary_search_by(|(short, _)| short.cmp(&service));
+            let index = services.binary_search_by(|(hash, _)| hash.cmp(&service));
             Some(Competitor {
                 service: services[index.ok()?].1.clone(),
                 address: address.to_bits(),
@@ -146,6 +146,7 @@
         self.targets.borrow().clone()
     }
 
+    /// Describes a published replica to the dispatcher.
     fn dispatch_replica(&self, published: &PublishedReplica) -> Replica {
         let table = self.table();
         let service = table.as_ref().and_then(|t| t.service(&published.service));
@@ -208,6 +209,8 @@
     }
 }
 
+/// Whether a published replica is the same process as a target, so that its connections stay
+/// usable.
 fn is_same_incarnation(target: &Target, replica: &PublishedReplica) -> bool {
     target.published.start_unix_ms == replica.start_unix_ms
         && target.published.address == replica.address
--- a/crates/entry/src/outbox.rs
+++ b/crates/entry/src/outbox.rs
@@ -58,6 +58,7 @@
     }
 }
 
+/// Adds a digest to a batch, in place of an earlier one of the same instance.
 fn add(batch: &mut DigestBatch, from: Ipv4Addr, mut digest: Digest) {
     match batch.binary_search_by_key(&from, |(a, _)| *a) {
         Ok(index) => {
--- a/crates/entry/src/peers/digest.rs
+++ b/crates/entry/src/peers/digest.rs
@@ -45,9 +45,9 @@
     pub seq: u32,
     /// Directory revision up to which it has all entries.
     pub upto: Revision,
-    /// Short name of its availability zone.
+    /// Name hash of its availability zone.
     pub zone: NameHash,
-    /// Short name of its region.
+    /// Name hash of its region.
     pub region: NameHash,
     /// Milliseconds since the last response of the store; none before the first.
     pub store_age_ms: Option<u32>,
--- a/crates/entry/src/peers/discovery.rs
+++ b/crates/entry/src/peers/discovery.rs
@@ -33,12 +33,12 @@
 
 impl Peers {
     /// The zones, their sizes and members, as needed to share the credit of limits.
-    pub fn roster(&mut self, now: Instant) -> FleetView {
+    pub fn fleet_view(&mut self, now: Instant) -> FleetView {
         if self.accruing_since.is_none() && self.is_zone_discovered(now) {
             self.accruing_since = Some(self.accrual_start(now));
         }
         FleetView {
-            zones: self.roster_zones(now),
+            zones: self.zone_views(now),
             accrues_since: self.accruing_since,
         }
     }
@@ -57,9 +57,9 @@
         self.started
     }
 
-    /// The zones of the deployment, each with the larger of the known and the reported size, and its
-    /// live members.
-    fn roster_zones(&self, now: Instant) -> Vec<Zone> {
+    /// The zones of the deployment with their live members; the size of a zone is the larger of the
+    /// known and the reported one.
+    fn zone_views(&self, now: Instant) -> Vec<Zone> {
         let zone = |(name, distance): &(NameHash, Distance)| Zone {
             name: *name,
             distance: *distance,
--- a/crates/entry/src/pool.rs
+++ b/crates/entry/src/pool.rs
@@ -36,7 +36,9 @@
     pub sender: SendRequest<Full<Bytes>>,
     /// Whether the connection has carried an earlier request.
     pub reused: bool,
+    /// Task that drives the connection.
     task: AbortHandle,
+    /// Whether the connection is kept when dropped; otherwise it is closed.
     reusable: bool,
 }
 
@@ -153,6 +155,7 @@
     })
 }
 
+/// Whether the response announces that the replica closes the connection.
 fn has_connection_close(response_head: &HeaderMap) -> bool {
     response_head
         .get_all(http::header::CONNECTION)
@@ -161,6 +164,7 @@
         .any(|v| v.split(',').any(|t| t.trim().eq_ignore_ascii_case("close")))
 }
 
+/// Time for which the connection may be reused after the response.
 fn idle_time(response_head: &HeaderMap) -> Duration {
     let announced_s = response_head
         .get("keep-alive")
--- a/crates/entry/src/receiver.rs
+++ b/crates/entry/src/receiver.rs
@@ -83,6 +83,8 @@
     update_dispatcher(node);
 }
 
+/// Applies a digest: records the sender's state, logs what has changed, and starts a directory sync
+/// if the sender has a newer revision.
 fn apply_digest(node: &Rc<Node>, from: Ipv4Addr, digest: Digest) {
     let now = Instant::now();
     let upto = digest.upto;
@@ -129,6 +131,7 @@
     node.peers.borrow_mut().remove_gone(now);
 }
 
+/// Logs instances that have fallen silent.
 fn log_silent(node: &Node, silent: &[Ipv4Addr]) {
     for peer in silent {
         node.log.line(
@@ -150,18 +153,20 @@
     }
 }
 
+/// Reports to the dispatcher the replicas that another instance failed to reach.
 fn apply_unreachable(node: &Node, unreachable: &[NameHash]) {
     let now = Instant::now();
     for name in unreachable {
-        if let Some(id) = node.replica_by_short_name(*name) {
+        if let Some(id) = node.replica_by_name_hash(*name) {
             node.dispatch.borrow_mut().on_peer_unreachable(now, &id);
         }
     }
 }
 
+/// Passes step times that another instance has measured to the dispatcher.
 fn apply_step_times(node: &Node, step_times: &[(NameHash, u32)]) {
     for (name, step_us) in step_times {
-        if let Some(id) = node.replica_by_short_name(*name) {
+        if let Some(id) = node.replica_by_name_hash(*name) {
             let step_ms = f64::from(*step_us) / 1000.0;
             node.dispatch.borrow_mut().on_peer_step_time(&id, step_ms);
         }
--- a/crates/entry/src/reload.rs
+++ b/crates/entry/src/reload.rs
@@ -36,10 +36,12 @@
     }
 }
 
+/// Modification time of the file, `None` if it can't be read.
 fn mtime(path: &Path) -> Option<SystemTime> {
     std::fs::metadata(path).and_then(|m| m.modified()).ok()
 }
 
+/// Reads the settings file and applies what has changed.
 fn reload(node: &Node, path: &Path) {
     let cfg = match Settings::read(path) {
         Ok(cfg) => cfg,
--- a/crates/entry/src/table.rs
+++ b/crates/entry/src/table.rs
@@ -131,7 +131,7 @@
     routes: Vec<Rc<Route>>,
     services: Vec<Service>,
     keys: Vec<(String, Rc<Organisation>)>,
-    short_names: Vec<(NameHash, Rc<Organisation>)>,
+    organisations_by_hash: Vec<(NameHash, Rc<Organisation>)>,
     requires_key: bool,
 }
 
@@ -149,10 +149,10 @@
         services.sort_by(|a, b| a.name.cmp(&b.name));
         let requires_key = organisations.is_some();
         let mut keys = Vec::new();
-        let mut short_names = Vec::new();
+        let mut organisations_by_hash = Vec::new();
         for (organisation, organisation_keys) in organisations.into_iter().flatten() {
             let organisation = Rc::new(organisation);
-            short_names.push((name_hash(&organisation.name), Rc::clone(&organisation)));
+            organisations_by_hash.push((name_hash(&organisation.name), Rc::clone(&organisation)));
             keys.extend(
                 organisation_keys
                     .into_iter()
@@ -160,14 +160,14 @@
             );
         }
         keys.sort_by(|a, b| a.0.cmp(&b.0));
-        short_names.sort_by_key(|(short, _)| *short);
+        organisations_by_hash.sort_by_key(|(hash, _)| *hash);
         Self {
             version,
             limits,
             routes,
             services,
             keys,
-            short_names,
+            organisations_by_hash,
             requires_key,
         }
     }
@@ -191,13 +191,13 @@
         Some(&self.keys[index].1)
     }
 
-    /// The organisation with this short name, which identifies it in messages between instances.
-    pub fn organisation_by_short_name(&self, name: NameHash) -> Option<&Rc<Organisation>> {
+    /// The organisation with this name hash, which identifies it in messages between instances.
+    pub fn organisation_by_name_hash(&self, name: NameHash) -> Option<&Rc<Organisation>> {
         let index = self
-            .short_names
-            .binary_search_by(|(short, _)| short.cmp(&name))
+            .organisations_by_hash
+            .binary_search_by(|(hash, _)| hash.cmp(&name))
             .ok()?;
-        Some(&self.short_names[index].1)
+        Some(&self.organisations_by_hash[index].1)
     }
 
     /// Whether requests need a key.
--- a/crates/entry/tests/limits.rs
+++ b/crates/entry/tests/limits.rs
@@ -412,11 +412,11 @@
             instance.tick += 1;
             instance.peers.drop_silent(now);
             instance.peers.remove_gone(now);
-            let mut roster = instance.peers.roster(now);
+            let mut fleet_view = instance.peers.fleet_view(now);
             if instance.leaving {
-                roster.accrues_since = None;
+                fleet_view.accrues_since = None;
             }
-            instance.ledger.set_fleet(now, &roster);
+            instance.ledger.set_fleet(now, &fleet_view);
             if !instance.tick.is_multiple_of(10) {
                 continue;
             }
@@ -633,7 +633,7 @@
     (address.to_bits() - Ipv4Addr::new(10, 0, 1, 0).to_bits()) as usize
 }
 
-/// Short names of a zone and of its region; a region has two zones.
+/// Name hashes of a zone and of its region; a region has two zones.
 fn location_of(zone: usize) -> (NameHash, NameHash) {
     (zone as NameHash + 1, (zone / 2) as NameHash + 1)
 }
--- a/crates/entry/tests/peers.rs
+++ b/crates/entry/tests/peers.rs
@@ -46,7 +46,7 @@
     peers.on_digest(later, address(2), digest(1));
     assert_eq!(peers.load_at(4), load(3, 500));
     assert_eq!(peers.take_changed_loads(), [4]);
-    let home = &mut peers.roster(later).zones[0];
+    let home = &mut peers.fleet_view(later).zones[0];
     assert_eq!((home.size, home.members.len()), (3, 1));
     peers.remove_gone(now + Duration::from_secs(61));
     assert_eq!(peers.instance_count(), 2);
@@ -67,7 +67,10 @@
 ) {
     let now = Instant::now();
     let mut peers = Peers::new(now, OWN, has_contacts).with_zones([(1, Distance::SameZone)]);
-    assert_eq!(peers.roster(now + after).accrues_since.is_some(), accrues);
+    assert_eq!(
+        peers.fleet_view(now + after).accrues_since.is_some(),
+        accrues
+    );
 }
 
 /// An instance started behind a partition and heard nobody for seconds. When the partition heals,
@@ -79,16 +82,16 @@
     let start = Instant::now();
     let mut peers = Peers::new(start, OWN, true).with_zones([(1, Distance::SameZone)]);
     let healed = start + Duration::from_secs(10);
-    assert_eq!(peers.roster(healed).accrues_since, None);
+    assert_eq!(peers.fleet_view(healed).accrues_since, None);
     let mut other_zone = digest(1);
     other_zone.zone = 2;
     peers.on_digest(healed, address(9), other_zone);
-    assert_eq!(peers.roster(healed).accrues_since, None);
+    assert_eq!(peers.fleet_view(healed).accrues_since, None);
     let now = healed + Duration::from_millis(500);
     let mut same_zone = digest(1);
     same_zone.zone_size = 2;
     peers.on_digest(healed, address(1), same_zone);
-    assert_eq!(peers.roster(now).accrues_since, Some(now));
+    assert_eq!(peers.fleet_view(now).accrues_since, Some(now));
 }
 
 /// A fleet starts at once. An instance accrues credit only once the others of its zone know as many
@@ -102,29 +105,29 @@
     let mut other_zone = digest(1);
     other_zone.zone = 2;
     peers.on_digest(start, address(9), other_zone);
-    assert_eq!(peers.roster(start).accrues_since, None);
+    assert_eq!(peers.fleet_view(start).accrues_since, None);
     assert_eq!(
-        peers.roster(now).accrues_since,
+        peers.fleet_view(now).accrues_since,
         None,
         "it hears nobody of its zone"
     );
     peers.on_digest(start, address(1), digest(1));
     assert_eq!(
-        peers.roster(now).accrues_since,
+        peers.fleet_view(now).accrues_since,
         None,
         "the other one knows only itself"
     );
     let mut knows_two = digest(1);
     knows_two.zone_size = 2;
     peers.on_digest(now, address(1), knows_two);
-    assert!(peers.roster(now).accrues_since.is_some());
-    assert_eq!(peers.roster(now).zone_size(), 2);
+    assert!(peers.fleet_view(now).accrues_since.is_some());
+    assert_eq!(peers.fleet_view(now).zone_size(), 2);
     peers.on_digest(now, address(2), digest(1));
     assert!(
-        peers.roster(now).accrues_since.is_some(),
+        peers.fleet_view(now).accrues_since.is_some(),
         "it goes on accruing when another one joins"
     );
-    assert_eq!(peers.roster(now).zone_size(), 3);
+    assert_eq!(peers.fleet_view(now).zone_size(), 3);
 }
 
 struct Readers {
