--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -22,7 +22,7 @@
 /// Maximum size in bytes of a response that is read completely before it is sent to the caller.
 const MAX_BUFFERED_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Why an attempt brought no response of the replica.
+/// Why an attempt ended without a response of the replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendFailure {
     /// The request was not sent.
@@ -32,7 +32,7 @@
     /// A different replica responded, and did not run the request.
     WrongReplica,
     /// The replica reported that it did not run the request.
-    NotRun,
+    NotExecuted,
     /// The connection was closed as soon as the request had arrived, as by a replica that has died;
     /// it may have run.
     Dropped,
@@ -42,7 +42,7 @@
     /// and a retry replaces it.
     Abandoned,
     /// The response belongs to another request; this one may have run.
-    Foreign,
+    InvalidResponse,
 }
 
 impl SendFailure {
@@ -52,11 +52,11 @@
             Self::NotSent => "not_sent",
             Self::Full => "full",
             Self::WrongReplica => "another",
-            Self::NotRun => "not_run",
+            Self::NotExecuted => "not_run",
             Self::Dropped => "dropped",
             Self::Broken => "broken",
             Self::Abandoned => "abandoned",
-            Self::Foreign => "foreign",
+            Self::InvalidResponse => "foreign",
         }
     }
 
@@ -64,7 +64,7 @@
     pub fn may_have_run(self) -> bool {
         matches!(
             self,
-            Self::Dropped | Self::Broken | Self::Abandoned | Self::Foreign
+            Self::Dropped | Self::Broken | Self::Abandoned | Self::InvalidResponse
         )
     }
 
@@ -73,8 +73,8 @@
         match self {
             Self::NotSent | Self::WrongReplica | Self::Dropped => Outcome::Unreachable,
             Self::Full => Outcome::Full,
-            Self::NotRun => Outcome::Unknown,
-            Self::Broken | Self::Abandoned | Self::Foreign => Outcome::Failed,
+            Self::NotExecuted => Outcome::Unknown,
+            Self::Broken | Self::Abandoned | Self::InvalidResponse => Outcome::Failed,
         }
     }
 }
@@ -154,11 +154,12 @@
         }),
         ResponseClass::AtCapacity => Err(SendFailure::Full),
         ResponseClass::WrongReplica => Err(SendFailure::WrongReplica),
-        ResponseClass::NotExecuted => Err(SendFailure::NotRun),
-        ResponseClass::Invalid => Err(SendFailure::Foreign),
+        ResponseClass::NotExecuted => Err(SendFailure::NotExecuted),
+        ResponseClass::Invalid => Err(SendFailure::InvalidResponse),
     }
 }
 
+/// Builds the request to the replica from the caller's method and URI.
 fn build_request(head: &Parts, fields: HeaderMap, body: Bytes) -> Request<Full<Bytes>> {
     let mut req = Request::new(Full::new(body));
     *req.method_mut() = head.method.clone();
--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -48,7 +48,7 @@
     Closing,
     /// Accepts no new connections, and finishes the requests in progress.
     Shut,
-    /// Terminated; requests still in progress are cut off.
+    /// Terminated; requests still in progress are dropped.
     Ended,
 }
 
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -30,8 +30,8 @@
 /// partition that users see, so that the two sides of a partition never spend the same share.
 const FORGET_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Minimum interval of greetings, messages with the complete state, to an instance that is heard
-/// for the first time.
+/// Minimum interval of greetings, messages with the complete state, to an instance whose first
+/// digest has arrived.
 const GREETING_COOLDOWN: Duration = Duration::from_millis(500);
 
 /// Number of instances assumed until the first digest arrives: the size of the largest fleets
--- a/crates/entry/src/peers/digest.rs
+++ b/crates/entry/src/peers/digest.rs
@@ -64,8 +64,8 @@
     pub steps: Vec<(NameHash, u32)>,
     /// Number of instances of its zone that it knows, including itself and the silent ones.
     pub zone_size: u16,
-    /// Whether this is the complete state, sent to the receiver alone. A receiver that hears the
-    /// sender for the first time answers with its own.
+    /// Whether this is a greeting: the complete state, sent to the receiver alone. A receiver that
+    /// did not know the sender answers with its own greeting.
     pub greeting: bool,
     /// Whether discovery is complete, so that `members` lists the whole fleet; not in every
     /// message.
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -36,6 +36,9 @@
 /// another replica: its caller disconnects after eight.
 const STALL_GAPS: f64 = 5.0;
 
+/// Lower bound of the maximum event gap in the detection of stalled streams.
+const MIN_EVENT_GAP: Duration = Duration::from_millis(200);
+
 /// The stream broke, and the caller's connection is closed.
 #[derive(Debug, thiserror::Error)]
 #[error("the stream broke off")]
@@ -259,6 +262,7 @@
         }
     }
 
+    /// Logs how the stream ended, broke or was resumed, with the last event that was relayed.
     fn log(&self, how: &'static str, replica: &str) {
         let last_event = self.scanner.last_event_id();
         request_log::log_stream_ended(&self.node, &self.ctx, replica, how, last_event);
@@ -342,7 +346,7 @@
         if !self.ctx.route.kind.is_retryable() || self.ctx.runs >= self.ctx.route.max_attempts {
             return std::future::pending().await;
         }
-        let max_gap = self.ctx.route.max_event_gap.max(Duration::from_millis(200));
+        let max_gap = self.ctx.route.max_event_gap.max(MIN_EVENT_GAP);
         tokio::time::sleep_until(self.last_event_at + max_gap.mul_f64(STALL_GAPS)).await;
     }
 
@@ -371,21 +375,21 @@
                 self.ctx.body.clone(),
                 true,
             );
-            let answer = tokio::select! {
-                answer = sending => answer,
+            let response = tokio::select! {
+                response = sending => response,
                 () = self.tx.closed() => return None,
             };
             self.last_event_at = Instant::now();
             self.first_pending = true;
-            match answer {
-                Ok(answer) if answer.head.status.is_success() => {
+            match response {
+                Ok(response) if response.head.status.is_success() => {
                     self.log("resumed", &slot.upstream);
                     return Some(Attempt {
                         target,
                         slot,
-                        connection: answer.connection,
-                        body: answer.body,
-                        head: answer.head,
+                        connection: response.connection,
+                        body: response.body,
+                        head: response.head,
                     });
                 }
                 Ok(_) => slot.release(Outcome::Failed),
--- a/crates/entry/tests/limits.rs
+++ b/crates/entry/tests/limits.rs
@@ -193,11 +193,11 @@
             granted: Vec::new(),
             demand: 0.0,
         };
-        for at in 0..case.instances {
-            let zone = at % case.zones;
+        for index in 0..case.instances {
+            let zone = index % case.zones;
             simulation
                 .instances
-                .push(instance(start, at, zone, case.zones, 1));
+                .push(instance(start, index, zone, case.zones, 1));
         }
         for fault in case.faults {
             simulation.plan_fault(*fault);
@@ -389,10 +389,10 @@
     }
 
     fn tick_credit(&mut self) {
-        for at in 0..self.instances.len() {
-            if self.instances[at].up && !self.instances[at].ledger.is_idle() {
-                self.instances[at].ledger.on_tick(self.now);
-                self.flush(self.now, at);
+        for index in 0..self.instances.len() {
+            if self.instances[index].up && !self.instances[index].ledger.is_idle() {
+                self.instances[index].ledger.on_tick(self.now);
+                self.flush(self.now, index);
             }
         }
         // Entries of one step may be out of order, as each delivery has its own time.
@@ -598,9 +598,9 @@
     }
 }
 
-fn instance(now: Instant, at: usize, zone: usize, zones: usize, life: u64) -> Instance {
-    let since = Duration::from_millis(at as u64 * 7 % 100);
-    let mut ledger = Ledger::new(address(at).to_bits(), life);
+fn instance(now: Instant, index: usize, zone: usize, zones: usize, incarnation: u64) -> Instance {
+    let first_tick_after = Duration::from_millis(index as u64 * 7 % 100);
+    let mut ledger = Ledger::new(address(index).to_bits(), incarnation);
     ledger.set_bounds(SPAN, TOLERANCE);
     let distance = |other: usize| {
         if other == zone {
@@ -611,17 +611,17 @@
             Distance::OtherRegion
         }
     };
-    let layout = (0..zones).map(|other| (location_of(other).0, distance(other)));
+    let zone_distances = (0..zones).map(|other| (location_of(other).0, distance(other)));
     Instance {
         zone,
         up: true,
         leaving: false,
-        incarnation: life,
-        peers: Peers::new(now, address(at), true).with_zones(layout),
+        incarnation,
+        peers: Peers::new(now, address(index), true).with_zones(zone_distances),
         ledger,
         waiting_cost: BTreeMap::new(),
         tick: 0,
-        next_tick: now + since,
+        next_tick: now + first_tick_after,
     }
 }
 
@@ -691,8 +691,8 @@
 }
 
 /// A zone is partitioned, its instances are all restarted, and the partition heals ten seconds
-/// later. They had heard nobody and claimed credit for the time behind the partition, each as the
-/// only one of its zone.
+/// later. They had received no digest and claimed credit for the time behind the partition, each as
+/// the only one of its zone.
 #[test]
 fn a_limit_holds_when_a_partition_heals_whose_zone_restarted() {
     let case = Case {
--- a/crates/entry/tests/peers.rs
+++ b/crates/entry/tests/peers.rs
@@ -46,25 +46,21 @@
     peers.on_digest(later, address(2), digest(1));
     assert_eq!(peers.load_at(4), load(3, 500));
     assert_eq!(peers.take_changed_loads(), [4]);
-    let home = &mut peers.fleet_view(later).zones[0];
-    assert_eq!((home.size, home.members.len()), (3, 1));
+    let own_zone = &mut peers.fleet_view(later).zones[0];
+    assert_eq!((own_zone.size, own_zone.members.len()), (3, 1));
     peers.remove_gone(now + Duration::from_secs(61));
     assert_eq!(peers.instance_count(), 2);
 }
 
-/// An instance starts behind a partition and hears nobody. It must accrue no credit, as the others
-/// may hold its share, unless it has no contacts at all and is alone for good, or the others must
-/// have removed it by now.
+/// An instance starts behind a partition and receives no digest. It must accrue no credit, as the
+/// others may hold its share, unless it has no contacts at all and is the only one for good, or the
+/// others must have removed it by now.
 #[parameterized(
-    behind_a_cut = { true, Duration::from_secs(10), false },
+    behind_a_partition = { true, Duration::from_secs(10), false },
     alone = { false, Duration::ZERO, true },
-    forgotten = { true, Duration::from_secs(61), true },
+    removed_by_now = { true, Duration::from_secs(61), true },
 )]
-fn an_instance_that_hears_nobody_accrues_no_credit(
-    has_contacts: bool,
-    after: Duration,
-    accrues: bool,
-) {
+fn an_instance_without_peers_accrues_no_credit(has_contacts: bool, after: Duration, accrues: bool) {
     let now = Instant::now();
     let mut peers = Peers::new(now, OWN, has_contacts).with_zones([(1, Distance::SameZone)]);
     assert_eq!(
@@ -73,10 +69,10 @@
     );
 }
 
-/// An instance started behind a partition and heard nobody for seconds. When the partition heals,
-/// messages of the others arrive one by one; the instance must neither take itself for the only one
-/// of its zone nor claim credit for the time behind the partition. Ten instances that did so
-/// exceeded a limit by the share of their zone for two seconds.
+/// An instance started behind a partition and received no digest for seconds. When the partition
+/// heals, digests of the others arrive one by one; the instance must neither take itself for the
+/// only one of its zone nor claim credit for the time behind the partition. Ten instances that did
+/// so exceeded a limit by the share of their zone for two seconds.
 #[test]
 fn an_instance_claims_no_credit_for_the_time_behind_a_partition() {
     let start = Instant::now();
@@ -109,7 +105,7 @@
     assert_eq!(
         peers.fleet_view(now).accrues_since,
         None,
-        "it hears nobody of its zone"
+        "it has received no digest of its zone"
     );
     peers.on_digest(start, address(1), digest(1));
     assert_eq!(
@@ -136,8 +132,8 @@
     reads: bool,
 }
 
-/// Each call to the store is billed, so few instances read it. When those are cut off from the
-/// store, refused or dead, another has to take over, or all would keep an outdated table.
+/// Each call to the store is billed, so few instances read it. When those lose the store, are
+/// refused or die, another has to take over, or all would keep an outdated table.
 #[parameterized(
     alone = { Readers { others: &[], reads: true } },
     first_of_its_zone = { Readers { others: &[(1, 2, Some(10)), (2, 2, Some(10)), (9, 1, Some(10))], reads: true } },
@@ -161,9 +157,8 @@
     );
 }
 
-/// A fleet starts at once. An instance that is heard for the first time is sent the complete state
-/// once, so that all know each other after a few round trips and no message goes back and forth
-/// forever.
+/// A fleet starts at once. An instance whose first digest arrives is greeted once, so that all know
+/// each other after a few round trips and no message goes back and forth forever.
 #[test]
 fn new_instances_are_greeted_once() {
     let now = Instant::now();
@@ -182,8 +177,8 @@
     assert_eq!(peers.all()[0].nearness(2, 2), Nearness::Far);
 }
 
-/// An instance of another zone has this one as a contact. It is sent the complete state once; other
-/// instances of that zone are heard through relays, as three hundred that greet each other do
+/// An instance of another zone has this one as a contact. It is greeted once; digests of the other
+/// instances of that zone come through relays, as three hundred instances that greet each other do
 /// nothing else for seconds.
 #[test]
 fn instances_of_other_zones_are_greeted_on_request() {
