--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -38,10 +38,10 @@
     Dropped,
     /// The connection broke or the response was incomplete; the request may have run.
     Broken,
-    /// The attempt was abandoned because the replica sent nothing to any request of this instance,
-    /// and a retry replaces it.
+    /// The attempt was abandoned because the replica stalled or was slow, and a retry replaces it;
+    /// the request may have run.
     Abandoned,
-    /// The response belongs to another request; this one may have run.
+    /// The response belongs to another request or lacks required fields; this request may have run.
     InvalidResponse,
 }
 
--- a/crates/entry/src/pool.rs
+++ b/crates/entry/src/pool.rs
@@ -59,6 +59,7 @@
     }
 }
 
+/// A connection in the pool, with the time from which it must not be reused.
 #[derive(Debug)]
 struct IdleConnection {
     connection: Connection,
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -36,12 +36,12 @@
 /// another replica: its caller disconnects after eight.
 const STALL_GAPS: f64 = 5.0;
 
-/// Lower bound of the maximum event gap in the detection of stalled streams.
+/// Lower bound of a route's maximum event gap when stalls are detected.
 const MIN_EVENT_GAP: Duration = Duration::from_millis(200);
 
 /// The stream broke, and the caller's connection is closed.
 #[derive(Debug, thiserror::Error)]
-#[error("the stream broke off")]
+#[error("stream broke before its end")]
 pub struct StreamBroken;
 
 /// Body of a response to a caller: complete, or relayed as it arrives.
--- a/crates/entry/tests/limits.rs
+++ b/crates/entry/tests/limits.rs
@@ -28,8 +28,11 @@
 
 use given::{LARGE, ORGANISATION, SMALL, SPAN, TOLERANCE, allowed, cost};
 
+/// Simulated time per step.
 const TIME_STEP: Duration = Duration::from_millis(20);
+/// Interval at which an instance checks its peers and sends digests that are due.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Simulated time of a run.
 const SIMULATED_TIME: Duration = Duration::from_secs(32);
 
 /// Requests start at this time; discovery is complete by then.
@@ -47,7 +50,7 @@
     /// Demand of the organisation, as a multiple of its limit.
     demand: f64,
     /// Fraction of its requests that arrive at the first instance.
-    hot_instance: f64,
+    first_instance_share: f64,
     /// Fraction of the messages that are lost.
     loss: f64,
     /// Maximum delay of a message beyond its network latency.
@@ -85,18 +88,19 @@
     Surge,
 }
 
+/// A large fleet with demand above the limit, and no faults.
 const NO_FAULTS: Case = Case {
     instances: 60,
     zones: 6,
     limit: LARGE,
     demand: 1.8,
-    hot_instance: 0.0,
+    first_instance_share: 0.0,
     loss: 0.005,
     max_delay: Duration::from_millis(20),
     faults: &[],
 };
 
-/// How much of the state a digest contains.
+/// Whether a digest contains the list of members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StateKind {
     Heartbeat,
@@ -106,13 +110,14 @@
 #[derive(Debug)]
 struct Instance {
     zone: usize,
-    up: bool,
+    running: bool,
     leaving: bool,
     incarnation: u64,
     peers: Peers,
     ledger: Ledger,
     /// Cost of its requests that wait for credit, by request number.
     waiting_cost: BTreeMap<u64, f64>,
+    /// Number of checks so far.
     tick: usize,
     next_tick: Instant,
 }
@@ -153,10 +158,12 @@
     partitions: Vec<Partition>,
     /// Messages in transit, by arrival time and sequence number.
     in_transit: BTreeMap<(Instant, usize), Datagram>,
-    sent: usize,
+    sent_datagrams: usize,
     /// Planned events, the next one last.
     plan: Vec<(Instant, Event)>,
+    /// Time and cost of the granted requests.
     granted: Vec<(Instant, f64)>,
+    /// Cost of all requests that were sent.
     demand: f64,
 }
 
@@ -168,7 +175,7 @@
     Partition {
         zone: usize,
         both_ways: bool,
-        lasts: Duration,
+        duration: Duration,
     },
     LowerLimit,
     Surge,
@@ -188,7 +195,7 @@
             instances: Vec::new(),
             partitions: Vec::new(),
             in_transit: BTreeMap::new(),
-            sent: 0,
+            sent_datagrams: 0,
             plan: Vec::new(),
             granted: Vec::new(),
             demand: 0.0,
@@ -251,21 +258,21 @@
             Fault::PartitionZone | Fault::MuteZone => {
                 let zone = self.rng.random_range(0..self.case.zones);
                 let both_ways = fault == Fault::PartitionZone;
-                let lasts = second.mul_f64(self.rng.random_range(3.0..12.0));
+                let duration = second.mul_f64(self.rng.random_range(3.0..12.0));
                 let partition = Event::Partition {
                     zone,
                     both_ways,
-                    lasts,
+                    duration,
                 };
                 self.plan.push((at, partition));
             }
             Fault::RestartInPartition => {
                 let zone = self.rng.random_range(0..self.case.zones);
-                let (both_ways, lasts) = (true, second * 20);
+                let (both_ways, duration) = (true, second * 20);
                 let partition = Event::Partition {
                     zone,
                     both_ways,
-                    lasts,
+                    duration,
                 };
                 self.plan.push((at, partition));
                 let zones = self.case.zones;
@@ -276,7 +283,7 @@
             }
             Fault::Join => {
                 for i in (0..all).filter(|i| i % 5 == 4) {
-                    self.instances[i].up = false;
+                    self.instances[i].running = false;
                     self.plan.push((at, Event::Start(i)));
                 }
             }
@@ -305,7 +312,7 @@
     fn apply_event(&mut self, event: Event) {
         let now = self.now;
         match event {
-            Event::Kill(i) => self.instances[i].up = false,
+            Event::Kill(i) => self.instances[i].running = false,
             Event::Leave(i) => self.instances[i].leaving = true,
             Event::Start(i) => {
                 let before = &self.instances[i];
@@ -315,9 +322,9 @@
             Event::Partition {
                 zone,
                 both_ways,
-                lasts,
+                duration,
             } => {
-                let until = now + lasts;
+                let until = now + duration;
                 self.partitions.push(Partition {
                     zone,
                     until,
@@ -340,7 +347,7 @@
                 return;
             }
             let Datagram { from, to, content } = first.remove();
-            if !self.instances[to].up {
+            if !self.instances[to].running {
                 continue;
             }
             match content {
@@ -390,7 +397,7 @@
 
     fn tick_credit(&mut self) {
         for index in 0..self.instances.len() {
-            if self.instances[index].up && !self.instances[index].ledger.is_idle() {
+            if self.instances[index].running && !self.instances[index].ledger.is_idle() {
                 self.instances[index].ledger.on_tick(self.now);
                 self.flush(self.now, index);
             }
@@ -403,7 +410,7 @@
     /// to the others.
     fn send_digests(&mut self) {
         for i in 0..self.instances.len() {
-            if !self.instances[i].up || self.now < self.instances[i].next_tick {
+            if !self.instances[i].running || self.now < self.instances[i].next_tick {
                 continue;
             }
             let now = self.now;
@@ -501,9 +508,9 @@
         };
         let delay = self.case.max_delay.mul_f64(self.rng.random_range(0.0..1.0));
         let due = now + Duration::from_millis(latency_ms) + delay;
-        self.sent += 1;
+        self.sent_datagrams += 1;
         let datagram = Datagram { from, to, content };
-        self.in_transit.insert((due, self.sent), datagram);
+        self.in_transit.insert((due, self.sent_datagrams), datagram);
     }
 
     fn is_partitioned(&self, from: usize, to: usize) -> bool {
@@ -542,12 +549,13 @@
 
     fn send_request(&mut self, cost: f64) {
         let running: Vec<usize> = (0..self.instances.len())
-            .filter(|i| self.instances[*i].up)
+            .filter(|i| self.instances[*i].running)
             .collect();
         let Some(random_instance) = running.choose(&mut self.rng).copied() else {
             return;
         };
-        let at_first = self.rng.random_bool(self.case.hot_instance) && self.instances[0].up;
+        let at_first =
+            self.rng.random_bool(self.case.first_instance_share) && self.instances[0].running;
         let index = if at_first { 0 } else { random_instance };
         let instance = &mut self.instances[index];
         let charge = Charge {
@@ -614,7 +622,7 @@
     let zone_distances = (0..zones).map(|other| (location_of(other).0, distance(other)));
     Instance {
         zone,
-        up: true,
+        running: true,
         leaving: false,
         incarnation,
         peers: Peers::new(now, address(index), true).with_zones(zone_distances),
@@ -625,10 +633,12 @@
     }
 }
 
-fn address(at: usize) -> Ipv4Addr {
-    Ipv4Addr::from_bits(Ipv4Addr::new(10, 0, 1, 0).to_bits() + at as u32)
+/// Address of an instance.
+fn address(index: usize) -> Ipv4Addr {
+    Ipv4Addr::from_bits(Ipv4Addr::new(10, 0, 1, 0).to_bits() + index as u32)
 }
 
+/// Index of the instance with an address.
 fn index_of(address: Ipv4Addr) -> usize {
     (address.to_bits() - Ipv4Addr::new(10, 0, 1, 0).to_bits()) as usize
 }
@@ -653,11 +663,13 @@
 ];
 
 /// Number of seeds per case, unless `KINGCUP_LIMIT_SEEDS` is set.
-const SEEDS: u64 = 2;
+const DEFAULT_SEEDS: u64 = 2;
 
 fn seeds() -> std::ops::Range<u64> {
     let configured = std::env::var("KINGCUP_LIMIT_SEEDS").ok();
-    0..configured.and_then(|s| s.parse().ok()).unwrap_or(SEEDS)
+    0..configured
+        .and_then(|s| s.parse().ok())
+        .unwrap_or(DEFAULT_SEEDS)
 }
 
 /// An organisation's demand exceeds its limit while instances are killed or restarted, zones are
@@ -670,16 +682,16 @@
     all_killed_twice = { Case { faults: &[Fault::KillAll, Fault::KillAll], ..NO_FAULTS } },
     some_killed = { Case { faults: &[Fault::KillSome, Fault::Surge], ..NO_FAULTS } },
     rolled = { Case { faults: &[Fault::RollingRestart], ..NO_FAULTS } },
-    leavers = { Case { faults: &[Fault::Leave, Fault::Surge], ..NO_FAULTS } },
+    instances_leave = { Case { faults: &[Fault::Leave, Fault::Surge], ..NO_FAULTS } },
     joined = { Case { faults: &[Fault::Join, Fault::Surge], ..NO_FAULTS } },
     zone_partitioned = { Case { faults: &[Fault::PartitionZone, Fault::Surge], ..NO_FAULTS } },
     restart_in_a_partition = { Case { demand: 4.0, faults: &[Fault::RestartInPartition], ..NO_FAULTS } },
-    zone_mute = { Case { faults: &[Fault::MuteZone, Fault::Surge], ..NO_FAULTS } },
+    zone_muted = { Case { faults: &[Fault::MuteZone, Fault::Surge], ..NO_FAULTS } },
     lowered = { Case { faults: &[Fault::LowerLimit], ..NO_FAULTS } },
     surge = { Case { faults: &[Fault::Surge], demand: 0.4, ..NO_FAULTS } },
     messages_late = { Case { max_delay: Duration::from_millis(800), faults: &[Fault::Surge], ..NO_FAULTS } },
     messages_lost = { Case { loss: 0.3, faults: &[Fault::Surge], ..NO_FAULTS } },
-    hot_instance = { Case { hot_instance: 0.8, faults: &[Fault::Surge, Fault::KillAll], ..NO_FAULTS } },
+    hot_instance = { Case { first_instance_share: 0.8, faults: &[Fault::Surge, Fault::KillAll], ..NO_FAULTS } },
     small_limit = { Case { limit: SMALL, faults: &[Fault::KillAll, Fault::Surge], ..NO_FAULTS } },
     small_fleet = { Case { instances: 7, zones: 3, limit: SMALL, faults: &[Fault::KillAll, Fault::RollingRestart], ..NO_FAULTS } },
     small_fleet_partitioned = { Case { instances: 9, zones: 3, limit: SMALL, faults: &[Fault::PartitionZone, Fault::KillSome], ..NO_FAULTS } },
@@ -707,7 +719,7 @@
 #[test]
 fn a_limit_holds_under_any_combination_of_faults() {
     for seed in 0..seeds().end * 4 {
-        check_limit(mixture(seed), seed);
+        check_limit(random_case(seed), seed);
     }
 }
 
@@ -717,10 +729,11 @@
 /// not known.
 #[test]
 fn a_limit_holds_in_a_partition_while_all_restart() {
-    check_limit(mixture(71), 71);
+    check_limit(random_case(71), 71);
 }
 
-fn mixture(seed: u64) -> Case {
+/// A fleet, a limit, a demand and faults, all chosen by the seed.
+fn random_case(seed: u64) -> Case {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut faults = FAULTS.to_vec();
     faults.retain(|_| rng.random_bool(0.35));
@@ -729,13 +742,14 @@
         zones: [3, 6][rng.random_range(0..2)],
         limit: if rng.random_bool(0.5) { SMALL } else { LARGE },
         demand: rng.random_range(0.4..4.0),
-        hot_instance: rng.random_range(0.0..0.5),
+        first_instance_share: rng.random_range(0.0..0.5),
         loss: rng.random_range(0.0..0.2),
         max_delay: Duration::from_millis(rng.random_range(0..600)),
         faults: faults.leak(),
     }
 }
 
+/// Runs a simulation and asserts that the limit held.
 fn check_limit(case: Case, seed: u64) {
     let mut simulation = Simulation::new(case, seed);
     simulation.run();
@@ -746,7 +760,7 @@
     );
 }
 
-struct Served {
+struct GrantCase {
     case: Case,
     /// Minimum fraction of the demand that has to be granted.
     min_fraction: f64,
@@ -756,23 +770,23 @@
 /// It must get its share, also if all its callers use one instance: a limit that held by refusing
 /// requests within it would be useless.
 #[parameterized(
-    calm = { Served { case: Case { demand: 0.55, ..NO_FAULTS }, min_fraction: 0.98 } },
-    beyond_its_limit = { Served { case: Case { demand: 1.8, ..NO_FAULTS }, min_fraction: 0.8 / 1.8 } },
-    beyond_a_small_limit = { Served { case: Case { demand: 1.8, limit: SMALL, ..NO_FAULTS }, min_fraction: 0.8 / 1.8 } },
-    small_limit = { Served { case: Case { demand: 0.55, limit: SMALL, ..NO_FAULTS }, min_fraction: 0.98 } },
-    one_instance = { Served { case: Case { demand: 0.55, hot_instance: 0.8, ..NO_FAULTS }, min_fraction: 0.9 } },
-    one_instance_of_few = { Served { case: Case { instances: 7, zones: 3, limit: SMALL, demand: 0.55, hot_instance: 0.8, ..NO_FAULTS }, min_fraction: 0.95 } },
-    some_killed = { Served { case: Case { demand: 0.55, faults: &[Fault::KillSome], ..NO_FAULTS }, min_fraction: 0.9 } },
-    rolled = { Served { case: Case { demand: 0.55, faults: &[Fault::RollingRestart], ..NO_FAULTS }, min_fraction: 0.8 } },
+    calm = { GrantCase { case: Case { demand: 0.55, ..NO_FAULTS }, min_fraction: 0.98 } },
+    beyond_its_limit = { GrantCase { case: Case { demand: 1.8, ..NO_FAULTS }, min_fraction: 0.8 / 1.8 } },
+    beyond_a_small_limit = { GrantCase { case: Case { demand: 1.8, limit: SMALL, ..NO_FAULTS }, min_fraction: 0.8 / 1.8 } },
+    small_limit = { GrantCase { case: Case { demand: 0.55, limit: SMALL, ..NO_FAULTS }, min_fraction: 0.98 } },
+    one_instance = { GrantCase { case: Case { demand: 0.55, first_instance_share: 0.8, ..NO_FAULTS }, min_fraction: 0.9 } },
+    one_instance_of_few = { GrantCase { case: Case { instances: 7, zones: 3, limit: SMALL, demand: 0.55, first_instance_share: 0.8, ..NO_FAULTS }, min_fraction: 0.95 } },
+    some_killed = { GrantCase { case: Case { demand: 0.55, faults: &[Fault::KillSome], ..NO_FAULTS }, min_fraction: 0.9 } },
+    rolled = { GrantCase { case: Case { demand: 0.55, faults: &[Fault::RollingRestart], ..NO_FAULTS }, min_fraction: 0.8 } },
 )]
-fn demand_within_the_limit_is_served(served: Served) {
+fn demand_within_the_limit_is_served(expected: GrantCase) {
     for seed in seeds() {
-        let mut simulation = Simulation::new(served.case, seed);
+        let mut simulation = Simulation::new(expected.case, seed);
         simulation.run();
         let fraction =
             simulation.granted_cost() / (simulation.demand - simulation.undecided_cost());
         assert!(
-            fraction >= served.min_fraction,
+            fraction >= expected.min_fraction,
             "seed {seed}: {fraction:.3} was granted"
         );
     }
