--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -24,7 +24,7 @@
 
 use local_state::{LocalState, live_members, local_state, local_step_times, unreachable_replicas};
 
-/// Interval of the periodic checks.
+/// Interval at which silent peers, changed load and due messages are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Minimum time between two messages of an instance about itself.
@@ -37,16 +37,19 @@
 /// Longest time for which a relay collects digests of its zone.
 const MAX_COLLECT_TIME: Duration = Duration::from_millis(100);
 
-/// Interval of messages to another zone of the region, and to one of another region; longer if a
-/// zone has more than [`fanout::MAX_FULL_MESH`] instances, each of which has to receive them.
+/// Interval of messages to another zone of the region. It is longer if a zone has more than
+/// [`fanout::MAX_FULL_MESH`] instances, each of which has to receive them.
 const NEAR_ZONE_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Interval of messages to a zone of another region; longer in the same way.
 const FAR_ZONE_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Interval of messages while nothing changes.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Interval of messages to the configured contacts until the zone is found: after a kill of all,
-/// instances come up some tenths of a second apart, and no organisation has credit before.
+/// Interval of messages to the configured contacts until discovery of the zone is complete: after
+/// all instances were killed, they start some tenths of a second apart, and no organisation has
+/// credit before.
 const CONTACT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Interval of messages that include the speed of the replicas, which changes slowly.
@@ -68,11 +71,11 @@
     let mut ticks = interval(CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
-        let home_due = sender.home_due(&node);
+        let own_zone_due = sender.own_zone_due(&node);
         tokio::select! {
             _ = ticks.tick() => {
                 receiver::expire_silent(&node);
-                credit::update_roster(&node);
+                credit::update_fleet_view(&node);
                 receiver::apply_loads(&node);
                 receiver::apply_waiting(&node);
                 node.assign_slots();
@@ -84,8 +87,8 @@
                 sleep(MIN_STATE_INTERVAL).await;
             }
             () = node.outbox_wakeup.notified() => {}
-            () = sleep_until(home_due.unwrap_or_else(Instant::now)), if home_due.is_some() => {
-                sender.flush_home(&node, &socket);
+            () = sleep_until(own_zone_due.unwrap_or_else(Instant::now)), if own_zone_due.is_some() => {
+                sender.flush_own_zone(&node, &socket);
             }
         }
     }
@@ -100,27 +103,34 @@
     Heartbeat,
     /// The current state, the speed of the replicas and the clock.
     Full,
-    /// All of `Full`, and the instances that it knows.
+    /// All of `Full`, and the known instances; a receiver that has just learned of the sender
+    /// answers with its own greeting.
     Greeting,
 }
 
+/// Sends the digests of this instance, and those that it collects as a relay.
 struct Sender {
-    own: Ipv4Addr,
+    own_address: Ipv4Addr,
     incarnation: u64,
     zone: NameHash,
     region: NameHash,
+    /// Sequence number of the last digest.
     seq: u32,
     /// State at the last message, to detect changes.
     last_sent: LocalState,
+    /// When this instance last sent its state.
     state_sent_at: Option<Instant>,
+    /// When the step times and the clock were last included.
     full_state_sent_at: Option<Instant>,
+    /// When greetings were last sent to the configured contacts.
     contacts_sent_at: Option<Instant>,
     /// When collected digests were last sent to the zone.
-    home_sent_at: Instant,
-    /// When they were last sent to the other zones of the region.
-    near_sent_at: Instant,
-    /// When they were last sent to the other regions.
-    far_sent_at: Instant,
+    own_zone_sent_at: Instant,
+    /// When digests were last sent to the other zones of the region.
+    near_zones_sent_at: Instant,
+    /// When digests were last sent to the other regions.
+    far_zones_sent_at: Instant,
+    /// Relays of the own zone.
     relays: Relays,
 }
 
@@ -129,7 +139,7 @@
         let cfg = node.settings();
         let now = Instant::now();
         Self {
-            own: cfg.address(),
+            own_address: cfg.address(),
             incarnation,
             zone: name_hash(&cfg.availability_zone),
             region: name_hash(&cfg.region),
@@ -138,13 +148,14 @@
             state_sent_at: None,
             full_state_sent_at: None,
             contacts_sent_at: None,
-            home_sent_at: now,
-            near_sent_at: now,
-            far_sent_at: now,
+            own_zone_sent_at: now,
+            near_zones_sent_at: now,
+            far_zones_sent_at: now,
             relays: Relays::default(),
         }
     }
 
+    /// Sends the messages that are due at a periodic check.
     fn tick(&mut self, node: &Node, socket: &UdpSocket) {
         let now = Instant::now();
         let has_passed = |sent_at: Option<Instant>, interval| {
@@ -170,21 +181,21 @@
             self.greet_contacts(node, socket);
         }
         if self.is_relay()
-            && now.saturating_duration_since(self.home_sent_at) >= RELAY_HEARTBEAT_INTERVAL
+            && now.saturating_duration_since(self.own_zone_sent_at) >= RELAY_HEARTBEAT_INTERVAL
         {
-            self.flush_home(node, socket);
+            self.flush_own_zone(node, socket);
         }
-        if now.saturating_duration_since(self.near_sent_at)
+        if now.saturating_duration_since(self.near_zones_sent_at)
             >= cross_zone_interval(node, NEAR_ZONE_INTERVAL)
         {
-            self.near_sent_at = now;
+            self.near_zones_sent_at = now;
             let collected = node.outbox.borrow_mut().take_near_zones();
             self.send_cross_zone(node, socket, collected, true);
         }
-        if now.saturating_duration_since(self.far_sent_at)
+        if now.saturating_duration_since(self.far_zones_sent_at)
             >= cross_zone_interval(node, FAR_ZONE_INTERVAL)
         {
-            self.far_sent_at = now;
+            self.far_zones_sent_at = now;
             let collected = node.outbox.borrow_mut().take_far_zones();
             self.send_cross_zone(node, socket, collected, false);
         }
@@ -203,7 +214,7 @@
         self.update_relays(node, now);
         let others = node.peers.borrow().reachable(now, self.zone);
         let others: Vec<InstanceAddress> = others.iter().map(|a| a.to_bits()).collect();
-        let receivers = self.relays.receivers(self.own.to_bits(), &others);
+        let receivers = self.relays.receivers(self.own_address.to_bits(), &others);
         self.send_digest(node, socket, digest, receivers);
     }
 
@@ -227,9 +238,9 @@
         }
         let mut outbox = node.outbox.borrow_mut();
         match scope {
-            ForwardScope::AllZones => outbox.add_for_all_zones(self.own, *digest),
+            ForwardScope::AllZones => outbox.add_for_all_zones(self.own_address, *digest),
             ForwardScope::OtherZones | ForwardScope::Nobody => {
-                outbox.add_for_other_zones(self.own, *digest);
+                outbox.add_for_other_zones(self.own_address, *digest);
             }
         }
     }
@@ -242,7 +253,9 @@
         let live = peers.all().iter().filter(in_zone);
         let live: Vec<InstanceAddress> = live.map(|p| p.address.to_bits()).collect();
         let sent_at = |member: InstanceAddress| peers.last_datagram_at(Ipv4Addr::from_bits(member));
-        let lost = self.relays.update(now, self.own.to_bits(), &live, sent_at);
+        let lost = self
+            .relays
+            .update(now, self.own_address.to_bits(), &live, sent_at);
         for relay in lost.into_iter().map(Ipv4Addr::from_bits) {
             node.log.line(
                 Priority::High,
@@ -251,25 +264,26 @@
         }
     }
 
+    /// Whether this instance is a relay of its zone.
     fn is_relay(&self) -> bool {
-        self.relays.contains(self.own.to_bits())
+        self.relays.contains(self.own_address.to_bits())
     }
 
     /// When the collected digests are due to be sent to the zone; `None` if there are none.
-    fn home_due(&self, node: &Node) -> Option<Instant> {
+    fn own_zone_due(&self, node: &Node) -> Option<Instant> {
         if !node.outbox.borrow().has_own_zone() {
             return None;
         }
         let members = node.peers.borrow().zone_size() as u32;
         let collect_time =
             (COLLECT_TIME_PER_PAIR * members.saturating_mul(members)).min(MAX_COLLECT_TIME);
-        Some(self.home_sent_at + collect_time.max(MIN_STATE_INTERVAL))
+        Some(self.own_zone_sent_at + collect_time.max(MIN_STATE_INTERVAL))
     }
 
     /// Sends the collected digests to all instances of the zone.
-    fn flush_home(&mut self, node: &Node, socket: &UdpSocket) {
+    fn flush_own_zone(&mut self, node: &Node, socket: &UdpSocket) {
         let now = Instant::now();
-        self.home_sent_at = now;
+        self.own_zone_sent_at = now;
         let collected = node.outbox.borrow_mut().take_own_zone();
         let to = node.peers.borrow().reachable(now, self.zone);
         send_collected(node, socket, collected, &to);
@@ -289,13 +303,13 @@
         }
         // Alternates between two relays, so that a dead one does not swallow all messages.
         let turn = self.seq as usize;
-        let by_turns =
+        let alternate =
             |relays: &[InstanceAddress]| relays.get(turn % relays.len().clamp(1, 2)).copied();
         let zones = self
             .other_zones(node)
             .into_iter()
             .filter(|(_, in_region)| *in_region == same_region);
-        let relays = zones.filter_map(|(zone, _)| by_turns(&relays_of(node, zone)));
+        let relays = zones.filter_map(|(zone, _)| alternate(&relays_of(node, zone)));
         let to: Vec<Ipv4Addr> = relays.map(Ipv4Addr::from_bits).collect();
         send_collected(node, socket, collected, &to);
     }
@@ -310,8 +324,8 @@
             .collect()
     }
 
-    /// Sends the complete state to instances that have just become known: a fleet that starts at
-    /// once is complete after a few round trips instead of some seconds.
+    /// Sends greetings to instances that have just become known: a fleet that starts at once is
+    /// complete after a few round trips instead of some seconds.
     fn greet(&mut self, node: &Node, socket: &UdpSocket) {
         let now = Instant::now();
         let to = std::mem::take(&mut *node.greeting_targets.borrow_mut());
@@ -327,7 +341,7 @@
         );
     }
 
-    /// Sends the complete state to the configured contacts that are not live.
+    /// Sends greetings to the configured contacts that are not live.
     fn greet_contacts(&mut self, node: &Node, socket: &UdpSocket) {
         let now = Instant::now();
         let cfg = node.settings();
@@ -341,7 +355,7 @@
             all.any(|p| p.address == a && p.is_live(now))
         };
         let to: Vec<Ipv4Addr> = contacts
-            .filter(|a| *a != self.own && !is_live(*a))
+            .filter(|a| *a != self.own_address && !is_live(*a))
             .collect();
         drop(peers);
         if to.is_empty() {
@@ -356,14 +370,14 @@
         );
     }
 
-    /// As a relay, sends the list of known instances to the relays of other zones: two parts of the
-    /// fleet that have found only themselves would not find each other.
+    /// As a relay, sends greetings to the relays of other zones: two parts of the fleet that have
+    /// found only themselves would not find each other.
     fn greet_relays(&mut self, node: &Node, socket: &UdpSocket) {
         if !self.is_relay() {
             return;
         }
-        let own = self.own.to_bits();
-        let relay = |zone| fanout::relay_of(own, &relays_of(node, zone));
+        let own_address = self.own_address.to_bits();
+        let relay = |zone| fanout::relay_of(own_address, &relays_of(node, zone));
         let relays = self
             .other_zones(node)
             .into_iter()
@@ -378,6 +392,7 @@
         );
     }
 
+    /// Builds the next digest of this instance.
     fn build_digest(&mut self, node: &Node, state: LocalState, kind: StateKind) -> Digest {
         let now = Instant::now();
         self.seq = self.seq.wrapping_add(1);
@@ -415,12 +430,14 @@
     fanout::choose_relays(&reachable)
 }
 
+/// Sends collected digests to each of the receivers, in as few datagrams as possible.
 fn send_collected(node: &Node, socket: &UdpSocket, collected: DigestBatch, to: &[Ipv4Addr]) {
     for datagram in outbox::datagrams(collected) {
         send_to(node, socket, &PeerMessage::Relayed(datagram), to);
     }
 }
 
+/// Sends a message to each of the receivers.
 fn send_to(node: &Node, socket: &UdpSocket, message: &PeerMessage, to: &[Ipv4Addr]) {
     if to.is_empty() {
         return;
