--- a/crates/entry/src/adapter.rs
+++ b/crates/entry/src/adapter.rs
@@ -8,10 +8,10 @@
 use http::response::Parts as ResponseParts;
 use http::{HeaderMap, StatusCode};
 use kingcupfield_decisions::id::ZoneId;
-use kingcupfield_decisions::known::{Entry, Revision};
+use kingcupfield_decisions::store_view::{Entry, Revision};
 
 use crate::refusal::Refusal;
-use crate::replica::Published;
+use crate::replica::PublishedReplica;
 use crate::table::Table;
 
 /// Metadata in the head of a caller's request.
@@ -119,7 +119,7 @@
     /// A version of the table.
     Table(Rc<Table>),
     /// A replica.
-    Replica(Published),
+    Replica(PublishedReplica),
     /// A zone whose replicas receive no new requests while the entry exists.
     DrainedZone(ZoneId),
     /// A replica entry that can't be parsed, with the reason.
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -9,13 +9,13 @@
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use kingcupfield_decisions::credit::{Charge, Verdict};
-use kingcupfield_decisions::id::{ServiceId, short_name};
+use kingcupfield_decisions::id::{ServiceId, name_hash};
 use rand::RngExt as _;
 use tokio::time::Instant;
 
 use crate::adapter::RequestMeta;
-use crate::credit::{self, Charged, Uncharged};
-use crate::node::{Node, Stage};
+use crate::credit::{self, CreditDenial, CreditGrant};
+use crate::node::{Node, ProcessState};
 use crate::refusal::{Refusal, RefusalKind};
 use crate::table::{Organisation, Route, Table};
 
@@ -66,18 +66,18 @@
 /// serve it completely. In the stage `Leaving` the estimate uses the measured speed of the replicas.
 /// From `Closing` on no response may be cut off, so even a slow replica must be able to complete it.
 pub fn completes_before_shutdown(node: &Node, service: &ServiceId, meta: &RequestMeta) -> bool {
-    let Some(deadline) = node.answers_by.get() else {
+    let Some(deadline) = node.response_deadline.get() else {
         return true;
     };
     let left = deadline.saturating_duration_since(Instant::now());
     let slow_time = SLOW_BASE_TIME + SLOW_TOKEN_TIME * meta.max_output_tokens.unwrap_or(0);
-    if node.stage() >= Stage::Closing && slow_time >= left {
+    if node.process_state() >= ProcessState::Closing && slow_time >= left {
         return false;
     }
     let left = left.saturating_sub(OVERHEAD_TIME);
     let prompt = f64::from(meta.prompt_tokens.unwrap_or(0));
     let dispatch = node.dispatch.borrow();
-    dispatch.could_end(left, service, prompt, meta.estimated_output_tokens())
+    dispatch.can_finish_within(left, service, prompt, meta.estimated_output_tokens())
 }
 
 /// Finds the route of a request by host and path, and the organisation that owns its API key.
@@ -97,7 +97,7 @@
         Refusal::new(RefusalKind::NotFound).with_message(reason)
     })?;
     let organisation = meta.api_key.as_deref().and_then(|k| table.organisation(k));
-    if table.keyed() && !route.public && organisation.is_none() {
+    if table.requires_key() && !route.public && organisation.is_none() {
         let reason = match meta.api_key {
             Some(_) => "the API key is not in the table",
             None => "no API key",
@@ -130,22 +130,22 @@
     route: &Route,
     service: &ServiceId,
     meta: &RequestMeta,
-) -> Result<Charged, Refusal> {
+) -> Result<CreditGrant, Refusal> {
     let Some(organisation) = organisation else {
-        return Ok(Charged::default());
+        return Ok(CreditGrant::default());
     };
     let Some(limit) = organisation.limit else {
-        return Ok(Charged::default());
+        return Ok(CreditGrant::default());
     };
     let charge = Charge {
         cost: cost(organisation, meta),
-        class: priority_class(node, route, service, meta),
-        patience: route
-            .objective
+        priority_class: priority_class(node, route, service, meta),
+        max_wait: route
+            .latency_objective
             .mul_f64(MAX_CREDIT_WAIT_FRACTION)
             .min(MAX_CREDIT_WAIT),
     };
-    let charged = credit::take(node, organisation, limit, charge).await;
+    let charged = credit::charge(node, organisation, limit, charge).await;
     charged.map_err(|uncharged| credit_refusal(node, organisation, route, charge, uncharged))
 }
 
@@ -155,19 +155,19 @@
     organisation: &Organisation,
     route: &Route,
     charge: Charge,
-    uncharged: Uncharged,
+    uncharged: CreditDenial,
 ) -> Refusal {
-    let Uncharged {
+    let CreditDenial {
         verdict,
         waited,
-        keeper,
+        coordinator,
     } = uncharged;
     let request = format!(
-        "limit of {}: {:.0} requested in tier {}, class {}; coordinator {keeper}, waited {} ms",
+        "limit of {}: {:.0} requested in tier {}, class {}; coordinator {coordinator}, waited {} ms",
         organisation.name,
         charge.cost,
         route.rank,
-        charge.class,
+        charge.priority_class,
         waited.as_millis(),
     );
     let Verdict::Denied { wait_ms, stock } = verdict else {
@@ -175,8 +175,11 @@
             .with_message(format!("{request}, no response"))
             .with_retry_after(SHORT_RETRY_AFTER);
     };
-    let pace = node.ledger.borrow().pace(short_name(&organisation.name));
-    let depth = pace.map_or(0.0, |p| p.depth());
+    let pace = node
+        .credit_ledger
+        .borrow()
+        .accrual(name_hash(&organisation.name));
+    let depth = pace.map_or(0.0, |p| p.max_stock());
     let size = node.peers.borrow().zone_size();
     let reason = format!(
         "{request}, {stock:.0} of at most {depth:.0} available, {size} known instances in the zone",
@@ -186,11 +189,11 @@
 
 /// Returns the cost of a request in the unit of its organisation's limit: tokens, or 1 per request.
 fn cost(organisation: &Organisation, meta: &RequestMeta) -> f64 {
-    if !organisation.in_tokens {
+    if !organisation.limit_in_tokens {
         return 1.0;
     }
     let tokens = match (meta.prompt_tokens, meta.max_output_tokens) {
-        (None, None) => organisation.plain_tokens,
+        (None, None) => organisation.default_tokens,
         (p, o) => p.unwrap_or(0).saturating_add(o.unwrap_or(0)),
     };
     f64::from(tokens)
@@ -209,9 +212,9 @@
 /// its demotion for size.
 fn priority_class(node: &Node, route: &Route, service: &ServiceId, meta: &RequestMeta) -> u32 {
     let prompt = f64::from(meta.prompt_tokens.unwrap_or(0));
-    let setback = node
-        .dispatch
-        .borrow()
-        .setback(service, prompt, meta.estimated_output_tokens());
+    let setback =
+        node.dispatch
+            .borrow()
+            .size_demotion(service, prompt, meta.estimated_output_tokens());
     route.rank * 2 + setback
 }
--- a/crates/entry/src/expiry.rs
+++ b/crates/entry/src/expiry.rs
@@ -20,8 +20,8 @@
 /// down has just enough time left to respond. If its connection were closed instead, the caller would
 /// know neither whether its request ran nor when to retry.
 pub async fn wait_for_expiry(node: &Rc<Node>, route: &Route, received: Instant) -> Expiry {
-    let mut version = node.version.subscribe();
-    let mut last_answers = std::pin::pin!(node.last_answers());
+    let mut version = node.version_tx.subscribe();
+    let mut last_answers = std::pin::pin!(node.response_deadline_reached());
     loop {
         let timeout = node
             .table()
--- /dev/null
+++ b/crates/entry/src/gossip/local_state.rs
@@ -0,0 +1,92 @@
+//! The state that an instance reports to the others.
+
+use std::net::Ipv4Addr;
+
+use kingcupfield_decisions::dispatch::PriorityClass;
+use kingcupfield_decisions::id::{NameHash, name_hash};
+use kingcupfield_decisions::remote_load::ReplicaLoad;
+use tokio::time::Instant;
+
+use crate::node::{Node, ProcessState};
+
+/// State whose changes are sent to the others at once.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub(super) struct LocalState {
+    pub(super) loads: Vec<ReplicaLoad>,
+    pub(super) waiting: Vec<(NameHash, PriorityClass)>,
+    pub(super) upto: u64,
+    pub(super) zone_size: u16,
+    pub(super) leaving: bool,
+}
+
+/// Reads the current state from the node.
+pub(super) fn local_state(node: &Node) -> LocalState {
+    LocalState {
+        loads: local_loads(node),
+        waiting: waiting_classes(node),
+        upto: node.directory.borrow().complete_up_to(),
+        zone_size: node.peers.borrow().zone_size() as u16,
+        leaving: node.process_state() >= ProcessState::Closing,
+    }
+}
+
+/// Short names of the replicas to which connections of this instance failed recently.
+pub(super) fn unreachable_replicas(node: &Node) -> Vec<NameHash> {
+    let now = Instant::now();
+    let dispatch = node.dispatch.borrow();
+    dispatch
+        .unreachable_replicas(now)
+        .map(|id| name_hash(id))
+        .collect()
+}
+
+/// Load of this instance at replicas, without those where it has no running request.
+fn local_loads(node: &Node) -> Vec<ReplicaLoad> {
+    node.dispatch
+        .borrow()
+        .own_load()
+        .filter(|(_, running, _, _)| *running > 0)
+        .map(|(id, running, prompt, _)| ReplicaLoad {
+            replica: name_hash(id),
+            running: running as u16,
+            prompt: prompt as u32,
+        })
+        .collect()
+}
+
+/// The most urgent class of the waiting requests, by service.
+fn waiting_classes(node: &Node) -> Vec<(NameHash, PriorityClass)> {
+    let classes = node
+        .dispatch
+        .borrow()
+        .highest_waiting_priorities(Instant::now());
+    let by_short_name = classes
+        .into_iter()
+        .map(|(service, class)| (name_hash(&service), class));
+    by_short_name.collect()
+}
+
+/// Measured time per generation step of replicas, in microseconds.
+pub(super) fn local_step_times(node: &Node) -> Vec<(u32, u32)> {
+    node.dispatch
+        .borrow()
+        .own_load()
+        .filter_map(|(id, _, _, step_ms)| Some((name_hash(id), (step_ms? * 1000.0) as u32)))
+        .collect()
+}
+
+/// The live instances by zone, sorted by the zone's short name.
+pub(super) fn live_members(node: &Node) -> Vec<(NameHash, Vec<Ipv4Addr>)> {
+    let now = Instant::now();
+    let peers = node.peers.borrow();
+    let live = peers.all().iter().filter(|p| p.is_live(now));
+    let mut by_zone: Vec<(NameHash, Vec<Ipv4Addr>)> = Vec::new();
+    for peer in live {
+        let zone = peer.digest.zone;
+        match by_zone.binary_search_by_key(&zone, |(name, _)| *name) {
+            Ok(index) => by_zone[index].1.push(peer.address),
+            Err(index) => by_zone.insert(index, (zone, vec![peer.address])),
+        }
+    }
+    by_zone
+}
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,8 +1,7 @@
-//! An entry instance that forwards calls as they come.
+//! An entry instance: accepts requests of callers, schedules them and forwards them to replicas.
 //!
-//! What callers, replicas and the directory say in their own words is translated behind the ports
-//! of [`adapter`]; everything that is decided, known and recovered stands here and in
-//! `kingcupfield-decisions`.
+//! The protocols of callers, of replicas and of the directory are translated by the adapter behind
+//! [`adapter`]; the scheduling state lives here and its algorithms in `kingcupfield-decisions`.
 
 pub mod accept_queue;
 pub mod adapter;
@@ -14,7 +13,6 @@
 pub mod exchange;
 pub mod expiry;
 pub mod gossip;
-pub mod hearing;
 pub mod lifecycle;
 pub mod log;
 pub mod metrics;
@@ -22,6 +20,7 @@
 pub mod outbox;
 pub mod peers;
 pub mod pool;
+pub mod receiver;
 pub mod refusal;
 pub mod relay;
 pub mod reload;
--- a/crates/entry/src/lifecycle.rs
+++ b/crates/entry/src/lifecycle.rs
@@ -11,7 +11,7 @@
 
 use crate::adapter::{DirectoryClient, ProtocolAdapter};
 use crate::log::{self, Priority};
-use crate::node::{Node, Stage};
+use crate::node::{Node, ProcessState};
 use crate::settings::Settings;
 use crate::shutdown::Shutdown;
 use crate::{directory, gossip, reload, server};
@@ -39,8 +39,8 @@
         &runtime,
         run_until_signal(cfg, path, protocol, directory_client),
     )?;
-    let taken = node.taken.get();
-    node.stage.send_replace(Stage::Ended);
+    let taken = node.accepted_requests.get();
+    node.process_state.send_replace(ProcessState::Ended);
     // Dropping the tasks logs the requests and streams that are cut off.
     drop(local);
     node.log
@@ -114,12 +114,12 @@
 /// Refuses queued requests whose wait has expired, and retries those whose replicas were in backoff.
 async fn check_queue(node: Rc<Node>) {
     loop {
-        if node.dispatch.borrow().waiting() == 0 {
-            node.waiting.notified().await;
+        if node.dispatch.borrow().waiting_count() == 0 {
+            node.queue_wakeup.notified().await;
         }
         sleep(QUEUE_CHECK_INTERVAL).await;
-        node.give_up();
-        node.pump();
+        node.expire_waiting();
+        node.assign_slots();
     }
 }
 
@@ -132,14 +132,14 @@
         // The propagation delay between instances depends on the number of reachable instances.
         node.refresh_replicas();
         for target in node.targets() {
-            target.pool.reap(now);
+            target.pool.close_expired(now);
         }
-        if let Some(suspended) = node.clock.woke() {
+        if let Some(suspended) = node.suspend_detector.take_suspension() {
             node.log.line(
                 Priority::High,
                 format_args!("event=woke suspended_ms={}", suspended.as_millis()),
             );
-            node.reread.notify_one();
+            node.resync_wakeup.notify_one();
         }
     }
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -156,26 +156,26 @@
         let peers = node.peers.borrow();
         let dispatch = node.dispatch.borrow();
         self.table_version.set(node.table_version() as f64);
-        self.waiting.set(dispatch.waiting() as f64);
+        self.waiting.set(dispatch.waiting_count() as f64);
         for (of, count) in [
-            ("connections", *node.connections.borrow()),
-            ("requests", node.active.get()),
+            ("connections", *node.open_connections.borrow()),
+            ("requests", node.active_requests.get()),
         ] {
             self.callers.with_label_values(&[of]).set(count as f64);
         }
         if let Some(age) = node.store_age() {
             self.set_age("store", age);
         }
-        self.set_age("peers", peers.oldest_word(now));
-        let heard = peers.fresh(now) as f64 - 1.0;
+        self.set_age("peers", peers.max_report_age(now));
+        let heard = peers.live_count(now) as f64 - 1.0;
         let known = peers.all().len() as f64;
         self.peers.with_label_values(&["heard"]).set(heard);
         self.peers.with_label_values(&["silent"]).set(known - heard);
-        let openness = dispatch.openness(now);
+        let openness = dispatch.replica_counts(now);
         for (state, count) in [
-            ("open", openness.open),
-            ("cold_kept", openness.cold_kept),
-            ("cold_closed", openness.cold_closed),
+            ("open", openness.accepting),
+            ("cold_kept", openness.cold_designated),
+            ("cold_closed", openness.cold_not_designated),
             ("unusable", openness.unusable),
         ] {
             self.replica_states
@@ -183,15 +183,15 @@
                 .set(f64::from(count));
         }
         self.replica_slots.reset();
-        for held in dispatch.places().take(MAX_REPLICAS) {
+        for held in dispatch.replica_usage().take(MAX_REPLICAS) {
             let set = |whose: &str, places: u32| {
                 let labels = [&**held.upstream, whose];
                 self.replica_slots
                     .with_label_values(&labels)
                     .set(f64::from(places));
             };
-            set("own", held.own);
-            set("elsewhere", held.elsewhere);
+            set("own", held.own_running);
+            set("elsewhere", held.remote_running);
             set("slots", held.slots);
         }
     }
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -17,12 +17,12 @@
 
 use crate::adapter::RequestMeta;
 use crate::admission::{charge, pick_service, read_body, resolve};
-use crate::credit::{self, Charged};
+use crate::credit::{self, CreditGrant};
 use crate::expiry::{Expiry, wait_for_expiry};
 use crate::metrics::Phase;
-use crate::node::{Node, Stage};
+use crate::node::{Node, ProcessState};
 use crate::refusal::{Refusal, RefusalKind};
-use crate::relay::Body;
+use crate::relay::ResponseBody;
 use crate::request_log::{self, UnansweredGuard};
 use crate::table::{Organisation, Route, Table};
 
@@ -62,20 +62,20 @@
     /// Time from `received` to the assignment of the last slot.
     pub waited: Duration,
     /// Credit that was charged to the organisation.
-    pub charge: Charged,
+    pub charge: CreditGrant,
 }
 
 /// Handles one request of a caller, from its head to the head of the response.
-pub async fn serve(node: Rc<Node>, req: Request<Incoming>) -> Response<Body> {
-    node.active.set(node.active.get() + 1);
-    node.taken.set(node.taken.get() + 1);
+pub async fn serve(node: Rc<Node>, req: Request<Incoming>) -> Response<ResponseBody> {
+    node.active_requests.set(node.active_requests.get() + 1);
+    node.accepted_requests.set(node.accepted_requests.get() + 1);
     let active = ActiveGuard(Rc::clone(&node));
     let received = Instant::now();
     let (head, body) = req.into_parts();
     let meta = node.protocol.parse_request(&head);
     let body = tokio::select! {
         body = read_body(&node, body) => body,
-        () = node.last_answers() => Err(unavailable("this instance shuts down before the body is complete")),
+        () = node.response_deadline_reached() => Err(unavailable("this instance shuts down before the body is complete")),
     };
     let result = match body {
         Ok(body) => admit_and_run(&node, received, head, meta.clone(), body, active).await,
@@ -85,7 +85,7 @@
         Ok(response) => response,
         Err(refusal) => refusal_response(&node, &meta, received, &refusal),
     };
-    if node.stage() != Stage::Serving {
+    if node.process_state() != ProcessState::Serving {
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
@@ -98,7 +98,7 @@
 
 impl Drop for ActiveGuard {
     fn drop(&mut self) {
-        self.0.active.set(self.0.active.get() - 1);
+        self.0.active_requests.set(self.0.active_requests.get() - 1);
     }
 }
 
@@ -110,7 +110,7 @@
     meta: RequestMeta,
     body: Bytes,
     active: ActiveGuard,
-) -> Result<Response<Body>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let table = wait_for_table(node, &meta).await?;
     let (route, organisation) = resolve(&table, &head, &meta)?;
     if meta.attempt_id.is_empty() {
@@ -123,7 +123,7 @@
     check_time_to_shutdown(node, &service, &meta)?;
     check_regions(&route, organisation.as_deref())?;
     let charge = charge(node, organisation.as_deref(), &route, &service, &meta).await?;
-    node.repeats
+    node.retry_budget
         .borrow_mut()
         .on_request(Instant::now(), &service);
     let ctx = RequestContext {
@@ -131,7 +131,7 @@
         head,
         body,
         received,
-        suspended: node.clock.suspended(),
+        suspended: node.suspend_detector.total_suspended(),
         route,
         organisation,
         service,
@@ -145,7 +145,7 @@
 
 /// Returns the table in force, or waits for the first one while the instance starts.
 async fn wait_for_table(node: &Node, meta: &RequestMeta) -> Result<Rc<Table>, Refusal> {
-    let mut version = node.version.subscribe();
+    let mut version = node.version_tx.subscribe();
     let max_wait = meta
         .timeout
         .unwrap_or(MAX_TABLE_WAIT)
@@ -158,7 +158,7 @@
         tokio::select! {
             _ = version.changed() => {}
             () = &mut wait_expired => return Err(unavailable("no table received yet")),
-            () = node.last_answers() => return Err(unavailable("this instance shuts down and has received no table")),
+            () = node.response_deadline_reached() => return Err(unavailable("this instance shuts down and has received no table")),
         }
     }
 }
@@ -169,12 +169,12 @@
     meta: &RequestMeta,
     received: Instant,
     refusal: &Refusal,
-) -> Response<Body> {
+) -> Response<ResponseBody> {
     request_log::log_refused(node, meta, received, refusal);
     let (status, headers) = node
         .protocol
         .refusal_response(Some(&meta.attempt_id), refusal);
-    let mut response = Response::new(Body::whole(Bytes::new()));
+    let mut response = Response::new(ResponseBody::complete(Bytes::new()));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
     response
@@ -182,7 +182,11 @@
 
 impl RequestContext {
     /// Runs the request and logs it if the task is dropped before a response exists.
-    async fn run(mut self, node: Rc<Node>, active: ActiveGuard) -> Result<Response<Body>, Refusal> {
+    async fn run(
+        mut self,
+        node: Rc<Node>,
+        active: ActiveGuard,
+    ) -> Result<Response<ResponseBody>, Refusal> {
         let mut unanswered = UnansweredGuard::new(&node, &self.meta.attempt_id, self.received);
         let result = self.dispatch(&node, active, &mut unanswered).await;
         unanswered.end();
@@ -195,12 +199,12 @@
         node: &Rc<Node>,
         active: ActiveGuard,
         unanswered: &mut UnansweredGuard,
-    ) -> Result<Response<Body>, Refusal> {
+    ) -> Result<Response<ResponseBody>, Refusal> {
         let mut active = Some(active);
         loop {
             unanswered.replica = None;
             let placed = tokio::select! {
-                placed = node.place(self.job(node)) => placed.map_err(|_| Expiry::RouteTimeout),
+                placed = node.acquire_slot(self.job(node)) => placed.map_err(|_| Expiry::RouteTimeout),
                 expiry = wait_for_expiry(node, &self.route, self.received) => Err(expiry),
                 () = self.regions_changed(node) => {
                     self.recheck(node)?;
@@ -231,14 +235,17 @@
     /// Refunds the credit of a request that no replica has run.
     fn refund(&self, node: &Node) {
         if let Some(organisation) = &self.organisation {
-            credit::give_back(node, organisation, &self.charge);
+            credit::refund(node, organisation, &self.charge);
         }
     }
 
     /// Time until the caller's timeout or the route's, whichever is shorter. Time for which the
     /// machine was suspended counts as elapsed.
     pub fn time_left(&self, node: &Node) -> Duration {
-        let suspended = node.clock.suspended().saturating_sub(self.suspended);
+        let suspended = node
+            .suspend_detector
+            .total_suspended()
+            .saturating_sub(self.suspended);
         let elapsed = self.received.elapsed() + suspended;
         let timeout = self.meta.timeout.unwrap_or(self.route.timeout);
         timeout.min(self.route.timeout).saturating_sub(elapsed)
--- a/crates/entry/src/request/placing.rs
+++ b/crates/entry/src/request/placing.rs
@@ -11,9 +11,9 @@
 use super::RequestContext;
 use super::refusing::{check_regions, check_time_to_shutdown, unavailable};
 use crate::admission::resolve;
-use crate::node::{Node, Place, Target};
+use crate::node::{Node, SlotGuard, Target};
 use crate::refusal::Refusal;
-use crate::table::regions;
+use crate::table::allowed_regions;
 
 /// Shortest time after which callers abandon a stream that sends nothing, also before its first
 /// event. They abandon it after this time, four latency objectives or eight times the longest
@@ -38,7 +38,7 @@
 impl RequestContext {
     /// Returns the replica of an assigned slot, or `None` if the replica is gone or the request may
     /// no longer be served in its region.
-    pub(super) fn target(&self, node: &Node, place: &Place) -> Option<Rc<Target>> {
+    pub(super) fn target(&self, node: &Node, place: &SlotGuard) -> Option<Rc<Target>> {
         let target = node.target(&place.upstream)?;
         let region = node.region_of(&target.published.zone);
         self.regions().allows(&region).then_some(target)
@@ -46,17 +46,17 @@
 
     /// Regions in which the request may be served.
     pub(super) fn regions(&self) -> Regions {
-        regions(&self.route, self.organisation.as_deref())
+        allowed_regions(&self.route, self.organisation.as_deref())
     }
 
     /// Completes when a newer table allows other regions than those the request is queued for.
     pub(super) async fn regions_changed(&self, node: &Node) {
-        let mut version = node.version.subscribe();
+        let mut version = node.version_tx.subscribe();
         while version.changed().await.is_ok() {
             let table = node.table();
             let resolved = table.and_then(|t| resolve(&t, &self.head, &self.meta).ok());
-            let allowed =
-                resolved.map(|(route, organisation)| regions(&route, organisation.as_deref()));
+            let allowed = resolved
+                .map(|(route, organisation)| allowed_regions(&route, organisation.as_deref()));
             if allowed.is_some_and(|allowed| allowed != self.regions()) {
                 return;
             }
@@ -67,7 +67,7 @@
     /// Latest time for the complete response: the request's timeout or the process's last responses.
     fn response_deadline(&self, node: &Node) -> Instant {
         let deadline = Instant::now() + self.time_left(node);
-        node.answers_by
+        node.response_deadline
             .get()
             .map_or(deadline, |shutdown| shutdown.min(deadline))
     }
@@ -75,33 +75,33 @@
     /// Describes the request to the dispatcher, which orders it and selects a replica.
     pub(super) fn job(&self, node: &Node) -> Job {
         let stream = self.route.kind.is_stream();
-        let objective = self.route.objective;
+        let objective = self.route.latency_objective;
         let patience = if stream {
             MIN_STREAM_PATIENCE
                 .max(objective.mul_f64(STREAM_PATIENCE_OBJECTIVES))
-                .max(self.route.longest_pause.mul_f64(STREAM_PATIENCE_PAUSES))
+                .max(self.route.max_event_gap.mul_f64(STREAM_PATIENCE_PAUSES))
         } else {
             self.route.timeout
         };
         let patience = patience.min(self.meta.timeout.unwrap_or(patience));
         let own_rank = self.organisation.as_ref().and_then(|o| o.rank);
         Job {
-            id: node.new_job(),
-            rank: (own_rank.unwrap_or(self.route.rank), self.route.rank),
-            received: self.received,
-            due: self.received + objective,
+            id: node.next_job_id(),
+            priority: (own_rank.unwrap_or(self.route.rank), self.route.rank),
+            received_at: self.received,
+            slo_deadline: self.received + objective,
             deadline: self.response_deadline(node),
-            give_up: self.received + patience.mul_f64(MAX_QUEUE_WAIT_FRACTION),
+            queue_deadline: self.received + patience.mul_f64(MAX_QUEUE_WAIT_FRACTION),
             service: self.service.clone(),
             regions: self.regions(),
-            prompt: f64::from(self.meta.prompt_tokens.unwrap_or(0)),
-            output: self.meta.estimated_output_tokens(),
-            longest_pause: if stream {
-                self.route.longest_pause
+            prompt_tokens: f64::from(self.meta.prompt_tokens.unwrap_or(0)),
+            expected_output_tokens: self.meta.estimated_output_tokens(),
+            max_event_gap: if stream {
+                self.route.max_event_gap
             } else {
                 Duration::ZERO
             },
-            tried: self.tried.clone(),
+            tried_replicas: self.tried.clone(),
             salt: rand::rng().random(),
         }
     }
@@ -141,14 +141,14 @@
     }
 
     /// Waits for a slot for the rest of a stream that broke off, under the table in force.
-    pub async fn place_for_resume(&mut self, node: &Rc<Node>) -> Option<(Place, Rc<Target>)> {
+    pub async fn place_for_resume(&mut self, node: &Rc<Node>) -> Option<(SlotGuard, Rc<Target>)> {
         self.refresh_route(node);
         let now = Instant::now();
         let mut job = self.job(node);
-        job.rank = (0, 0);
-        job.due = now + self.route.longest_pause;
-        job.give_up = now + MIN_STREAM_PATIENCE.mul_f64(MAX_RESUME_WAIT_FRACTION);
-        let place = node.place(job).await.ok()?;
+        job.priority = (0, 0);
+        job.slo_deadline = now + self.route.max_event_gap;
+        job.queue_deadline = now + MIN_STREAM_PATIENCE.mul_f64(MAX_RESUME_WAIT_FRACTION);
+        let place = node.acquire_slot(job).await.ok()?;
         self.refresh_route(node);
         let target = self.target(node, &place)?;
         Some((place, target))
--- a/crates/entry/src/request/refusing.rs
+++ b/crates/entry/src/request/refusing.rs
@@ -10,11 +10,11 @@
 use super::RequestContext;
 use crate::adapter::RequestMeta;
 use crate::admission::{SHORT_RETRY_AFTER, completes_before_shutdown};
-use crate::exchange::Failure;
+use crate::exchange::SendFailure;
 use crate::expiry::Expiry;
 use crate::node::Node;
 use crate::refusal::{Refusal, RefusalKind, RunStatus};
-use crate::table::{Organisation, Route, regions};
+use crate::table::{Organisation, Route, allowed_regions};
 
 /// Retry delay in seconds after a refusal for lack of capacity: bursts last two to five seconds.
 /// Callers wait at most a third of the time that they have left.
@@ -25,7 +25,7 @@
     route: &Route,
     organisation: Option<&Organisation>,
 ) -> Result<(), Refusal> {
-    if !regions(route, organisation).is_none() {
+    if !allowed_regions(route, organisation).is_none() {
         return Ok(());
     }
     let reason = format!(
@@ -77,19 +77,19 @@
         let standing = node
             .dispatch
             .borrow()
-            .standing(Instant::now(), &self.service, &regions);
+            .availability(Instant::now(), &self.service, &regions);
         let reason = format!(
             "no room for {} in {} ms in regions {regions}, received in region {}: {} replicas usable, of these {} in other regions, {} cold, {} in backoff, {} full; {} requests waiting, emptied zones [{}]",
             self.service,
             self.received.elapsed().as_millis(),
             node.settings().region,
             standing.usable,
-            standing.not_allowed,
-            standing.closed,
-            standing.left_alone,
+            standing.region_not_allowed,
+            standing.cold_not_designated,
+            standing.ejected,
             standing.full,
             standing.waiting,
-            node.emptied.borrow().all().join(","),
+            node.drained_zones.borrow().all().join(","),
         );
         Refusal::new(RefusalKind::Shed)
             .with_message(reason)
@@ -137,10 +137,10 @@
     }
 
     /// Builds the refusal of a request that a replica may have run and that may not be retried.
-    pub(super) fn no_retry_refusal(&self, failure: Failure) -> Refusal {
-        let reason = if !self.route.kind.repeatable() {
+    pub(super) fn no_retry_refusal(&self, failure: SendFailure) -> Refusal {
+        let reason = if !self.route.kind.is_retryable() {
             "the route allows one run"
-        } else if self.runs >= self.route.attempts {
+        } else if self.runs >= self.route.max_attempts {
             "the route's attempts are used up"
         } else {
             "no time or retry budget for another attempt"
--- a/crates/entry/src/request/sending.rs
+++ b/crates/entry/src/request/sending.rs
@@ -9,12 +9,12 @@
 
 use super::{ActiveGuard, RequestContext};
 use crate::adapter::ForwardInfo;
-use crate::exchange::{self, Answer, Failure};
+use crate::exchange::{self, ReplicaResponse, SendFailure};
 use crate::expiry::wait_for_expiry;
 use crate::metrics::Phase;
-use crate::node::{Node, Place, Target};
+use crate::node::{Node, SlotGuard, Target};
 use crate::refusal::Refusal;
-use crate::relay::{self, Body};
+use crate::relay::{self, ResponseBody};
 use crate::request_log;
 
 /// Interval at which a retryable request checks whether its replica still sends data to any caller: a
@@ -35,7 +35,7 @@
 
 /// What to do after one attempt.
 pub(super) enum NextStep {
-    Respond(Box<Response<Body>>),
+    Respond(Box<Response<ResponseBody>>),
     Retry,
     Refuse(Refusal),
 }
@@ -46,14 +46,14 @@
         &mut self,
         node: &Rc<Node>,
         target: &Rc<Target>,
-        place: Place,
+        place: SlotGuard,
         active: &mut Option<ActiveGuard>,
     ) -> NextStep {
         if self.time_left(node).is_zero() {
-            place.end(Outcome::Unknown);
+            place.release(Outcome::Unknown);
             return NextStep::Refuse(self.timeout_refusal());
         }
-        let immediate = IMMEDIATE_FAILURE + node.travel(&target.published.zone) * 2;
+        let immediate = IMMEDIATE_FAILURE + node.rtt(&target.published.zone) * 2;
         let sent_at = Instant::now();
         let headers = self.forward_headers(node, target, None);
         self.tried.push(place.upstream.clone());
@@ -65,18 +65,18 @@
             &self.head,
             headers,
             self.body.clone(),
-            self.route.kind.repeatable(),
+            self.route.kind.is_retryable(),
         );
         let sent = tokio::select! {
             sent = sent => sent.map_err(|e| match e {
-                Failure::Broken if sent_at.elapsed() < immediate => Failure::Dropped,
+                SendFailure::Broken if sent_at.elapsed() < immediate => SendFailure::Dropped,
                 e => e,
             }),
             expiry = wait_for_expiry(node, &self.route, self.received) => {
-                place.end(Outcome::Unknown);
+                place.release(Outcome::Unknown);
                 return NextStep::Refuse(self.expiry_refusal(node, expiry));
             }
-            () = self.wait_for_retry(node, &place) => Err(Failure::Abandoned),
+            () = self.wait_for_retry(node, &place) => Err(SendFailure::Abandoned),
         };
         match sent {
             Ok(answer) => self.on_response(node, target, place, answer, active).await,
@@ -87,27 +87,27 @@
     /// Completes when the request should be sent to another replica, after it has consumed one retry
     /// of the budget; never completes if no retry is allowed, because an attempt is abandoned only in
     /// favour of another one.
-    async fn wait_for_retry(&self, node: &Node, place: &Place) {
-        if !self.route.kind.repeatable() || self.runs >= self.route.attempts {
+    async fn wait_for_retry(&self, node: &Node, place: &SlotGuard) {
+        if !self.route.kind.is_retryable() || self.runs >= self.route.max_attempts {
             return std::future::pending().await;
         }
         let sent = Instant::now();
         loop {
             tokio::time::sleep(STALL_CHECK_INTERVAL).await;
             let plain = !self.route.kind.is_stream();
-            let slow = sent.elapsed() > self.route.objective.mul_f64(PLAIN_RETRY_FRACTION);
-            if (place.is_silent() || (plain && slow)) && self.try_consume_retry(node) {
+            let slow = sent.elapsed() > self.route.latency_objective.mul_f64(PLAIN_RETRY_FRACTION);
+            if (place.is_replica_stalled() || (plain && slow)) && self.try_consume_retry(node) {
                 return;
             }
         }
     }
 
     /// Handles an attempt without a response: decides between a retry and a refusal.
-    fn on_failure(&mut self, node: &Node, place: Place, failure: Failure) -> NextStep {
+    fn on_failure(&mut self, node: &Node, place: SlotGuard, failure: SendFailure) -> NextStep {
         request_log::log_send_failed(node, self, &place.upstream, failure);
-        place.end(failure.outcome());
+        place.release(failure.outcome());
         if failure.may_have_run() {
-            return if failure == Failure::Abandoned || self.try_consume_retry(node) {
+            return if failure == SendFailure::Abandoned || self.try_consume_retry(node) {
                 NextStep::Retry
             } else {
                 NextStep::Refuse(self.no_retry_refusal(failure))
@@ -115,7 +115,7 @@
         }
         self.runs -= 1;
         // A connection that could not be opened reached no replica, so no retry budget is consumed.
-        if failure == Failure::NotSent || self.consume_retry_budget(node) {
+        if failure == SendFailure::NotSent || self.consume_retry_budget(node) {
             NextStep::Retry
         } else {
             NextStep::Refuse(self.no_slot_refusal(node))
@@ -128,8 +128,8 @@
         &mut self,
         node: &Rc<Node>,
         target: &Rc<Target>,
-        place: Place,
-        answer: Answer,
+        place: SlotGuard,
+        answer: ReplicaResponse,
         active: &mut Option<ActiveGuard>,
     ) -> NextStep {
         if self.route.kind.is_stream() && answer.head.status.is_success() {
@@ -155,26 +155,28 @@
         &mut self,
         node: &Rc<Node>,
         target: &Rc<Target>,
-        place: Place,
-        answer: Answer,
+        place: SlotGuard,
+        answer: ReplicaResponse,
     ) -> NextStep {
-        let Answer {
+        let ReplicaResponse {
             head,
             body,
             connection,
         } = answer;
         let body = tokio::select! {
-            body = exchange::whole(body) => body,
+            body = exchange::read_body(body) => body,
             expiry = wait_for_expiry(node, &self.route, self.received) => {
                 return NextStep::Refuse(self.expiry_refusal(node, expiry));
             }
         };
         let Ok(body) = body else {
-            return self.on_failure(node, place, Failure::Broken);
+            return self.on_failure(node, place, SendFailure::Broken);
         };
-        target.pool.keep(Instant::now(), connection, &head.headers);
+        target
+            .pool
+            .put_back(Instant::now(), connection, &head.headers);
         let failed = head.status.is_server_error();
-        place.end(if failed {
+        place.release(if failed {
             Outcome::Failed
         } else {
             Outcome::Served
@@ -192,7 +194,7 @@
             first,
             Duration::ZERO,
         );
-        let mut response = Response::new(Body::whole(body));
+        let mut response = Response::new(ResponseBody::complete(body));
         *response.status_mut() = head.status;
         *response.headers_mut() = node.protocol.response_headers(&head);
         NextStep::Respond(Box::new(response))
@@ -219,18 +221,18 @@
     /// Returns whether another replica may be tried after one that may have run the request, and
     /// consumes one retry of the budget if so.
     pub fn try_consume_retry(&self, node: &Node) -> bool {
-        self.route.kind.repeatable()
-            && self.runs < self.route.attempts
+        self.route.kind.is_retryable()
+            && self.runs < self.route.max_attempts
             && self.time_left(node) > MIN_RETRY_TIME
             && self.consume_retry_budget(node)
     }
 
     /// Consumes one retry of the service's budget; returns false if none is left.
     pub(super) fn consume_retry_budget(&self, node: &Node) -> bool {
-        let instances = node.peers.borrow().known();
-        node.repeats
+        let instances = node.peers.borrow().instance_count();
+        node.retry_budget
             .borrow_mut()
-            .take(Instant::now(), &self.service, instances)
+            .try_spend(Instant::now(), &self.service, instances)
     }
 
     /// Builds the headers with which the request is forwarded to a replica.
--- a/crates/entry/src/request_log.rs
+++ b/crates/entry/src/request_log.rs
@@ -11,16 +11,16 @@
 use tokio::time::Instant;
 
 use crate::adapter::RequestMeta;
-use crate::exchange::Failure;
+use crate::exchange::SendFailure;
 use crate::log::Priority;
 use crate::metrics::Phase;
-use crate::node::{Node, Place, Stage};
+use crate::node::{Node, ProcessState, SlotGuard};
 use crate::refusal::Refusal;
 use crate::request::RequestContext;
 
 /// Logs that a request was assigned a slot and is sent to a replica.
-pub fn log_sent(node: &Node, ctx: &RequestContext, place: &Place) {
-    let why = place.why;
+pub fn log_sent(node: &Node, ctx: &RequestContext, place: &SlotGuard) {
+    let why = place.selection;
     let organisation = ctx.organisation.as_ref().map_or("-", |o| &*o.name);
     node.log.line(
         Priority::Low,
@@ -34,19 +34,24 @@
             ctx.waited.as_millis(),
             ctx.tried.len() + 1,
             why.cost_ms,
-            why.with_room,
-            why.own,
-            why.elsewhere,
-            node.peers.borrow().oldest_word(Instant::now()).as_millis(),
-            why.cold,
+            why.replicas_with_room,
+            why.own_running,
+            why.remote_running,
+            node.peers.borrow().max_report_age(Instant::now()).as_millis(),
+            why.is_cold,
             ctx.charge.waited.as_millis(),
-            ctx.charge.keeper.map_or("-".to_owned(), |k| k.to_string()),
+            ctx.charge.coordinator.map_or("-".to_owned(), |k| k.to_string()),
         ),
     );
 }
 
 /// Logs an attempt that ended without a response from the replica.
-pub fn log_send_failed(node: &Node, ctx: &RequestContext, replica: &UpstreamId, failure: Failure) {
+pub fn log_send_failed(
+    node: &Node,
+    ctx: &RequestContext,
+    replica: &UpstreamId,
+    failure: SendFailure,
+) {
     node.metrics.count_outcome(failure.as_str());
     node.log.line(
         Priority::High,
@@ -174,8 +179,8 @@
             return;
         }
         // Tasks are also dropped when the process ends; their callers are still connected then.
-        let event = match self.node.stage() {
-            Stage::Ended => "cut",
+        let event = match self.node.process_state() {
+            ProcessState::Ended => "cut",
             _ => "caller_left",
         };
         self.node.metrics.count_outcome(event);
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -11,13 +11,13 @@
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper_util::rt::{TokioIo, TokioTimer};
-use kingcupfield_decisions::known::Revision;
+use kingcupfield_decisions::store_view::Revision;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
 use crate::accept_queue::AcceptQueue;
 use crate::log::Priority;
-use crate::node::{Node, Stage};
+use crate::node::{Node, ProcessState};
 use crate::request;
 use crate::snapshot::{SNAPSHOT_PATH, Snapshot};
 
@@ -45,20 +45,20 @@
 
 impl ConnectionGuard {
     fn new(node: &Rc<Node>) -> Self {
-        node.connections.send_modify(|open| *open += 1);
+        node.open_connections.send_modify(|open| *open += 1);
         Self(Rc::clone(node))
     }
 }
 
 impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.0.connections.send_modify(|open| *open -= 1);
+        self.0.open_connections.send_modify(|open| *open -= 1);
     }
 }
 
 /// Accepts connections of callers until the stage `Shut`, then those left in the accept queue.
 pub async fn serve_callers(node: Rc<Node>, listener: TcpListener) {
-    let mut stage = node.stage.subscribe();
+    let mut stage = node.process_state.subscribe();
     loop {
         tokio::select! {
             accepted = listener.accept() => match accepted {
@@ -66,7 +66,7 @@
                 // Out of file descriptors: some become free when open connections end.
                 Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             },
-            _ = stage.wait_for(|stage| *stage >= Stage::Shut) => break,
+            _ = stage.wait_for(|stage| *stage >= ProcessState::Shut) => break,
         }
     }
     drain_accept_queue(&node, listener);
@@ -104,9 +104,9 @@
     if stream.set_nodelay(true).is_err() {
         return;
     }
-    let mut stage = node.stage.subscribe();
+    let mut stage = node.process_state.subscribe();
     // A connection accepted this late may send one request, at once, and is never kept idle.
-    let late = node.stage() >= Stage::Closing;
+    let late = node.process_state() >= ProcessState::Closing;
     let limits = node.table().map(|t| t.limits);
     let idle_timeout = limits.map_or(DEFAULT_IDLE_TIMEOUT, |l| l.idle_timeout.max(l.head_timeout));
     let head_bytes = limits
@@ -135,7 +135,7 @@
             biased;
             // An error means that the caller disconnected or sent no valid request.
             _ = connection.as_mut() => return,
-            _ = stage.wait_for(|stage| *stage >= Stage::Closing) => {}
+            _ = stage.wait_for(|stage| *stage >= ProcessState::Closing) => {}
         }
         connection.as_mut().graceful_shutdown();
     }
@@ -168,11 +168,11 @@
 /// Returns the directory entries that changed after a revision; the query is that revision.
 fn snapshot_response(node: &Node, after: &str) -> Response<Full<Bytes>> {
     let after: Revision = after.parse().unwrap_or(0);
-    let known = node.known.borrow();
+    let known = node.directory.borrow();
     let changed = known.entries().iter().filter(|e| e.revision > after);
     let snapshot = Snapshot {
-        upto: known.upto(),
-        store_trouble: node.reader.borrow().in_trouble(),
+        upto: known.complete_up_to(),
+        store_trouble: node.directory_reader.borrow().store_failed_recently(),
         entries: changed.cloned().collect(),
     };
     match rmp_serde::to_vec(&snapshot) {
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -5,10 +5,10 @@
 use std::path::Path;
 use std::time::Duration;
 
-use kingcupfield_decisions::cold::Bearable;
+use kingcupfield_decisions::cold::ColdLimit;
 use kingcupfield_decisions::credit::Tolerance;
 use kingcupfield_decisions::id::{InstanceId, RegionId, ZoneId};
-use kingcupfield_decisions::repeats::RepeatBounds;
+use kingcupfield_decisions::upstream_retries::UpstreamRetryBounds;
 use serde::Deserialize;
 
 /// Error of a settings file.
@@ -230,8 +230,8 @@
     }
 
     /// Budget for retries at another replica.
-    pub fn retry_bounds(&self) -> RepeatBounds {
-        RepeatBounds {
+    pub fn retry_bounds(&self) -> UpstreamRetryBounds {
+        UpstreamRetryBounds {
             ratio: self.repeats.ratio,
             window: Duration::from_secs_f64(self.repeats.window_s),
             extra: self.repeats.extra,
@@ -240,10 +240,10 @@
 
     /// Rates of a cold replica: the `per_s` requests per second that it can sustain, and the requests
     /// per second that it receives at most.
-    pub fn cold_rate(&self, per_s: f64) -> Bearable {
-        Bearable {
-            per_s,
-            tolerated: per_s * self.cold_tolerance.times + self.cold_tolerance.extra,
+    pub fn cold_rate(&self, per_s: f64) -> ColdLimit {
+        ColdLimit {
+            requests_per_s: per_s,
+            tolerated_per_s: per_s * self.cold_tolerance.times + self.cold_tolerance.extra,
         }
     }
 
--- a/crates/entry/src/shutdown.rs
+++ b/crates/entry/src/shutdown.rs
@@ -15,7 +15,7 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 use crate::log::Priority;
-use crate::node::{Node, Stage};
+use crate::node::{Node, ProcessState};
 
 /// Time from the stop signal to the close of idle connections. The load balancer needs two failed
 /// readiness checks, one second apart, to stop sending requests.
@@ -74,9 +74,9 @@
             stage: PhantomData,
         };
         log_stage(node, format_args!("event=stopping"));
-        node.answers_by
+        node.response_deadline
             .set(Some(stop.before_kill(LAST_RESPONSES_BEFORE_KILL)));
-        node.stage.send_replace(Stage::Leaving);
+        node.process_state.send_replace(ProcessState::Leaving);
         stop
     }
 
@@ -85,7 +85,7 @@
         let detected = self.started + BALANCER_DETECTION;
         sleep_until(detected.min(self.before_kill(SHUT_BEFORE_KILL))).await;
         log_stage(&self.node, format_args!("event=closing"));
-        self.enter(Stage::Closing)
+        self.enter(ProcessState::Closing)
     }
 }
 
@@ -97,7 +97,7 @@
         let latest = self.before_kill(SHUT_BEFORE_KILL);
         sleep_until((Instant::now() + LAST_CONNECTIONS).min(latest)).await;
         self.wait_for_callers(latest).await;
-        let stop = self.enter(Stage::Shut);
+        let stop = self.enter(ProcessState::Shut);
         if let Err(e) = accepting.await {
             log_stage(
                 &stop.node,
@@ -115,7 +115,7 @@
         self.wait_for_callers(self.before_kill(END_BEFORE_KILL))
             .await;
         // A connection that lacks only the rest of its response counts as cut as well.
-        let cut = *self.node.connections.borrow();
+        let cut = *self.node.open_connections.borrow();
         log_stage(&self.node, format_args!("event=stopped cut={cut}"));
     }
 }
@@ -123,7 +123,7 @@
 impl<S> Shutdown<S> {
     /// Waits until no caller is connected, at the latest until `latest`.
     async fn wait_for_callers(&self, latest: Instant) {
-        let mut connections = self.node.connections.subscribe();
+        let mut connections = self.node.open_connections.subscribe();
         // After a timeout the remaining connections are cut, and the log has their number.
         let _ = timeout_at(latest, connections.wait_for(|open| *open == 0)).await;
     }
@@ -134,8 +134,8 @@
     }
 
     /// Advances to the next stage and notifies all tasks.
-    fn enter<N>(self, stage: Stage) -> Shutdown<N> {
-        self.node.stage.send_replace(stage);
+    fn enter<N>(self, stage: ProcessState) -> Shutdown<N> {
+        self.node.process_state.send_replace(stage);
         Shutdown {
             node: self.node,
             started: self.started,
@@ -151,9 +151,9 @@
         Priority::High,
         format_args!(
             "{event} active={} connections={} taken={}",
-            node.active.get(),
-            *node.connections.borrow(),
-            node.taken.get(),
+            node.active_requests.get(),
+            *node.open_connections.borrow(),
+            node.accepted_requests.get(),
         ),
     );
 }
--- a/src/keyed.rs
+++ b/src/keyed.rs
@@ -10,8 +10,8 @@
 use http::{HeaderMap, HeaderValue, StatusCode};
 use kingcupfield_decisions::id::{InstanceId, RequestId, ServiceId};
 use kingcupfield_decisions::idempotency::{
-    Answer, FromIssuer, FromWitness, Key, KeyError, NotRun, Outcome, Receiver, Started, Step,
-    ToWitness,
+    IssuerReply, Key, KeyError, KeyOutcome, NotRun, Receiver, ReceiverStep, StartedReceiver,
+    StoredResponse, WitnessReply, WitnessRequest,
 };
 use tokio::time::{Instant, sleep_until, timeout};
 
@@ -67,9 +67,10 @@
     shared.keys.decode(text, organisation).map_err(|e| {
         let kind = match e {
             KeyError::OtherOrganisation | KeyError::Forged => RefusalKind::Forbidden,
-            KeyError::TooLong | KeyError::Malformed | KeyError::Cut | KeyError::ShortSecret => {
-                RefusalKind::BadRequest
-            }
+            KeyError::TooLong
+            | KeyError::Malformed
+            | KeyError::Truncated
+            | KeyError::ShortSecret => RefusalKind::BadRequest,
         };
         Refusal::new(kind).with_message(format!("Idempotency-Key: {e}"))
     })
@@ -110,42 +111,42 @@
 impl Follow {
     async fn run(mut self, key: Key) -> Head {
         let known = self.shared.members.view().incarnation(&key.issuer);
-        let Started {
+        let StartedReceiver {
             mut receiver,
             mut step,
         } = Receiver::start(key.clone(), known);
         loop {
             step = match step {
-                Step::Forward { to } => {
+                ReceiverStep::Forward { to } => {
                     let answer = self.forward(&to, &key).await;
                     let next = match answer {
-                        Forwarded::Answer(answer) => receiver.on_issuer(answer),
+                        Forwarded::Answer(answer) => receiver.on_issuer_reply(answer),
                         Forwarded::Unreachable => receiver.on_unreachable(),
                         Forwarded::Late => return Head::Refused(still_running()),
                     };
                     next.unwrap_or_else(|| self.lost(&mut receiver))
                 }
-                Step::LookUp { to } => {
+                ReceiverStep::LookUp { to } => {
                     let answer = self.look_up(&to, &key).await;
                     let next = match answer {
-                        Some(answer) => receiver.on_issuer(answer),
+                        Some(answer) => receiver.on_issuer_reply(answer),
                         None => receiver.on_unreachable(),
                     };
                     next.unwrap_or_else(|| self.lost(&mut receiver))
                 }
-                Step::Close { to, message } => {
+                ReceiverStep::Close { to, message } => {
                     if let Some(head) = self.try_heirs(&key).await {
                         return head;
                     }
                     let answer = ask_witness(&self.shared, &to, message).await;
                     let next = match answer {
-                        Some(answer) => receiver.on_witness(answer),
+                        Some(answer) => receiver.on_witness_reply(answer),
                         None => receiver.on_unreachable(),
                     };
                     next.unwrap_or_else(|| self.lost(&mut receiver))
                 }
-                Step::Answer(outcome) => return head_of(outcome),
-                Step::Refuse => return self.refused(),
+                ReceiverStep::Answer(outcome) => return head_of(outcome),
+                ReceiverStep::Refuse => return self.refused(),
             };
         }
     }
@@ -174,7 +175,7 @@
             Some(KeyReply::Issuer(answer)) => Forwarded::Answer(answer),
             Some(KeyReply::Refused(refusal)) => {
                 self.refusal = Some(refusal);
-                Forwarded::Answer(FromIssuer::Refused)
+                Forwarded::Answer(IssuerReply::Refused)
             }
             _ => Forwarded::Unreachable,
         }
@@ -186,9 +187,9 @@
     async fn try_heirs(&mut self, key: &Key) -> Option<Head> {
         for heir in heirs(&self.shared, &key.issuer) {
             match self.forward(&heir, key).await {
-                Forwarded::Answer(FromIssuer::Outcome(outcome)) => return Some(head_of(outcome)),
-                Forwarded::Answer(FromIssuer::Refused) => return Some(self.refused()),
-                Forwarded::Answer(FromIssuer::Moved { .. } | FromIssuer::NotHere)
+                Forwarded::Answer(IssuerReply::Outcome(outcome)) => return Some(head_of(outcome)),
+                Forwarded::Answer(IssuerReply::Refused) => return Some(self.refused()),
+                Forwarded::Answer(IssuerReply::Moved { .. } | IssuerReply::NotHere)
                 | Forwarded::Unreachable => {}
                 Forwarded::Late => return Some(Head::Refused(still_running())),
             }
@@ -201,7 +202,7 @@
         Head::Refused(refusal.unwrap_or_else(|| Refusal::new(RefusalKind::Unavailable)))
     }
 
-    async fn look_up(&self, to: &InstanceId, key: &Key) -> Option<FromIssuer> {
+    async fn look_up(&self, to: &InstanceId, key: &Key) -> Option<IssuerReply> {
         if *to == self.shared.instance {
             return Some(self.shared.keys.look_up(&key.id()));
         }
@@ -213,15 +214,15 @@
     }
 
     /// The receiver had no next step for an answer that did not fit.
-    fn lost(&self, receiver: &mut Receiver) -> Step {
+    fn lost(&self, receiver: &mut Receiver) -> ReceiverStep {
         log::warn!("event=key_answer_unexpected request={}", self.keyed.request);
-        let unknown = Step::Answer(Outcome::Unknown { upstream: None });
+        let unknown = ReceiverStep::Answer(KeyOutcome::Unknown { upstream: None });
         receiver.on_unreachable().unwrap_or(unknown)
     }
 }
 
 enum Forwarded {
-    Answer(FromIssuer),
+    Answer(IssuerReply),
     Unreachable,
     Late,
 }
@@ -233,15 +234,15 @@
 pub async fn ask_witness(
     shared: &Shared,
     to: &InstanceId,
-    message: ToWitness,
-) -> Option<FromWitness> {
+    message: WitnessRequest,
+) -> Option<WitnessReply> {
     let mut answer = ask_one_witness(shared, to, to, &message).await;
-    if answer.as_ref().is_some_and(|a| *a != FromWitness::Lost) {
+    if answer.as_ref().is_some_and(|a| *a != WitnessReply::Lost) {
         return answer;
     }
     for heir in heirs(shared, to) {
         let inherited = ask_one_witness(shared, &heir, to, &message).await;
-        if inherited.as_ref().is_some_and(|a| *a != FromWitness::Lost) {
+        if inherited.as_ref().is_some_and(|a| *a != WitnessReply::Lost) {
             return inherited;
         }
         answer = answer.or(inherited);
@@ -253,8 +254,8 @@
     shared: &Shared,
     asked: &InstanceId,
     witness: &InstanceId,
-    message: &ToWitness,
-) -> Option<FromWitness> {
+    message: &WitnessRequest,
+) -> Option<WitnessReply> {
     if *asked == shared.instance {
         return Some(shared.keys.on_witness(witness, message));
     }
@@ -273,13 +274,13 @@
     Refusal::new(RefusalKind::Unknown).with_message(message)
 }
 
-fn head_of(outcome: Outcome) -> Head {
+fn head_of(outcome: KeyOutcome) -> Head {
     match outcome {
-        Outcome::Ran {
+        KeyOutcome::Ran {
             answer: Some(answer),
             ..
         } => Head::Stream(replay(answer)),
-        Outcome::Ran {
+        KeyOutcome::Ran {
             upstream,
             answer: None,
         } => {
@@ -290,8 +291,8 @@
                     .with_ran(RunStatus::Yes),
             )
         }
-        Outcome::NotRun(why) => Head::Refused(not_run(why)),
-        Outcome::Unknown { upstream } => {
+        KeyOutcome::NotRun(why) => Head::Refused(not_run(why)),
+        KeyOutcome::Unknown { upstream } => {
             let place = upstream.map_or("an upstream".to_owned(), |u| format!("upstream {u}"));
             let message =
                 format!("it may have run at {place}; it will not run again under this key");
@@ -327,7 +328,7 @@
     Refusal::new(RefusalKind::Unavailable).with_message(message)
 }
 
-fn replay(answer: Answer) -> Response {
+fn replay(answer: StoredResponse) -> Response {
     let mut rsp = Response::new(Body::from(answer.body));
     *rsp.status_mut() = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     if let Some(value) = answer
--- a/src/keys.rs
+++ b/src/keys.rs
@@ -5,9 +5,10 @@
 
 use kingcupfield_decisions::id::{Incarnation, InstanceId, OrganisationId, UpstreamId};
 use kingcupfield_decisions::idempotency::{
-    Answer, Ask, Call, Estate, FromIssuer, FromWitness, HandedOver, Heir, Inheritance, Key,
-    KeyError, KeyId, Keys as Issuer, MAX_ESTATES, NotRun, Outcome, Phase, Secret, ToWitness, Use,
-    Witness, WitnessEstate, WitnessHeir, WitnessName,
+    CallAttempt, DispatchRights, EndedKeyRecord, IssuerReply, IssuerSuccessor, Key, KeyError,
+    KeyId, KeyIssuer, KeyOutcome, KeyPhase, KeysHandover, MAX_HANDOVERS, NotRun, Permission,
+    Secret, StoredResponse, UseDecision, Witness, WitnessHandover, WitnessId, WitnessReply,
+    WitnessRequest, WitnessSuccessor,
 };
 use serde_json::{Value, json};
 use thiserror::Error;
@@ -59,10 +60,10 @@
 struct State {
     me: InstanceId,
     door: watch::Sender<Door>,
-    issuer: Issuer,
+    issuer: KeyIssuer,
     witness: Witness,
-    heirs: Vec<Heir>,
-    witness_heirs: Vec<WitnessHeir>,
+    heirs: Vec<IssuerSuccessor>,
+    witness_heirs: Vec<WitnessSuccessor>,
     under_way: Vec<UnderWay>,
 }
 
@@ -70,9 +71,9 @@
 #[derive(Debug)]
 pub struct Legacy {
     /// Keys, its own and those that were left to it.
-    pub inheritances: Vec<Inheritance>,
+    pub inheritances: Vec<KeysHandover>,
     /// What it knew as a witness, and what witnesses left to it.
-    pub witnesses: Vec<WitnessEstate>,
+    pub witnesses: Vec<WitnessHandover>,
 }
 
 /// What a call with a key meets here.
@@ -85,7 +86,7 @@
     /// It would be the first, and this instance is about to leave: use the key again after that.
     Held(Left),
     /// Answer at once.
-    Answer(FromIssuer),
+    Answer(IssuerReply),
 }
 
 /// Tells when the keys of an instance that leaves are where they will be.
@@ -114,7 +115,7 @@
         let state = State {
             me: me.clone(),
             door: watch::Sender::new(Door::Open),
-            issuer: Issuer::new(me.clone(), incarnation, now),
+            issuer: KeyIssuer::new(me.clone(), incarnation, now),
             witness: Witness::new(incarnation),
             heirs: Vec::new(),
             witness_heirs: Vec::new(),
@@ -145,7 +146,7 @@
         };
         let witness = near.or_else(far).and_then(|instance| {
             let incarnation = view.incarnation(instance)?;
-            Some(WitnessName {
+            Some(WitnessId {
                 instance: instance.clone(),
                 incarnation,
             })
@@ -162,35 +163,35 @@
     }
 
     /// Takes a call whose key was checked.
-    pub fn on_use(&self, key: &Key, call: Call) -> Met {
+    pub fn on_use(&self, key: &Key, call: CallAttempt) -> Met {
         let now = Instant::now();
         let mut state = self.lock();
         let waits = matches!(state.door(), Door::Closing | Door::GivenUp);
         if waits && state.is_first_use(key) {
             return Met::Held(Left(state.door.subscribe()));
         }
-        let used = match state.heirs.iter_mut().find(|heir| heir.holds(key)) {
+        let used = match state.heirs.iter_mut().find(|heir| heir.covers(key)) {
             // What ended before the leaver left is known from its records.
             Some(heir) => match heir.on_use(now, key, call.clone()) {
-                Use::Answer(FromIssuer::NotHere) => state.issuer.on_use(now, key, call),
+                UseDecision::Answer(IssuerReply::NotHere) => state.issuer.on_use(now, key, call),
                 used => used,
             },
             None => state.issuer.on_use(now, key, call),
         };
         let id = key.id();
         match used {
-            Use::Answer(answer) => Met::Answer(answer),
-            Use::Join => match state.under_way.iter().find(|u| u.key == id) {
+            UseDecision::Answer(answer) => Met::Answer(answer),
+            UseDecision::Join => match state.under_way.iter().find(|u| u.key == id) {
                 Some(under_way) => Met::Join(under_way.ended.clone()),
-                None => Met::Answer(FromIssuer::Outcome(Outcome::Unknown { upstream: None })),
+                None => Met::Answer(IssuerReply::Outcome(KeyOutcome::Unknown { upstream: None })),
             },
             // Nobody took the keys over, and the process is about to end.
-            Use::First if state.door() == Door::Shut => {
+            UseDecision::First if state.door() == Door::Shut => {
                 let outcome = state.give_up(&id, NotRun::Leaving);
-                let outcome = outcome.unwrap_or(Outcome::NotRun(NotRun::Leaving));
-                Met::Answer(FromIssuer::Outcome(outcome))
+                let outcome = outcome.unwrap_or(KeyOutcome::NotRun(NotRun::Leaving));
+                Met::Answer(IssuerReply::Outcome(outcome))
             }
-            Use::First => {
+            UseDecision::First => {
                 let (tx, ended) = watch::channel(None);
                 state.under_way.push(UnderWay {
                     key: id,
@@ -202,18 +203,18 @@
     }
 
     /// Asks for the right to dispatch to `upstream`.
-    pub fn ask(&self, key: &KeyId, upstream: &UpstreamId) -> Ask {
+    pub fn ask(&self, key: &KeyId, upstream: &UpstreamId) -> Permission {
         match self.lock().machine(key) {
-            Some(issuer) => issuer.ask(Instant::now(), key.sequence, upstream),
-            None => Ask::NotRun(NotRun::Leaving),
+            Some(issuer) => issuer.request_permission(Instant::now(), key.sequence, upstream),
+            None => Permission::NotRun(NotRun::Leaving),
         }
     }
 
     /// Takes the witness's answer, `None` if none came.
-    pub fn on_answer(&self, key: &KeyId, answer: Option<&FromWitness>) -> Result<(), NotRun> {
+    pub fn on_answer(&self, key: &KeyId, answer: Option<&WitnessReply>) -> Result<(), NotRun> {
         let mut state = self.lock();
         let issuer = state.machine(key).ok_or(NotRun::Leaving)?;
-        issuer.on_witness(key.sequence, answer)
+        issuer.on_witness_reply(key.sequence, answer)
     }
 
     /// Takes the right to send the first byte now.
@@ -224,40 +225,40 @@
     }
 
     /// Notes how a dispatched call ended; `None` when nobody knows.
-    pub fn finish(&self, key: &KeyId, answer: Option<Answer>) -> Option<Outcome> {
+    pub fn finish(&self, key: &KeyId, answer: Option<StoredResponse>) -> Option<KeyOutcome> {
         let mut state = self.lock();
         state.end(key);
         state.machine(key)?.finish(key.sequence, answer)
     }
 
     /// Notes that not one byte of a dispatched call went out.
-    pub fn not_sent(&self, key: &KeyId) -> Option<Outcome> {
+    pub fn not_sent(&self, key: &KeyId) -> Option<KeyOutcome> {
         let mut state = self.lock();
         state.end(key);
-        state.machine(key)?.not_sent(key.sequence)
+        state.machine(key)?.on_not_sent(key.sequence)
     }
 
     /// Gives up a call that was not dispatched.
-    pub fn give_up(&self, key: &KeyId, why: NotRun) -> Option<Outcome> {
+    pub fn give_up(&self, key: &KeyId, why: NotRun) -> Option<KeyOutcome> {
         let mut state = self.lock();
         state.end(key);
         state.give_up(key, why)
     }
 
     /// Ends a first use for which nobody was asked; tells what to answer to it.
-    pub fn refuse(&self, key: &KeyId) -> Option<FromIssuer> {
+    pub fn refuse(&self, key: &KeyId) -> Option<IssuerReply> {
         let mut state = self.lock();
         state.end(key);
         state.machine(key)?.refuse(key.sequence)
     }
 
     /// Answers as the witness `witness`, which is this instance or one whose memory it took over.
-    pub fn on_witness(&self, witness: &InstanceId, message: &ToWitness) -> FromWitness {
+    pub fn on_witness(&self, witness: &InstanceId, message: &WitnessRequest) -> WitnessReply {
         let now = Instant::now();
         let mut state = self.lock();
         if *witness == self.me {
             let answer = state.witness.on_message(now, message);
-            if answer != FromWitness::Lost {
+            if answer != WitnessReply::Lost {
                 return answer;
             }
         }
@@ -265,23 +266,23 @@
         let heirs = state
             .witness_heirs
             .iter_mut()
-            .filter(|heir| heir.is_for(witness));
+            .filter(|heir| heir.replaces(witness));
         let mut answers = heirs.map(|heir| heir.on_message(now, message));
         answers
-            .find(|answer| *answer != FromWitness::Lost)
-            .unwrap_or(FromWitness::Lost)
+            .find(|answer| *answer != WitnessReply::Lost)
+            .unwrap_or(WitnessReply::Lost)
     }
 
     /// What became of a key, if this instance knows.
-    pub fn look_up(&self, key: &KeyId) -> FromIssuer {
-        match self.lock().issuer.adopted(Instant::now(), key) {
-            Some(outcome) => FromIssuer::Outcome(outcome),
-            None => FromIssuer::NotHere,
+    pub fn look_up(&self, key: &KeyId) -> IssuerReply {
+        match self.lock().issuer.adopted_outcome(Instant::now(), key) {
+            Some(outcome) => IssuerReply::Outcome(outcome),
+            None => IssuerReply::NotHere,
         }
     }
 
     /// Takes the records of a leaver.
-    pub fn adopt(&self, records: &[HandedOver]) -> Result<(), KeysError> {
+    pub fn adopt(&self, records: &[EndedKeyRecord]) -> Result<(), KeysError> {
         let mut state = self.lock();
         state.check_kept()?;
         state.issuer.adopt(Instant::now(), records);
@@ -289,27 +290,33 @@
     }
 
     /// Takes the unused keys of a leaver.
-    pub fn inherit(&self, estate: Estate) -> Result<(), KeysError> {
+    pub fn inherit(&self, estate: DispatchRights) -> Result<(), KeysError> {
         let now = Instant::now();
         let mut state = self.lock();
         state.check_kept()?;
-        state.heirs.retain(|heir| !heir.is_over(now));
-        let held = state.heirs.iter().any(|heir| heir.is_of(&estate));
-        if !held && state.heirs.len() < MAX_ESTATES {
-            state.heirs.push(Heir::new(estate, now));
+        state.heirs.retain(|heir| !heir.is_expired(now));
+        let held = state
+            .heirs
+            .iter()
+            .any(|heir| heir.is_same_handover(&estate));
+        if !held && state.heirs.len() < MAX_HANDOVERS {
+            state.heirs.push(IssuerSuccessor::new(estate, now));
         }
         Ok(())
     }
 
     /// Takes the memory of a witness that left.
-    pub fn inherit_witness(&self, estate: WitnessEstate) -> Result<(), KeysError> {
+    pub fn inherit_witness(&self, estate: WitnessHandover) -> Result<(), KeysError> {
         let now = Instant::now();
         let mut state = self.lock();
         state.check_kept()?;
-        state.witness_heirs.retain(|heir| !heir.is_over(now));
-        let held = state.witness_heirs.iter().any(|heir| heir.is_of(&estate));
-        if !held && state.witness_heirs.len() < MAX_ESTATES {
-            state.witness_heirs.push(WitnessHeir::new(estate, now));
+        state.witness_heirs.retain(|heir| !heir.is_expired(now));
+        let held = state
+            .witness_heirs
+            .iter()
+            .any(|heir| heir.is_same_handover(&estate));
+        if !held && state.witness_heirs.len() < MAX_HANDOVERS {
+            state.witness_heirs.push(WitnessSuccessor::new(estate, now));
         }
         Ok(())
     }
@@ -336,24 +343,29 @@
         let now = Instant::now();
         let mut state = self.lock();
         state.door.send_replace(Door::GivenUp);
-        let own = Inheritance {
-            estate: state.issuer.estate(now, successor),
-            ended: state.issuer.hand_over(successor),
+        let own = KeysHandover {
+            rights: state.issuer.hand_over_rights(now, successor),
+            ended: state.issuer.hand_over_ended(successor),
         };
         let mut inheritances = vec![own];
         inheritances.extend(
             state
                 .heirs
                 .iter_mut()
-                .map(|heir| heir.pass_on(now, successor)),
+                .map(|heir| heir.hand_over(now, successor)),
         );
         state.heirs.clear();
-        let memory = state.witness.leave(now);
-        let mut witnesses = vec![WitnessEstate {
+        let memory = state.witness.hand_over(now);
+        let mut witnesses = vec![WitnessHandover {
             instance: self.me.clone(),
             memory,
         }];
-        witnesses.extend(state.witness_heirs.iter_mut().map(|heir| heir.pass_on(now)));
+        witnesses.extend(
+            state
+                .witness_heirs
+                .iter_mut()
+                .map(|heir| heir.hand_over(now)),
+        );
         state.witness_heirs.clear();
         Legacy {
             inheritances,
@@ -406,12 +418,12 @@
         let issuer = self.machine(&key.id());
         issuer.is_some_and(|issuer| {
             let phase = issuer.phase(key.sequence);
-            matches!(phase, None | Some(Phase::Refused))
+            matches!(phase, None | Some(KeyPhase::Refused))
         })
     }
 
-    fn give_up(&mut self, key: &KeyId, why: NotRun) -> Option<Outcome> {
-        self.machine(key)?.give_up(key.sequence, why)
+    fn give_up(&mut self, key: &KeyId, why: NotRun) -> Option<KeyOutcome> {
+        self.machine(key)?.abandon(key.sequence, why)
     }
 
     fn end(&mut self, key: &KeyId) {
@@ -419,11 +431,11 @@
     }
 
     /// The machine that alone may dispatch `key` here.
-    fn machine(&mut self, key: &KeyId) -> Option<&mut Issuer> {
+    fn machine(&mut self, key: &KeyId) -> Option<&mut KeyIssuer> {
         if key.issuer == self.me && key.incarnation == self.issuer.incarnation() {
             return Some(&mut self.issuer);
         }
-        let heir = self.heirs.iter_mut().find(|heir| heir.holds_id(key));
-        heir.map(Heir::keys)
+        let heir = self.heirs.iter_mut().find(|heir| heir.covers_id(key));
+        heir.map(IssuerSuccessor::issuer)
     }
 }
