--- a/crates/entry/src/adapter.rs
+++ b/crates/entry/src/adapter.rs
@@ -80,7 +80,7 @@
     /// Builds the headers with which a request is forwarded to a replica.
     fn forward_headers(&self, head: &RequestParts, info: &ForwardInfo<'_>) -> HeaderMap;
 
-    /// Classifies a replica's response to the attempt `id`.
+    /// Classifies a replica's response; `id` is the attempt id of the request.
     fn classify_response(&self, id: &str, head: &ResponseParts) -> ResponseClass;
 
     /// Builds the headers of a replica's response that are passed to the caller.
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -69,15 +69,20 @@
     let Some(deadline) = node.response_deadline.get() else {
         return true;
     };
-    let left = deadline.saturating_duration_since(Instant::now());
+    let time_left = deadline.saturating_duration_since(Instant::now());
     let slow_time = SLOW_BASE_TIME + SLOW_TOKEN_TIME * meta.max_output_tokens.unwrap_or(0);
-    if node.process_state() >= ProcessState::Closing && slow_time >= left {
+    if node.process_state() >= ProcessState::Closing && slow_time >= time_left {
         return false;
     }
-    let left = left.saturating_sub(OVERHEAD_TIME);
-    let prompt = f64::from(meta.prompt_tokens.unwrap_or(0));
+    let time_left = time_left.saturating_sub(OVERHEAD_TIME);
+    let prompt_tokens = f64::from(meta.prompt_tokens.unwrap_or(0));
     let dispatch = node.dispatch.borrow();
-    dispatch.can_finish_within(left, service, prompt, meta.estimated_output_tokens())
+    dispatch.can_finish_within(
+        time_left,
+        service,
+        prompt_tokens,
+        meta.estimated_output_tokens(),
+    )
 }
 
 /// Finds the route of a request by host and path, and the organisation that owns its API key.
@@ -146,7 +151,7 @@
             .min(MAX_CREDIT_WAIT),
     };
     let charged = credit::charge(node, organisation, limit, charge).await;
-    charged.map_err(|uncharged| credit_refusal(node, organisation, route, charge, uncharged))
+    charged.map_err(|denial| credit_refusal(node, organisation, route, charge, denial))
 }
 
 /// Builds the refusal of a request that was granted no credit.
@@ -155,13 +160,13 @@
     organisation: &Organisation,
     route: &Route,
     charge: Charge,
-    uncharged: CreditDenial,
+    denial: CreditDenial,
 ) -> Refusal {
     let CreditDenial {
         verdict,
         waited,
         coordinator,
-    } = uncharged;
+    } = denial;
     let request = format!(
         "limit of {}: {:.0} requested in tier {}, class {}; coordinator {coordinator}, waited {} ms",
         organisation.name,
@@ -175,14 +180,14 @@
             .with_message(format!("{request}, no response"))
             .with_retry_after(SHORT_RETRY_AFTER);
     };
-    let pace = node
+    let accrual = node
         .credit_ledger
         .borrow()
         .accrual(name_hash(&organisation.name));
-    let depth = pace.map_or(0.0, |p| p.max_stock());
-    let size = node.peers.borrow().zone_size();
+    let max_stock = accrual.map_or(0.0, |p| p.max_stock());
+    let zone_size = node.peers.borrow().zone_size();
     let reason = format!(
-        "{request}, {stock:.0} of at most {depth:.0} available, {size} known instances in the zone",
+        "{request}, {stock:.0} of at most {max_stock:.0} available, {zone_size} known instances in the zone",
     );
     limited(f64::from(wait_ms) / 1000.0, reason)
 }
@@ -211,10 +216,11 @@
 /// Returns the priority class of a request on arrival, in half tiers: twice the rank of its tier plus
 /// its demotion for size.
 fn priority_class(node: &Node, route: &Route, service: &ServiceId, meta: &RequestMeta) -> u32 {
-    let prompt = f64::from(meta.prompt_tokens.unwrap_or(0));
-    let setback =
-        node.dispatch
-            .borrow()
-            .size_demotion(service, prompt, meta.estimated_output_tokens());
-    route.rank * 2 + setback
+    let prompt_tokens = f64::from(meta.prompt_tokens.unwrap_or(0));
+    let demotion = node.dispatch.borrow().size_demotion(
+        service,
+        prompt_tokens,
+        meta.estimated_output_tokens(),
+    );
+    route.rank * 2 + demotion
 }
--- a/crates/entry/src/expiry.rs
+++ b/crates/entry/src/expiry.rs
@@ -21,7 +21,7 @@
 /// know neither whether its request ran nor when to retry.
 pub async fn wait_for_expiry(node: &Rc<Node>, route: &Route, received: Instant) -> Expiry {
     let mut version = node.version_tx.subscribe();
-    let mut last_answers = std::pin::pin!(node.response_deadline_reached());
+    let mut response_deadline = std::pin::pin!(node.response_deadline_reached());
     loop {
         let timeout = node
             .table()
@@ -29,7 +29,7 @@
             .unwrap_or(route.timeout);
         tokio::select! {
             () = sleep_until(received + timeout) => return Expiry::RouteTimeout,
-            () = &mut last_answers => return Expiry::Shutdown,
+            () = &mut response_deadline => return Expiry::Shutdown,
             _ = version.changed() => {}
         }
     }
--- a/crates/entry/src/lifecycle.rs
+++ b/crates/entry/src/lifecycle.rs
@@ -39,12 +39,14 @@
         &runtime,
         run_until_signal(cfg, path, protocol, directory_client),
     )?;
-    let taken = node.accepted_requests.get();
+    let accepted_requests = node.accepted_requests.get();
     node.process_state.send_replace(ProcessState::Ended);
     // Dropping the tasks logs the requests and streams that are cut off.
     drop(local);
-    node.log
-        .line(Priority::High, format_args!("event=ended taken={taken}"));
+    node.log.line(
+        Priority::High,
+        format_args!("event=ended taken={accepted_requests}"),
+    );
     node.log.close();
     Ok(())
 }
@@ -59,28 +61,37 @@
     let mut term = signal(SignalKind::terminate())?;
     let mut int = signal(SignalKind::interrupt())?;
     let hup = signal(SignalKind::hangup())?;
-    let callers = TcpListener::bind(cfg.listen).await?;
-    let ready = TcpListener::bind(cfg.ready_listen).await?;
-    let peers = TcpListener::bind(cfg.peer_listen).await?;
-    let datagrams = UdpSocket::bind((cfg.address(), cfg.peer_port)).await?;
+    let caller_listener = TcpListener::bind(cfg.listen).await?;
+    let ready_listener = TcpListener::bind(cfg.ready_listen).await?;
+    let peer_listener = TcpListener::bind(cfg.peer_listen).await?;
+    let peer_socket = UdpSocket::bind((cfg.address(), cfg.peer_port)).await?;
     let node = Node::new(cfg, protocol, directory_client);
     node.log.line(
         Priority::High,
         format_args!(
             "event=start instance={} listen={} ready_listen={} peer_listen={}",
             node.settings().instance,
-            callers.local_addr()?,
-            ready.local_addr()?,
-            peers.local_addr()?
+            caller_listener.local_addr()?,
+            ready_listener.local_addr()?,
+            peer_listener.local_addr()?
         ),
     );
     let spawn = tokio::task::spawn_local::<std::pin::Pin<Box<dyn Future<Output = ()>>>>;
-    let accepting = spawn(Box::pin(server::serve_callers(Rc::clone(&node), callers)));
-    spawn(Box::pin(server::serve_readiness(Rc::clone(&node), ready)));
-    spawn(Box::pin(server::serve_peers(Rc::clone(&node), peers)));
+    let accepting = spawn(Box::pin(server::serve_callers(
+        Rc::clone(&node),
+        caller_listener,
+    )));
+    spawn(Box::pin(server::serve_readiness(
+        Rc::clone(&node),
+        ready_listener,
+    )));
+    spawn(Box::pin(server::serve_peers(
+        Rc::clone(&node),
+        peer_listener,
+    )));
     spawn(Box::pin(gossip::run(
         Rc::clone(&node),
-        datagrams,
+        peer_socket,
         incarnation(),
     )));
     spawn(Box::pin(directory::run(Rc::clone(&node))));
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -151,6 +151,7 @@
             .unwrap_or_default()
     }
 
+    /// Sets all gauges from the current state of the instance.
     fn update_gauges(&self, node: &Node) {
         let now = Instant::now();
         let peers = node.peers.borrow();
@@ -167,32 +168,32 @@
             self.set_age("store", age);
         }
         self.set_age("peers", peers.max_report_age(now));
-        let heard = peers.live_count(now) as f64 - 1.0;
+        let live = peers.live_count(now) as f64 - 1.0;
         let known = peers.all().len() as f64;
-        self.peers.with_label_values(&["heard"]).set(heard);
-        self.peers.with_label_values(&["silent"]).set(known - heard);
-        let openness = dispatch.replica_counts(now);
+        self.peers.with_label_values(&["heard"]).set(live);
+        self.peers.with_label_values(&["silent"]).set(known - live);
+        let counts = dispatch.replica_counts(now);
         for (state, count) in [
-            ("open", openness.accepting),
-            ("cold_kept", openness.cold_designated),
-            ("cold_closed", openness.cold_not_designated),
-            ("unusable", openness.unusable),
+            ("open", counts.accepting),
+            ("cold_kept", counts.cold_designated),
+            ("cold_closed", counts.cold_not_designated),
+            ("unusable", counts.unusable),
         ] {
             self.replica_states
                 .with_label_values(&[state])
                 .set(f64::from(count));
         }
         self.replica_slots.reset();
-        for held in dispatch.replica_usage().take(MAX_REPLICAS) {
-            let set = |whose: &str, places: u32| {
-                let labels = [&**held.upstream, whose];
+        for usage in dispatch.replica_usage().take(MAX_REPLICAS) {
+            let set = |whose: &str, slots: u32| {
+                let labels = [&**usage.upstream, whose];
                 self.replica_slots
                     .with_label_values(&labels)
-                    .set(f64::from(places));
+                    .set(f64::from(slots));
             };
-            set("own", held.own_running);
-            set("elsewhere", held.remote_running);
-            set("slots", held.slots);
+            set("own", usage.own_running);
+            set("elsewhere", usage.remote_running);
+            set("slots", usage.slots);
         }
     }
 
--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -340,7 +340,7 @@
             if self.tx.is_closed() || !self.ctx.try_consume_retry(&self.node) {
                 return None;
             }
-            let (place, target) = self.ctx.place_for_resume(&self.node).await?;
+            let (place, target) = self.ctx.acquire_slot_for_resume(&self.node).await?;
             self.ctx.tried.push(place.upstream.clone());
             self.ctx.runs += 1;
             let after = self.scanner.last_event_id().map(str::to_owned);
--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -1,8 +1,9 @@
-//! Lifecycle of one request: it is received, admitted, assigned a slot, sent and answered.
+//! Lifecycle of one request: it is received, admitted, assigned a slot, sent to a replica and responded
+//! to.
 
-mod placing;
-mod refusing;
-mod sending;
+mod attempt;
+mod refusals;
+mod slot_request;
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -26,14 +27,15 @@
 use crate::request_log::{self, UnansweredGuard};
 use crate::table::{Organisation, Route, Table};
 
-use refusing::{check_regions, check_time_to_shutdown, unavailable};
-use sending::NextStep;
+use attempt::NextStep;
+use refusals::{check_regions, check_time_to_shutdown, unavailable};
 
 /// Longest time a request waits for the first table after a start. The table is read within two
 /// tenths of a second if the store or a peer responds.
 const MAX_TABLE_WAIT: Duration = Duration::from_millis(600);
 
-/// Upper bound on the wait for the first table, as a fraction of the caller's timeout.
+/// Longest wait for the first table as a fraction of the caller's timeout, or of [`MAX_TABLE_WAIT`] if
+/// the caller sent none.
 const MAX_TABLE_WAIT_FRACTION: f64 = 0.25;
 
 /// State of one request while the instance handles it.
@@ -203,28 +205,28 @@
         let mut active = Some(active);
         loop {
             unanswered.replica = None;
-            let placed = tokio::select! {
-                placed = node.acquire_slot(self.job(node)) => placed.map_err(|_| Expiry::RouteTimeout),
+            let acquired = tokio::select! {
+                acquired = node.acquire_slot(self.job(node)) => acquired.map_err(|_| Expiry::RouteTimeout),
                 expiry = wait_for_expiry(node, &self.route, self.received) => Err(expiry),
                 () = self.regions_changed(node) => {
                     self.recheck(node)?;
                     continue;
                 }
             };
-            let place = match placed {
-                Ok(place) => place,
+            let slot = match acquired {
+                Ok(slot) => slot,
                 Err(Expiry::RouteTimeout) => return Err(self.no_slot_refusal(node)),
                 Err(Expiry::Shutdown) => return Err(self.shutdown_refusal(node)),
             };
             self.waited = self.received.elapsed();
             node.metrics.observe(Phase::Queued, self.waited);
             self.recheck(node)?;
-            let Some(target) = self.target(node, &place) else {
+            let Some(target) = self.target(node, &slot) else {
                 continue;
             };
-            request_log::log_sent(node, self, &place);
-            unanswered.replica = Some(place.upstream.clone());
-            match self.send(node, &target, place, &mut active).await {
+            request_log::log_sent(node, self, &slot);
+            unanswered.replica = Some(slot.upstream.clone());
+            match self.send(node, &target, slot, &mut active).await {
                 NextStep::Respond(response) => return Ok(*response),
                 NextStep::Refuse(refusal) => return Err(refusal),
                 NextStep::Retry => {}
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -46,17 +46,17 @@
         &mut self,
         node: &Rc<Node>,
         target: &Rc<Target>,
-        place: SlotGuard,
+        slot: SlotGuard,
         active: &mut Option<ActiveGuard>,
     ) -> NextStep {
         if self.time_left(node).is_zero() {
-            place.release(Outcome::Unknown);
+            slot.release(Outcome::Unknown);
             return NextStep::Refuse(self.timeout_refusal());
         }
         let immediate = IMMEDIATE_FAILURE + node.rtt(&target.published.zone) * 2;
         let sent_at = Instant::now();
         let headers = self.forward_headers(node, target, None);
-        self.tried.push(place.upstream.clone());
+        self.tried.push(slot.upstream.clone());
         self.runs += 1;
         let sent = exchange::send(
             target,
@@ -73,39 +73,40 @@
                 e => e,
             }),
             expiry = wait_for_expiry(node, &self.route, self.received) => {
-                place.release(Outcome::Unknown);
+                slot.release(Outcome::Unknown);
                 return NextStep::Refuse(self.expiry_refusal(node, expiry));
             }
-            () = self.wait_for_retry(node, &place) => Err(SendFailure::Abandoned),
+            () = self.wait_for_retry(node, &slot) => Err(SendFailure::Abandoned),
         };
         match sent {
-            Ok(answer) => self.on_response(node, target, place, answer, active).await,
-            Err(failure) => self.on_failure(node, place, failure),
+            Ok(response) => self.on_response(node, target, slot, response, active).await,
+            Err(failure) => self.on_failure(node, slot, failure),
         }
     }
 
     /// Completes when the request should be sent to another replica, after it has consumed one retry
     /// of the budget; never completes if no retry is allowed, because an attempt is abandoned only in
     /// favour of another one.
-    async fn wait_for_retry(&self, node: &Node, place: &SlotGuard) {
+    async fn wait_for_retry(&self, node: &Node, slot: &SlotGuard) {
         if !self.route.kind.is_retryable() || self.runs >= self.route.max_attempts {
             return std::future::pending().await;
         }
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         loop {
             tokio::time::sleep(STALL_CHECK_INTERVAL).await;
             let plain = !self.route.kind.is_stream();
-            let slow = sent.elapsed() > self.route.latency_objective.mul_f64(PLAIN_RETRY_FRACTION);
-            if (place.is_replica_stalled() || (plain && slow)) && self.try_consume_retry(node) {
+            let overdue =
+                sent_at.elapsed() > self.route.latency_objective.mul_f64(PLAIN_RETRY_FRACTION);
+            if (slot.is_replica_stalled() || (plain && overdue)) && self.try_consume_retry(node) {
                 return;
             }
         }
     }
 
     /// Handles an attempt without a response: decides between a retry and a refusal.
-    fn on_failure(&mut self, node: &Node, place: SlotGuard, failure: SendFailure) -> NextStep {
-        request_log::log_send_failed(node, self, &place.upstream, failure);
-        place.release(failure.outcome());
+    fn on_failure(&mut self, node: &Node, slot: SlotGuard, failure: SendFailure) -> NextStep {
+        request_log::log_send_failed(node, self, &slot.upstream, failure);
+        slot.release(failure.outcome());
         if failure.may_have_run() {
             return if failure == SendFailure::Abandoned || self.try_consume_retry(node) {
                 NextStep::Retry
@@ -128,11 +129,11 @@
         &mut self,
         node: &Rc<Node>,
         target: &Rc<Target>,
-        place: SlotGuard,
-        answer: ReplicaResponse,
+        slot: SlotGuard,
+        response: ReplicaResponse,
         active: &mut Option<ActiveGuard>,
     ) -> NextStep {
-        if self.route.kind.is_stream() && answer.head.status.is_success() {
+        if self.route.kind.is_stream() && response.head.status.is_success() {
             node.metrics
                 .observe(Phase::FirstByte, self.received.elapsed());
             let ctx = self.take_for_relay();
@@ -141,13 +142,13 @@
                 Rc::clone(node),
                 ctx,
                 Rc::clone(target),
-                place,
-                answer,
+                slot,
+                response,
                 active,
             );
             return NextStep::Respond(Box::new(response));
         }
-        self.respond_buffered(node, target, place, answer).await
+        self.respond_buffered(node, target, slot, response).await
     }
 
     /// Buffers a response until it is complete and returns it to the caller.
@@ -155,14 +156,14 @@
         &mut self,
         node: &Rc<Node>,
         target: &Rc<Target>,
-        place: SlotGuard,
-        answer: ReplicaResponse,
+        slot: SlotGuard,
+        response: ReplicaResponse,
     ) -> NextStep {
         let ReplicaResponse {
             head,
             body,
             connection,
-        } = answer;
+        } = response;
         let body = tokio::select! {
             body = exchange::read_body(body) => body,
             expiry = wait_for_expiry(node, &self.route, self.received) => {
@@ -170,13 +171,13 @@
             }
         };
         let Ok(body) = body else {
-            return self.on_failure(node, place, SendFailure::Broken);
+            return self.on_failure(node, slot, SendFailure::Broken);
         };
         target
             .pool
             .put_back(Instant::now(), connection, &head.headers);
         let failed = head.status.is_server_error();
-        place.release(if failed {
+        slot.release(if failed {
             Outcome::Failed
         } else {
             Outcome::Served
--- a/crates/entry/src/request/refusals.rs
+++ b/crates/entry/src/request/refusals.rs
@@ -74,21 +74,21 @@
         }
         self.refund(node);
         let regions = self.regions();
-        let standing = node
-            .dispatch
-            .borrow()
-            .availability(Instant::now(), &self.service, &regions);
+        let availability =
+            node.dispatch
+                .borrow()
+                .availability(Instant::now(), &self.service, &regions);
         let reason = format!(
-            "no room for {} in {} ms in regions {regions}, received in region {}: {} replicas usable, of these {} in other regions, {} cold, {} in backoff, {} full; {} requests waiting, emptied zones [{}]",
+            "no room for {} in {} ms in regions {regions}, received in region {}: {} replicas usable, of these {} in other regions, {} cold, {} in backoff, {} full; {} requests waiting, drained zones [{}]",
             self.service,
             self.received.elapsed().as_millis(),
             node.settings().region,
-            standing.usable,
-            standing.region_not_allowed,
-            standing.cold_not_designated,
-            standing.ejected,
-            standing.full,
-            standing.waiting,
+            availability.usable,
+            availability.region_not_allowed,
+            availability.cold_not_designated,
+            availability.ejected,
+            availability.full,
+            availability.waiting,
             node.drained_zones.borrow().all().join(","),
         );
         Refusal::new(RefusalKind::Shed)
@@ -110,10 +110,10 @@
         if self.runs > 0 {
             return Refusal::new(RefusalKind::Deadline)
                 .with_ran(RunStatus::Unknown)
-                .with_message("this instance ends before the replica has answered");
+                .with_message("this instance shuts down before the replica has responded");
         }
         self.refund(node);
-        unavailable("this instance ends before the request had a place")
+        unavailable("this instance shuts down before the request was assigned a slot")
     }
 
     /// Builds the refusal of a request whose route's or caller's timeout has expired.
--- a/crates/entry/src/request/slot_request.rs
+++ b/crates/entry/src/request/slot_request.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use super::RequestContext;
-use super::refusing::{check_regions, check_time_to_shutdown, unavailable};
+use super::refusals::{check_regions, check_time_to_shutdown, unavailable};
 use crate::admission::resolve;
 use crate::node::{Node, SlotGuard, Target};
 use crate::refusal::Refusal;
@@ -38,8 +38,8 @@
 impl RequestContext {
     /// Returns the replica of an assigned slot, or `None` if the replica is gone or the request may
     /// no longer be served in its region.
-    pub(super) fn target(&self, node: &Node, place: &SlotGuard) -> Option<Rc<Target>> {
-        let target = node.target(&place.upstream)?;
+    pub(super) fn target(&self, node: &Node, slot: &SlotGuard) -> Option<Rc<Target>> {
+        let target = node.target(&slot.upstream)?;
         let region = node.region_of(&target.published.zone);
         self.regions().allows(&region).then_some(target)
     }
@@ -141,17 +141,20 @@
     }
 
     /// Waits for a slot for the rest of a stream that broke off, under the table in force.
-    pub async fn place_for_resume(&mut self, node: &Rc<Node>) -> Option<(SlotGuard, Rc<Target>)> {
+    pub async fn acquire_slot_for_resume(
+        &mut self,
+        node: &Rc<Node>,
+    ) -> Option<(SlotGuard, Rc<Target>)> {
         self.refresh_route(node);
         let now = Instant::now();
         let mut job = self.job(node);
         job.priority = (0, 0);
         job.slo_deadline = now + self.route.max_event_gap;
         job.queue_deadline = now + MIN_STREAM_PATIENCE.mul_f64(MAX_RESUME_WAIT_FRACTION);
-        let place = node.acquire_slot(job).await.ok()?;
+        let slot = node.acquire_slot(job).await.ok()?;
         self.refresh_route(node);
-        let target = self.target(node, &place)?;
-        Some((place, target))
+        let target = self.target(node, &slot)?;
+        Some((slot, target))
     }
 
     /// Applies the table in force. A stream whose route or API key was removed keeps the rules under
--- a/crates/entry/src/request_log.rs
+++ b/crates/entry/src/request_log.rs
@@ -19,26 +19,26 @@
 use crate::request::RequestContext;
 
 /// Logs that a request was assigned a slot and is sent to a replica.
-pub fn log_sent(node: &Node, ctx: &RequestContext, place: &SlotGuard) {
-    let why = place.selection;
+pub fn log_sent(node: &Node, ctx: &RequestContext, slot: &SlotGuard) {
+    let selection = slot.selection;
     let organisation = ctx.organisation.as_ref().map_or("-", |o| &*o.name);
     node.log.line(
         Priority::Low,
         format_args!(
             "event=sent id={} replica={} service={} route={} organisation={organisation} table={} wait_ms={} try={} cost_ms={:.0} with_room={} own={} elsewhere={} elsewhere_age_ms={} cold={} credit_ms={} keeper={}",
             ctx.meta.attempt_id,
-            place.upstream,
+            slot.upstream,
             ctx.service,
             ctx.route.name,
             node.table_version(),
             ctx.waited.as_millis(),
             ctx.tried.len() + 1,
-            why.cost_ms,
-            why.replicas_with_room,
-            why.own_running,
-            why.remote_running,
+            selection.cost_ms,
+            selection.replicas_with_room,
+            selection.own_running,
+            selection.remote_running,
             node.peers.borrow().max_report_age(Instant::now()).as_millis(),
-            why.is_cold,
+            selection.is_cold,
             ctx.charge.waited.as_millis(),
             ctx.charge.coordinator.map_or("-".to_owned(), |k| k.to_string()),
         ),
--- a/crates/entry/src/shutdown.rs
+++ b/crates/entry/src/shutdown.rs
@@ -67,7 +67,7 @@
     /// Starts the shutdown.
     pub fn new(node: &Rc<Node>) -> Self {
         let started = Instant::now();
-        let stop = Self {
+        let shutdown = Self {
             node: Rc::clone(node),
             started,
             grace: node.settings().grace(),
@@ -75,9 +75,9 @@
         };
         log_stage(node, format_args!("event=stopping"));
         node.response_deadline
-            .set(Some(stop.before_kill(LAST_RESPONSES_BEFORE_KILL)));
+            .set(Some(shutdown.before_kill(LAST_RESPONSES_BEFORE_KILL)));
         node.process_state.send_replace(ProcessState::Leaving);
-        stop
+        shutdown
     }
 
     /// Waits until the load balancer has detected the stop, then closes idle connections.
@@ -90,27 +90,28 @@
 }
 
 impl Shutdown<Closing> {
-    /// Closes the listener once no caller is connected, at the latest [`SHUT_BEFORE_KILL`].
+    /// Closes the listener once no caller is connected, at the latest [`SHUT_BEFORE_KILL`] before the
+    /// kill.
     ///
     /// `accepting` is the task that accepts connections; it completes after the last one.
     pub async fn shut(self, accepting: JoinHandle<()>) -> Shutdown<Shut> {
         let latest = self.before_kill(SHUT_BEFORE_KILL);
         sleep_until((Instant::now() + LAST_CONNECTIONS).min(latest)).await;
         self.wait_for_callers(latest).await;
-        let stop = self.enter(ProcessState::Shut);
+        let shutdown = self.enter(ProcessState::Shut);
         if let Err(e) = accepting.await {
             log_stage(
-                &stop.node,
+                &shutdown.node,
                 format_args!("event=accepting_failed reason={e:?}"),
             );
         }
-        log_stage(&stop.node, format_args!("event=shut"));
-        stop
+        log_stage(&shutdown.node, format_args!("event=shut"));
+        shutdown
     }
 }
 
 impl Shutdown<Shut> {
-    /// Waits until the last connection has ended, at the latest [`END_BEFORE_KILL`].
+    /// Waits until the last connection has ended, at the latest [`END_BEFORE_KILL`] before the kill.
     pub async fn end(self) {
         self.wait_for_callers(self.before_kill(END_BEFORE_KILL))
             .await;
