--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -207,8 +207,8 @@
     pub fn from_name(name: &str) -> Option<Self> {
         ERROR_RESPONSES
             .iter()
-            .find(|row| row.name == name)
-            .map(|row| row.kind)
+            .find(|response| response.name == name)
+            .map(|response| response.kind)
     }
 
     /// Returns the entry of [`ERROR_RESPONSES`] for this kind.
@@ -217,7 +217,7 @@
     }
 }
 
-/// Why a request was not answered by an upstream.
+/// Refusal of a request: the error that the caller receives instead of an upstream response.
 #[derive(Debug, Clone, thiserror::Error)]
 #[error("{}: {message}", kind.error_response().name)]
 pub struct Refusal {
@@ -270,10 +270,10 @@
     use super::ERROR_RESPONSES;
 
     #[test]
-    fn each_kind_stands_at_its_own_row() {
-        for (i, row) in ERROR_RESPONSES.iter().enumerate() {
-            assert_eq!(row.kind as usize, i, "{}", row.name);
-            assert_eq!(row.kind.error_response().name, row.name);
+    fn responses_are_in_the_order_of_kinds() {
+        for (index, response) in ERROR_RESPONSES.iter().enumerate() {
+            assert_eq!(response.kind as usize, index, "{}", response.name);
+            assert_eq!(response.kind.error_response().name, response.name);
         }
     }
 }
