--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -358,7 +358,7 @@
             if self.tx.is_closed() || !self.ctx.try_consume_retry(&self.node) {
                 return None;
             }
-            let (slot, target) = self.ctx.place_for_resume(&self.node).await?;
+            let (slot, target) = self.ctx.acquire_slot_for_resume(&self.node).await?;
             self.ctx.tried.push(slot.upstream.clone());
             self.ctx.runs += 1;
             let last_event = self.scanner.last_event_id().map(str::to_owned);
