--- a/crates/decisions/src/membership.rs
+++ b/crates/decisions/src/membership.rs
@@ -1,18 +1,20 @@
-//! Which instances live: the platform's lagging list joined with what peers observe.
+//! Determines which instances are live, from the platform's lagging list and from observations of
+//! peers.
 //!
-//! Load pattern: crashes, pauses and cuts while the list is stale. Without this module every
-//! instance would go on reserving at a dead owner until the list caught up, or would drop all its
-//! peers when the list comes back empty.
+//! Load pattern: crashes, pauses and network partitions while the list is stale. Relying on the
+//! list alone, an instance would keep reserving slots at a dead owner until the list is updated, or
+//! would drop all its peers when the list comes back empty.
 //!
-//! Each instance watches [`WATCHED`] neighbours of its zone by rank (ring distances 1, 2, 4) and
-//! relays what it sees to neighbours at all powers of two, so news crosses a zone of N instances
-//! in about log2 N hops and nobody talks to everybody. A silent instance is suspected; it refutes
-//! a suspicion with a higher word, else it is dead [`DEAD_AFTER`] later in everybody's view. A
-//! restarted instance has a higher incarnation and is a new one. Two instances of each zone also
-//! watch two of each other zone.
+//! Each instance watches [`WATCHED_NEIGHBOURS`] neighbours in the ring of its zone (at distances 1,
+//! 2 and 4) and relays changes to the neighbours at all distances that are powers of two, so that a
+//! change reaches a zone of N instances in about log2 N hops without every instance contacting
+//! every other. An instance that doesn't respond is suspected. Unless it refutes the suspicion by a
+//! claim of a higher revision, all instances consider it dead after [`DEAD_AFTER`]. A restarted
+//! instance has a higher incarnation and counts as a new one. Two instances of each zone also watch
+//! two of each other zone.
 //!
-//! Views may differ for a moment. No promise rests on their agreement; see the design note on
-//! idempotency keys and the one on ownership.
+//! The views of instances may differ for a moment. No guarantee depends on their agreement; see the
+//! design notes on idempotency keys and on ownership.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,7 +25,7 @@
 use crate::values::{Instances, Role, State};
 
 pub use message::{Claim, Envelope, Health, LeavingUpstream, MembershipMessage};
-use peer::{Listed, Peer};
+use peer::{ListState, Peer};
 use upstreams::Upstreams;
 
 mod message;
@@ -31,94 +33,102 @@
 mod relay;
 mod upstreams;
 
-/// How often a watched neighbour is greeted.
+/// Interval between heartbeats to a watched neighbour.
 ///
-/// Three neighbours, twice a second, with answers: about 12 messages a second of 150 to 400 bytes,
-/// a third of the 9 KB/s that a node may spend on control.
+/// Three neighbours twice a second, with replies, are about 12 messages per second of 150 to 400
+/// bytes: a third of the 9 KB/s that a node may spend on control messages.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Silence after which a neighbour is suspected: three heartbeats in a row were lost.
+/// Time without a message after which a neighbour is suspected: three heartbeats in a row were
+/// lost.
 pub const SUSPECT_AFTER: Duration = Duration::from_millis(1500);
 
-/// Time that a suspected instance has to refute: the news needs log2 66 = 7 hops there and back
-/// in a zone of the target size, each well under 50 ms inside a zone.
+/// Time for a suspected instance to refute the suspicion. In a zone of the target size the messages
+/// take log2 66 = 7 hops there and as many back, each well under 50 ms.
 pub const DEAD_AFTER: Duration = Duration::from_secs(1);
 
-/// How often one instance that is dead here but still listed is greeted again, so that two sides
-/// of a healed cut, which hold each other dead, find together.
+/// Interval of heartbeats to an instance that is considered dead but still listed. They reconnect
+/// the two sides of a healed partition, which consider each other dead.
 pub const DEAD_PROBE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How long a dead or gone instance is remembered once the list has dropped it.
+/// Time for which a dead or departed instance is remembered after the list has dropped it.
 pub const FORGET_AFTER: Duration = Duration::from_mins(1);
 
-/// Neighbours that each instance watches; with three a neighbour may die together with a watcher.
+/// Neighbours that each instance watches. With three, one may fail at the same time as its watcher.
 pub const WATCHED_NEIGHBOURS: usize = 3;
 
-/// Instances of each zone that watch instances of the other zones.
+/// Instances of each zone that exchange messages with the other zones.
 pub const BRIDGES_PER_ZONE: usize = 2;
 
-/// Instances of each zone that wait on the platform; the rest poll slowly and hear from peers.
+/// Instances of each zone that long-poll the platform; the others poll rarely and are updated by
+/// peers.
 pub const PLATFORM_READERS_PER_ZONE: usize = 2;
 
-/// Most entry instances that are remembered, three times the size expected within two years.
+/// Largest number of entry instances to remember, three times the number expected within two years.
 pub const MAX_PEERS: usize = 1024;
 
-/// Most claims in one heartbeat; the rest follow in turn.
+/// Largest number of claims in one heartbeat; the others follow in rotation.
 pub const MAX_CLAIMS_PER_HEARTBEAT: usize = 2;
 
-/// The live instances of one zone.
+/// The live instances of one zone, sorted.
 #[derive(Debug)]
 struct ZoneView {
     zone: ZoneId,
     live_instances: Vec<InstanceId>,
 }
 
-/// One instance's view of all entry instances and of the leaving upstreams.
+/// View of one instance: all entry instances, and the upstreams that are shutting down.
 #[derive(Debug)]
 pub struct Membership {
-    me: InstanceId,
+    own_id: InstanceId,
     incarnation: Incarnation,
     zone: ZoneId,
-    word: u64,
+    /// Revision of this instance's claim about itself.
+    revision: u64,
     leaving: bool,
+    /// Whether a claim showed a later incarnation of this instance.
     superseded: bool,
+    /// Sorted by name.
     peers: Vec<Peer>,
+    /// Sorted by zone.
     views: Vec<ZoneView>,
+    /// Increases with each change of `views`.
     generation: u64,
     upstreams: Upstreams,
-    ticked: Instant,
-    greeted: Instant,
-    probed: Instant,
-    turn: usize,
+    last_tick_at: Instant,
+    last_heartbeat_at: Instant,
+    last_dead_probe_at: Instant,
+    /// Rotates the claims in heartbeats and the dead peers that are probed.
+    heartbeat_count: usize,
 }
 
 impl Membership {
-    /// Makes the view of instance `me`, which knows nobody yet.
-    pub fn new(me: InstanceId, incarnation: Incarnation, zone: ZoneId, now: Instant) -> Self {
+    /// Creates the view of instance `own_id`, which knows no other instance yet.
+    pub fn new(own_id: InstanceId, incarnation: Incarnation, zone: ZoneId, now: Instant) -> Self {
         let mut membership = Self {
-            me,
+            own_id,
             incarnation,
             zone,
-            word: 0,
+            revision: 0,
             leaving: false,
             superseded: false,
             peers: Vec::new(),
             views: Vec::new(),
             generation: 0,
             upstreams: Upstreams::default(),
-            ticked: now,
-            greeted: now,
-            probed: now,
-            turn: 0,
+            last_tick_at: now,
+            last_heartbeat_at: now,
+            last_dead_probe_at: now,
+            heartbeat_count: 0,
         };
-        membership.refresh();
+        membership.update_live_instances();
         membership
     }
 
-    /// Joins a list of instances that came into force.
+    /// Merges a new version of the list and returns the messages to send.
     ///
-    /// An instance that the list has dropped stays while peers show it: the list lags, and one
-    /// that was cut short must not end a fleet that works.
+    /// An instance missing from the list stays while peers report it: the list lags, and a
+    /// truncated one must not take down a working deployment.
     pub fn on_instance_list(
         &mut self,
         now: Instant,
@@ -126,79 +136,81 @@
         list: &Instances,
     ) -> Vec<Envelope> {
         for peer in &mut self.peers {
-            peer.listed = Listed::Absent;
+            peer.listed = ListState::Absent;
         }
         for instance in list.instances.iter().filter(|i| i.role == Role::Entry) {
-            if instance.instance == self.me {
+            if instance.instance == self.own_id {
                 continue;
             }
-            if let Some(peer) = self.ensure(now, &instance.instance, &instance.availability_zone) {
+            if let Some(peer) =
+                self.find_or_insert_peer(now, &instance.instance, &instance.availability_zone)
+            {
                 peer.zone = Arc::clone(&instance.availability_zone);
                 peer.listed = match instance.state {
-                    State::Live => Listed::Live,
-                    State::Leaving => Listed::Leaving,
+                    State::Live => ListState::Live,
+                    State::Leaving => ListState::Leaving,
                 };
             }
         }
-        // Never heard of by any peer, so the list was all that spoke for it.
+        // No message was ever received about these, and the list no longer contains them either.
         self.peers
-            .retain(|p| p.listed != Listed::Absent || p.incarnation > 0);
-        let news = self.upstreams.on_list(now, version, list);
-        self.refresh();
-        self.tell_upstreams(news)
+            .retain(|p| p.listed != ListState::Absent || p.incarnation > 0);
+        let reports = self.upstreams.on_instance_list(now, version, list);
+        self.update_live_instances();
+        self.relay_leaving_upstreams(reports)
     }
 
-    /// Notes a replica's own word that it leaves.
+    /// Processes a replica's report of its own shutdown and returns the messages to send.
     pub fn on_upstream_leaving(&mut self, now: Instant, upstream: &UpstreamId) -> Vec<Envelope> {
-        let news = self.upstreams.on_report(now, upstream);
-        self.tell_upstreams(news.into_iter().collect())
+        let report = self.upstreams.on_replica_report(now, upstream);
+        self.relay_leaving_upstreams(report.into_iter().collect())
     }
 
-    /// Announces that this instance leaves.
+    /// Starts the shutdown of this instance and returns the messages that announce it.
     pub fn leave(&mut self) -> Vec<Envelope> {
         if self.leaving {
             return Vec::new();
         }
         self.leaving = true;
-        self.word += 1;
-        self.refresh();
+        self.revision += 1;
+        self.update_live_instances();
         let claim = self.own_claim();
-        self.tell(&MembershipMessage::Leaving(claim), None)
+        self.relay(&MembershipMessage::Leaving(claim), None)
     }
 
-    /// Takes the time: greets, suspects, declares dead, forgets. Call it every
-    /// [`HEARTBEAT_EVERY`] or more often.
+    /// Sends due heartbeats, suspects unresponsive neighbours, declares suspects dead and forgets
+    /// old peers. To be called at least every [`HEARTBEAT_INTERVAL`]; returns the messages to send.
     pub fn on_tick(&mut self, now: Instant) -> Vec<Envelope> {
-        if now.duration_since(self.ticked) >= SUSPECT_AFTER {
-            // This process itself was paused: everybody looks silent, and it would declare its
-            // whole zone dead. The watch starts anew instead.
+        if now.duration_since(self.last_tick_at) >= SUSPECT_AFTER {
+            // This process itself was paused: all peers seem unresponsive, and it would declare its
+            // whole zone dead. Restart the timeouts instead.
             for peer in &mut self.peers {
-                peer.heard = now;
-                peer.since = now;
+                peer.last_heard_at = now;
+                peer.health_since = now;
             }
         }
-        self.ticked = now;
-        let mut out = self.suspect_silent(now);
+        self.last_tick_at = now;
+        let mut out = self.suspect_silent_neighbours(now);
         self.expire(now);
-        if now.duration_since(self.greeted) >= HEARTBEAT_INTERVAL {
-            self.greeted = now;
-            out.extend(self.greet());
+        if now.duration_since(self.last_heartbeat_at) >= HEARTBEAT_INTERVAL {
+            self.last_heartbeat_at = now;
+            out.extend(self.heartbeats());
         }
-        if now.duration_since(self.probed) >= DEAD_PROBE_INTERVAL {
-            self.probed = now;
-            out.extend(self.probe());
+        if now.duration_since(self.last_dead_probe_at) >= DEAD_PROBE_INTERVAL {
+            self.last_dead_probe_at = now;
+            out.extend(self.dead_peer_probe());
         }
-        self.refresh();
+        self.update_live_instances();
         out
     }
 
-    /// When [`Self::on_tick`] has something to do next.
+    /// Time at which [`Self::on_tick`] next has a heartbeat to send.
     pub fn next_tick_at(&self) -> Instant {
-        self.greeted + HEARTBEAT_INTERVAL
+        self.last_heartbeat_at + HEARTBEAT_INTERVAL
     }
 
-    /// Live instances of a zone, sorted; the ground of ownership. Suspected ones still count,
-    /// leaving ones do not.
+    /// Live instances of a zone, sorted, among which the owners of keys are chosen. Suspected
+    /// instances are included, those that are shutting down are not.
     pub fn live_instances(&self, zone: &str) -> &[InstanceId] {
         self.views
             .binary_search_by(|v| (*v.zone).cmp(zone))
@@ -210,23 +222,25 @@
         self.views.iter().map(|v| &v.zone)
     }
 
-    /// Grows with each change of [`Self::live`], so that owners are computed anew only then.
+    /// Counter that increases with each change of [`Self::live_instances`], to recompute owners
+    /// only then.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// What is known about an instance; none if it is unknown.
+    /// Status of an instance; `None` if it is unknown.
     pub fn status(&self, instance: &str) -> Option<InstanceStatus> {
-        if *instance == *self.me {
+        if *instance == *self.own_id {
             let leaving = self.leaving.then_some(InstanceStatus::Leaving);
             return Some(leaving.unwrap_or(InstanceStatus::Live));
         }
-        self.peer(instance).map(Peer::standing)
+        self.peer(instance).map(Peer::status)
     }
 
-    /// Latest incarnation that was heard of; none if the instance was never heard of.
+    /// Latest known incarnation of an instance; `None` if it is only known from the list, or
+    /// unknown.
     pub fn incarnation(&self, instance: &str) -> Option<Incarnation> {
-        if *instance == *self.me {
+        if *instance == *self.own_id {
             return Some(self.incarnation);
         }
         self.peer(instance)
@@ -234,25 +248,28 @@
             .filter(|i| *i > 0)
     }
 
-    /// Whether a later process runs under this instance's name; this one should end.
+    /// Whether a successor runs under this instance's name, so that this process should exit.
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// Upstreams that leave by the list's, their own or a peer's word, sorted.
+    /// Names of the upstreams that are shutting down according to the list, themselves or a peer,
+    /// sorted.
     pub fn leaving_upstreams(&self) -> &[UpstreamId] {
         self.upstreams.leaving()
     }
 
-    /// Whether this instance is one of the few of its zone that wait on the platform.
+    /// Whether this instance is one of the few in its zone that long-poll the platform.
     pub fn reads_platform(&self) -> bool {
         self.rank()
             .is_some_and(|rank| rank < PLATFORM_READERS_PER_ZONE)
     }
 
-    /// Position among the live instances of the zone; none while leaving.
+    /// Position among the live instances of the zone; `None` during shutdown.
     fn rank(&self) -> Option<usize> {
-        self.live_instances(&self.zone).binary_search(&self.me).ok()
+        self.live_instances(&self.zone)
+            .binary_search(&self.own_id)
+            .ok()
     }
 
     fn peer(&self, instance: &str) -> Option<&Peer> {
@@ -263,8 +280,13 @@
         self.peers.binary_search_by(|p| (*p.id).cmp(instance))
     }
 
-    /// Finds or adds a peer; none when too many are known.
-    fn ensure(&mut self, now: Instant, id: &InstanceId, zone: &ZoneId) -> Option<&mut Peer> {
+    /// Finds a peer or inserts it; `None` if there are too many.
+    fn find_or_insert_peer(
+        &mut self,
+        now: Instant,
+        id: &InstanceId,
+        zone: &ZoneId,
+    ) -> Option<&mut Peer> {
         match self.position(id) {
             Ok(i) => Some(&mut self.peers[i]),
             Err(_) if self.peers.len() >= MAX_PEERS => None,
@@ -276,47 +298,49 @@
         }
     }
 
-    fn suspect_silent(&mut self, now: Instant) -> Vec<Envelope> {
+    /// Suspects watched instances that sent nothing for [`SUSPECT_AFTER`].
+    fn suspect_silent_neighbours(&mut self, now: Instant) -> Vec<Envelope> {
         let mut out = Vec::new();
-        for id in self.watched() {
+        for id in self.watched_instances() {
             let Ok(i) = self.position(&id) else { continue };
             let peer = &mut self.peers[i];
-            let silent = now.duration_since(peer.heard) >= SUSPECT_AFTER;
-            if silent && peer.health == Health::Live {
+            let is_silent = now.duration_since(peer.last_heard_at) >= SUSPECT_AFTER;
+            if is_silent && peer.health == Health::Live {
                 peer.set_health(Health::Suspected, now);
                 let message = MembershipMessage::Suspect(peer.claim());
-                out.extend(self.tell(&message, None));
+                out.extend(self.relay(&message, None));
                 out.push(Envelope { to: id, message });
             }
         }
         out
     }
 
+    /// Declares suspects dead, and forgets dead or departed peers that are no longer listed.
     fn expire(&mut self, now: Instant) {
         self.upstreams.expire(now);
         for peer in &mut self.peers {
-            let waited = now.duration_since(peer.since);
-            if peer.health == Health::Suspected && waited >= DEAD_AFTER {
+            let suspected_for = now.duration_since(peer.health_since);
+            if peer.health == Health::Suspected && suspected_for >= DEAD_AFTER {
                 peer.set_health(Health::Dead, now);
             }
         }
         self.peers.retain(|p| {
-            let gone = p.health == Health::Dead || p.leaving;
-            let long = now.duration_since(p.since.max(p.heard)) >= FORGET_AFTER;
-            !(p.listed == Listed::Absent && gone && long)
+            let is_gone = p.health == Health::Dead || p.leaving;
+            let is_old = now.duration_since(p.health_since.max(p.last_heard_at)) >= FORGET_AFTER;
+            !(p.listed == ListState::Absent && is_gone && is_old)
         });
     }
 
-    /// Computes the live instances anew and notes whether they changed.
-    fn refresh(&mut self) {
+    /// Recomputes the live instances from the peers and updates the generation if they changed.
+    fn update_live_instances(&mut self) {
         let mut members = self
             .peers
             .iter()
-            .filter(|p| p.standing().accepts_work())
+            .filter(|p| p.status().accepts_work())
             .map(|p| (&p.zone, &p.id))
             .collect::<Vec<_>>();
         if !self.leaving {
-            members.push((&self.zone, &self.me));
+            members.push((&self.zone, &self.own_id));
         }
         members.sort();
         let mut views: Vec<ZoneView> = Vec::new();
@@ -329,38 +353,38 @@
                 }),
             }
         }
-        let same = views.len() == self.views.len()
+        let unchanged = views.len() == self.views.len()
             && (views.iter().zip(&self.views))
                 .all(|(a, b)| a.zone == b.zone && a.live_instances == b.live_instances);
-        if !same {
+        if !unchanged {
             self.views = views;
             self.generation += 1;
         }
     }
 }
 
-/// What is known about an instance.
+/// Status of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InstanceStatus {
-    /// It takes work.
+    /// It is responsive and accepts work.
     Live,
-    /// It was silent and has not refuted yet; it still counts as live.
+    /// It doesn't respond and has not refuted the suspicion yet; it still counts as live.
     Suspected,
-    /// It finishes what it has.
+    /// It is shutting down and only finishes its requests.
     Leaving,
-    /// It is gone, or cut off from here.
+    /// It has failed or is unreachable from here.
     Dead,
 }
 
 impl InstanceStatus {
-    /// Whether new work may go there.
+    /// Whether new requests may be sent to the instance.
     pub fn accepts_work(self) -> bool {
         matches!(self, Self::Live | Self::Suspected)
     }
 }
 
-/// Ranks of the zone's neighbours at powers of two, from `rank` on a ring of `size`.
-fn fingers(rank: usize, size: usize) -> impl Iterator<Item = usize> {
+/// Ranks at distances that are powers of two from `rank`, on a ring of `size` instances.
+fn ring_neighbours(rank: usize, size: usize) -> impl Iterator<Item = usize> {
     (0..usize::BITS)
         .map(|power| 1_usize << power)
         .take_while(move |distance| *distance < size)
--- a/crates/decisions/src/membership/message.rs
+++ b/crates/decisions/src/membership/message.rs
@@ -1,82 +1,82 @@
-//! What instances tell each other about instances and leaving upstreams.
+//! Messages between instances about each other's state and about upstreams that are shutting down.
 
 use serde::{Deserialize, Serialize};
 
 use crate::id::{Incarnation, InstanceId, UpstreamId, Version, ZoneId};
 
-/// What somebody holds of an instance's health; within one word the worse wins.
+/// Health of an instance in a claim; of two claims with equal revision, the worse health counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Health {
-    /// It was heard.
+    /// It responds.
     Live,
-    /// It was silent and may refute.
+    /// It stopped responding and may still refute that.
     Suspected,
-    /// It was silent and has not refuted.
+    /// It stopped responding and has not refuted that in time.
     Dead,
 }
 
-/// A claim about an instance. The higher (incarnation, word, health) replaces the lower; only the
-/// instance itself raises its word.
+/// Claim about an instance. The one with the higher (incarnation, revision, health) replaces the
+/// other; only the instance itself increases its revision.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Claim {
-    /// The instance that the claim is about.
+    /// Name of the instance that the claim is about.
     pub instance: InstanceId,
-    /// Its availability zone.
+    /// Availability zone of the instance.
     pub zone: ZoneId,
-    /// Its incarnation; 0 if the claimant never heard of it.
+    /// Incarnation of the instance; 0 if the sender never received a message from it.
     pub incarnation: Incarnation,
-    /// Its word, by which it refutes a suspicion.
+    /// Increased by the instance to refute a suspicion.
     #[serde(rename = "word")]
     pub revision: u64,
-    /// Its health.
+    /// Health of the instance as seen by the sender.
     pub health: Health,
-    /// Whether it leaves; within one incarnation this is never taken back.
+    /// Whether the instance is shutting down, which it can't revoke within an incarnation.
     pub leaving: bool,
 }
 
-/// News that an upstream leaves.
+/// Report that an upstream is shutting down.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LeavingUpstream {
-    /// The upstream.
+    /// Name of the upstream.
     pub upstream: UpstreamId,
-    /// Version of the list that was in force where the news began; a later list in which the
-    /// upstream came back ends the news.
+    /// Version of the list in force where the report originated. A later list in which the upstream
+    /// is live again ends the report.
     pub seen_at: Version,
 }
 
-/// Message between two instances about membership.
+/// Message between instances about membership.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MembershipMessage {
-    /// The sender lives.
+    /// Shows that the sender is alive.
     Heartbeat {
-        /// The sender's claim about itself.
+        /// Claim of the sender about itself.
         own: Claim,
-        /// Whether the receiver should greet back.
+        /// Whether the receiver should reply with a heartbeat of its own.
         answer: bool,
-        /// A few claims of the sender about others, in turn.
+        /// A few claims of the sender about others, in rotation.
         seen: Vec<Claim>,
-        /// Upstreams that leave.
+        /// Reports of upstreams that are shutting down.
         leaving_upstreams: Vec<LeavingUpstream>,
     },
-    /// An instance was silent.
+    /// Relays that an instance stopped responding, or is dead.
     Suspect(Claim),
-    /// An instance leaves.
+    /// Relays that an instance is shutting down.
     Leaving(Claim),
-    /// An instance lives, by its own word.
+    /// Relays an instance's own claim to be alive.
     Alive(Claim),
-    /// An upstream leaves.
+    /// Relays that an upstream is shutting down.
     LeavingUpstream(LeavingUpstream),
 }
 
-/// A message for one instance.
+/// Message with its receiver.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Envelope {
-    /// Whom it goes to.
+    /// Instance to send the message to.
     pub to: InstanceId,
-    /// The message.
+    /// Message to send.
     pub message: MembershipMessage,
 }
--- a/crates/decisions/src/membership/peer.rs
+++ b/crates/decisions/src/membership/peer.rs
@@ -1,4 +1,4 @@
-//! What one instance knows about another.
+//! State of another instance as seen by this one.
 
 use std::sync::Arc;
 
@@ -9,31 +9,31 @@
 use super::InstanceStatus;
 use super::message::{Claim, Health};
 
-/// What the platform's list says.
+/// State of an instance in the platform's list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Listed {
-    /// It stands there as live.
+pub(super) enum ListState {
+    /// Listed as live.
     Live,
-    /// It stands there as leaving.
+    /// Listed as leaving.
     Leaving,
-    /// It does not stand there.
+    /// Not listed.
     Absent,
 }
 
-/// Another entry instance.
+/// Another entry instance, from the platform's list and from claims.
 #[derive(Debug)]
 pub(super) struct Peer {
     pub(super) id: InstanceId,
     pub(super) zone: ZoneId,
-    pub(super) listed: Listed,
+    pub(super) listed: ListState,
     pub(super) incarnation: Incarnation,
-    pub(super) word: u64,
+    pub(super) revision: u64,
     pub(super) health: Health,
     pub(super) leaving: bool,
-    /// When it was last heard directly, or when the watch over it began.
-    pub(super) heard: Instant,
-    /// When its health last changed.
-    pub(super) since: Instant,
+    /// Time of the last message from the instance itself, or time at which watching it began.
+    pub(super) last_heard_at: Instant,
+    /// Time of the last change of `health`.
+    pub(super) health_since: Instant,
 }
 
 impl Peer {
@@ -41,64 +41,67 @@
         Self {
             id,
             zone,
-            listed: Listed::Absent,
+            listed: ListState::Absent,
             incarnation: 0,
-            word: 0,
+            revision: 0,
             health: Health::Live,
             leaving: false,
-            heard: now,
-            since: now,
+            last_heard_at: now,
+            health_since: now,
         }
     }
 
-    pub(super) fn standing(&self) -> InstanceStatus {
+    /// Status from health, claims and the list.
+    pub(super) fn status(&self) -> InstanceStatus {
         match self.health {
             Health::Dead => InstanceStatus::Dead,
-            _ if self.leaving || self.listed == Listed::Leaving => InstanceStatus::Leaving,
+            _ if self.leaving || self.listed == ListState::Leaving => InstanceStatus::Leaving,
             Health::Suspected => InstanceStatus::Suspected,
             Health::Live => InstanceStatus::Live,
         }
     }
 
+    /// Claim about the instance to pass on to others.
     pub(super) fn claim(&self) -> Claim {
         Claim {
             instance: Arc::clone(&self.id),
             zone: Arc::clone(&self.zone),
             incarnation: self.incarnation,
-            revision: self.word,
+            revision: self.revision,
             health: self.health,
             leaving: self.leaving,
         }
     }
 
+    /// Sets the health; a live instance counts as heard now.
     pub(super) fn set_health(&mut self, health: Health, now: Instant) {
         if health == Health::Live {
-            self.heard = now;
+            self.last_heard_at = now;
         }
         self.health = health;
-        self.since = now;
+        self.health_since = now;
     }
 
-    /// Takes a claim over if it is newer; tells whether anything changed.
+    /// Applies a claim if it is newer than the current state; returns whether anything changed.
     ///
-    /// A death that somebody else tells of only makes a suspect: after a healed cut each side
-    /// holds the other dead, and an instance that is heard here all the time would be dropped,
-    /// with the calls that wait on it, until its refutation came. Dead it is [`super::DEAD_AFTER`]
-    /// later, unless it refutes.
-    pub(super) fn join(&mut self, claim: &Claim, now: Instant) -> bool {
-        let held = (self.incarnation, self.word, self.health);
+    /// A peer's claim that the instance is dead only makes it suspected: after a network partition
+    /// heals, each side considers the other dead, and an instance that is heard directly all the
+    /// time would be dropped until its refutation arrived, together with the calls that wait for
+    /// it. Without a refutation it is dead [`super::DEAD_AFTER`] later.
+    pub(super) fn merge_claim(&mut self, claim: &Claim, now: Instant) -> bool {
+        let previous = (self.incarnation, self.revision, self.health);
         let health = claim.health.min(Health::Suspected);
-        let newer = (claim.incarnation, claim.revision, health) > held;
+        let is_newer = (claim.incarnation, claim.revision, health) > previous;
         let leaving = match claim.incarnation.cmp(&self.incarnation) {
             std::cmp::Ordering::Less => self.leaving,
             std::cmp::Ordering::Equal => self.leaving || claim.leaving,
             std::cmp::Ordering::Greater => claim.leaving,
         };
-        let changed = newer || leaving != self.leaving;
+        let changed = is_newer || leaving != self.leaving;
         self.leaving = leaving;
-        if newer {
+        if is_newer {
             self.incarnation = claim.incarnation;
-            self.word = claim.revision;
+            self.revision = claim.revision;
             if self.health != health {
                 self.set_health(health, now);
             }
--- a/crates/decisions/src/membership/relay.rs
+++ b/crates/decisions/src/membership/relay.rs
@@ -1,4 +1,4 @@
-//! Greeting, relaying and answering.
+//! Handles membership messages: heartbeats, relayed claims and their answers.
 
 use std::sync::Arc;
 
@@ -7,11 +7,13 @@
 use crate::id::InstanceId;
 
 use super::message::{Claim, Envelope, Health, LeavingUpstream, MembershipMessage};
-use super::peer::Listed;
-use super::{BRIDGES_PER_ZONE, MAX_CLAIMS_PER_HEARTBEAT, Membership, WATCHED_NEIGHBOURS, fingers};
+use super::peer::ListState;
+use super::{
+    BRIDGES_PER_ZONE, MAX_CLAIMS_PER_HEARTBEAT, Membership, WATCHED_NEIGHBOURS, ring_neighbours,
+};
 
 impl Membership {
-    /// Takes a message of a peer.
+    /// Processes a message from a peer and returns the messages to send.
     pub fn on_message(
         &mut self,
         now: Instant,
@@ -29,22 +31,25 @@
                 for claim in seen.iter().take(MAX_CLAIMS_PER_HEARTBEAT) {
                     out.extend(self.on_claim(now, from, claim));
                 }
-                let news = self.upstreams.on_news(now, leaving_upstreams);
-                out.extend(self.tell_upstreams(news));
+                let reports = self.upstreams.on_peer_reports(now, leaving_upstreams);
+                out.extend(self.relay_leaving_upstreams(reports));
                 out
             }
             MembershipMessage::Suspect(claim)
             | MembershipMessage::Leaving(claim)
             | MembershipMessage::Alive(claim) => self.on_claim(now, from, claim),
-            MembershipMessage::LeavingUpstream(news) => {
-                let news = self.upstreams.on_news(now, std::slice::from_ref(news));
-                self.tell_upstreams(news)
+            MembershipMessage::LeavingUpstream(report) => {
+                let reports = self
+                    .upstreams
+                    .on_peer_reports(now, std::slice::from_ref(report));
+                self.relay_leaving_upstreams(reports)
             }
         };
-        self.refresh();
+        self.update_live_instances();
         out
     }
 
+    /// Processes the sender's claim about itself and, if asked, answers with a heartbeat.
     fn on_heartbeat(
         &mut self,
         now: Instant,
@@ -52,7 +57,7 @@
         own: &Claim,
         answer: bool,
     ) -> Vec<Envelope> {
-        if own.instance != *from || own.instance == self.me {
+        if own.instance != *from || own.instance == self.own_id {
             return Vec::new();
         }
         let mut out = self.on_claim(now, from, own);
@@ -61,11 +66,11 @@
         };
         let peer = &mut self.peers[i];
         if peer.incarnation == own.incarnation {
-            peer.heard = now;
+            peer.last_heard_at = now;
         }
         if peer.health != Health::Live {
-            // It lives but others hold it suspected or dead under this word; only a higher word
-            // of its own can end that everywhere.
+            // The peer is alive, but considered suspected or dead at its current revision. Only a
+            // claim of its own with a higher revision can correct that everywhere.
             out.push(Envelope {
                 to: Arc::clone(from),
                 message: MembershipMessage::Suspect(peer.claim()),
@@ -74,25 +79,26 @@
         if answer {
             out.push(Envelope {
                 to: Arc::clone(from),
-                message: self.heartbeat(false),
+                message: self.heartbeat_message(false),
             });
         }
         out
     }
 
+    /// Merges a claim about another instance and relays it if it was new.
     fn on_claim(&mut self, now: Instant, from: &InstanceId, claim: &Claim) -> Vec<Envelope> {
-        if claim.instance == self.me {
+        if claim.instance == self.own_id {
             return self.on_own_claim(claim);
         }
-        let gone = claim.health == Health::Dead || claim.leaving;
-        if gone && self.position(&claim.instance).is_err() {
-            // Forgotten already; taking it in again would keep it going round for ever.
+        let is_gone = claim.health == Health::Dead || claim.leaving;
+        if is_gone && self.position(&claim.instance).is_err() {
+            // Already forgotten. Adding it again would keep the claim circulating for ever.
             return Vec::new();
         }
-        let Some(peer) = self.ensure(now, &claim.instance, &claim.zone) else {
+        let Some(peer) = self.find_or_insert_peer(now, &claim.instance, &claim.zone) else {
             return Vec::new();
         };
-        if !peer.join(claim, now) {
+        if !peer.merge_claim(claim, now) {
             return Vec::new();
         }
         let claim = peer.claim();
@@ -103,35 +109,36 @@
         } else {
             MembershipMessage::Suspect(claim)
         };
-        self.tell(&message, Some(from))
+        self.relay(&message, Some(from))
     }
 
-    /// Somebody speaks about this instance.
+    /// Handles a claim of a peer about this instance: refutes it, or notes that a successor runs.
     fn on_own_claim(&mut self, claim: &Claim) -> Vec<Envelope> {
         if claim.incarnation > self.incarnation {
             self.superseded = true;
             return Vec::new();
         }
-        let current = claim.incarnation == self.incarnation;
-        if claim.health == Health::Live || (current && claim.revision < self.word) {
+        let is_current = claim.incarnation == self.incarnation;
+        if claim.health == Health::Live || (is_current && claim.revision < self.revision) {
             return Vec::new();
         }
-        if current {
-            self.word = claim.revision.saturating_add(1);
+        if is_current {
+            self.revision = claim.revision.saturating_add(1);
         }
         let own = self.own_claim();
-        self.tell(&MembershipMessage::Alive(own), None)
+        self.relay(&MembershipMessage::Alive(own), None)
     }
 
-    /// Neighbours that hear news at once: the zone's at powers of two, and for the first
-    /// instances of a zone the first ones of each other zone.
+    /// Instances that changes are relayed to: in this zone those at ring distances that are powers
+    /// of two, and from the first instances of a zone, the first ones of each other zone.
     pub fn relay_targets(&self) -> Vec<InstanceId> {
-        let mut to = self.zone_fingers();
-        to.extend(self.bridged());
+        let mut to = self.zone_neighbours();
+        to.extend(self.bridge_targets());
         to
     }
 
-    pub(super) fn tell(
+    /// Addresses a message to all relay targets but `except`.
+    pub(super) fn relay(
         &self,
         message: &MembershipMessage,
         except: Option<&InstanceId>,
@@ -146,35 +153,39 @@
             .collect()
     }
 
-    pub(super) fn tell_upstreams(&self, news: Vec<LeavingUpstream>) -> Vec<Envelope> {
-        news.into_iter()
-            .flat_map(|n| self.tell(&MembershipMessage::LeavingUpstream(n), None))
+    /// Addresses each report to all relay targets.
+    pub(super) fn relay_leaving_upstreams(&self, reports: Vec<LeavingUpstream>) -> Vec<Envelope> {
+        reports
+            .into_iter()
+            .flat_map(|report| self.relay(&MembershipMessage::LeavingUpstream(report), None))
             .collect()
     }
 
-    /// Instances that this one watches.
-    pub(super) fn watched(&self) -> Vec<InstanceId> {
-        let mut watched = self.zone_fingers();
+    /// Instances that this one sends heartbeats to and expects answers from.
+    pub(super) fn watched_instances(&self) -> Vec<InstanceId> {
+        let mut watched = self.zone_neighbours();
         watched.truncate(WATCHED_NEIGHBOURS);
-        watched.extend(self.bridged());
+        watched.extend(self.bridge_targets());
         watched
     }
 
-    fn zone_fingers(&self) -> Vec<InstanceId> {
+    /// Instances of this zone at ring distances that are powers of two, the nearest first.
+    fn zone_neighbours(&self) -> Vec<InstanceId> {
         let mut ring = self
             .peers
             .iter()
             .filter(|p| p.zone == self.zone && p.health != Health::Dead)
             .map(|p| &p.id)
             .collect::<Vec<_>>();
-        let rank = ring.partition_point(|id| **id < self.me);
-        ring.insert(rank, &self.me);
-        fingers(rank, ring.len())
+        let rank = ring.partition_point(|id| **id < self.own_id);
+        ring.insert(rank, &self.own_id);
+        ring_neighbours(rank, ring.len())
             .map(|i| Arc::clone(ring[i]))
             .collect()
     }
 
-    fn bridged(&self) -> Vec<InstanceId> {
+    /// First instances of each other zone if this is one of the first in its own, else none.
+    fn bridge_targets(&self) -> Vec<InstanceId> {
         if self.rank().is_none_or(|rank| rank >= BRIDGES_PER_ZONE) {
             return Vec::new();
         }
@@ -190,21 +201,23 @@
             .collect()
     }
 
+    /// Claim of this instance about itself.
     pub(super) fn own_claim(&self) -> Claim {
         Claim {
-            instance: Arc::clone(&self.me),
+            instance: Arc::clone(&self.own_id),
             zone: Arc::clone(&self.zone),
             incarnation: self.incarnation,
-            revision: self.word,
+            revision: self.revision,
             health: Health::Live,
             leaving: self.leaving,
         }
     }
 
-    pub(super) fn greet(&mut self) -> Vec<Envelope> {
-        let watched = self.watched();
-        self.turn = self.turn.wrapping_add(1);
-        let message = self.heartbeat(true);
+    /// Addresses a heartbeat to each watched instance.
+    pub(super) fn heartbeats(&mut self) -> Vec<Envelope> {
+        let watched = self.watched_instances();
+        self.heartbeat_count = self.heartbeat_count.wrapping_add(1);
+        let message = self.heartbeat_message(true);
         watched
             .into_iter()
             .map(|to| Envelope {
@@ -214,47 +227,52 @@
             .collect()
     }
 
-    /// Greets one instance that is dead here though the list names it.
-    pub(super) fn probe(&self) -> Option<Envelope> {
-        let bridge = self.rank().is_some_and(|rank| rank < BRIDGES_PER_ZONE);
+    /// Sends a heartbeat to one instance that is considered dead although it is listed.
+    pub(super) fn dead_peer_probe(&self) -> Option<Envelope> {
+        let is_bridge = self.rank().is_some_and(|rank| rank < BRIDGES_PER_ZONE);
         let dead = self
             .peers
             .iter()
-            .filter(|p| p.health == Health::Dead && p.listed != Listed::Absent)
-            .filter(|p| bridge || p.zone == self.zone)
+            .filter(|p| p.health == Health::Dead && p.listed != ListState::Absent)
+            .filter(|p| is_bridge || p.zone == self.zone)
             .collect::<Vec<_>>();
-        let chosen = dead.get(self.turn % dead.len().max(1))?;
+        let chosen = dead.get(self.heartbeat_count % dead.len().max(1))?;
         Some(Envelope {
             to: Arc::clone(&chosen.id),
-            message: self.heartbeat(true),
+            message: self.heartbeat_message(true),
         })
     }
 
-    fn heartbeat(&self, answer: bool) -> MembershipMessage {
+    /// Heartbeat of this instance, which asks for a reply if `answer` is set.
+    fn heartbeat_message(&self, answer: bool) -> MembershipMessage {
         MembershipMessage::Heartbeat {
             own: self.own_claim(),
             answer,
-            // An answer only says that its sender lives.
-            seen: if answer { self.seen() } else { Vec::new() },
-            leaving_upstreams: self.upstreams.news(),
+            // An answer only shows that its sender is alive.
+            seen: if answer {
+                self.next_claims()
+            } else {
+                Vec::new()
+            },
+            leaving_upstreams: self.upstreams.reports(),
         }
     }
 
-    /// A few claims in turn, the unhealthy ones first: they mend what a lost message left behind.
-    fn seen(&self) -> Vec<Claim> {
-        let known = || self.peers.iter().filter(|p| p.incarnation > 0);
-        let (healthy, others): (Vec<_>, Vec<_>) =
-            known().partition(|p| p.health == Health::Live && !p.leaving);
+    /// A few claims in rotation, half of them on problematic peers: they make up for lost messages.
+    fn next_claims(&self) -> Vec<Claim> {
+        let seen_peers = || self.peers.iter().filter(|p| p.incarnation > 0);
+        let (healthy, problematic): (Vec<_>, Vec<_>) =
+            seen_peers().partition(|p| p.health == Health::Live && !p.leaving);
         let half = MAX_CLAIMS_PER_HEARTBEAT / 2;
-        let start = self.turn * half;
-        let turn = |list: Vec<&super::Peer>, count: usize| {
+        let start = self.heartbeat_count * half;
+        let rotate = |list: Vec<&super::Peer>, count: usize| {
             let count = count.min(list.len());
             (start..start + count)
                 .map(|i| list[i % list.len()].claim())
                 .collect::<Vec<_>>()
         };
-        let mut seen = turn(others, half);
-        seen.extend(turn(healthy, MAX_CLAIMS_PER_HEARTBEAT - half));
-        seen
+        let mut claims = rotate(problematic, half);
+        claims.extend(rotate(healthy, MAX_CLAIMS_PER_HEARTBEAT - half));
+        claims
     }
 }
--- a/crates/decisions/src/membership/upstreams.rs
+++ b/crates/decisions/src/membership/upstreams.rs
@@ -1,9 +1,10 @@
-//! Upstreams that leave, by whoever says so first.
+//! Upstreams that are shutting down, from whichever source reports it first.
 //!
-//! The list lags and the platform may be down, so the replica's own word and a peer's count too.
-//! A leaving word ends only when a later list has shown the upstream leaving or absent and then
-//! live again: a lagging list that still says "live" must not send new work to a leaver. A word
-//! that no list ever confirms ends after [`UNCONFIRMED_FOR`].
+//! The list lags and the platform may be unavailable, so reports of the replica itself and of peers
+//! count too. A report ends only when a later list has shown the upstream as leaving or absent, and
+//! then as live again: a lagging list that still says "live" must not direct new requests to a
+//! replica that is shutting down. A report that no list ever confirms expires after
+//! [`UNCONFIRMED_REPORT_LIFETIME`].
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,52 +16,58 @@
 
 use super::message::LeavingUpstream;
 
-/// Most upstreams that are remembered, above the 600 expected within two years.
-pub(super) const MAX_KNOWN: usize = 1024;
+/// Largest number of upstreams to remember, above the 600 expected within two years.
+pub(super) const MAX_UPSTREAMS: usize = 1024;
 
-/// Most leaving upstreams named in one heartbeat.
-pub(super) const NEWS_PER_HEARTBEAT: usize = 16;
+/// Largest number of reports of leaving upstreams in one heartbeat.
+pub(super) const MAX_REPORTS_PER_HEARTBEAT: usize = 16;
 
-/// How long a leaving word holds that no list confirms. A replica that restarted under its name
-/// while the platform was down is taken back after this time; a drain takes far less.
-pub(super) const UNCONFIRMED_FOR: Duration = Duration::from_mins(10);
+/// Time after which a report expires that no list has confirmed. A replica that restarted under its
+/// name while the platform was unavailable is used again after this time; a shutdown takes much
+/// less.
+pub(super) const UNCONFIRMED_REPORT_LIFETIME: Duration = Duration::from_mins(10);
 
-/// What is known about one upstream.
+/// Latest report about one upstream.
 #[derive(Debug)]
-struct Upstream {
+struct UpstreamRecord {
     id: UpstreamId,
     leaving: bool,
-    /// The list has shown it leaving or absent since the word came.
+    /// Whether a list has shown the upstream as leaving or absent since the report.
     confirmed: bool,
-    /// When the word came.
-    since: Instant,
-    /// Version of the list when the word began, or from which on it is live again.
+    /// Time at which the report arrived.
+    reported_at: Instant,
+    /// Version of the list at the time of the report, or from which on the upstream is live again.
     seen_at: Version,
 }
 
-impl Upstream {
-    fn end(&mut self, seen_at: Version) {
+impl UpstreamRecord {
+    /// Ends the report; only reports from `seen_at` or later count from now on.
+    fn clear_leaving(&mut self, seen_at: Version) {
         self.leaving = false;
         self.confirmed = false;
         self.seen_at = seen_at;
     }
 }
 
-/// The leaving upstreams and those that have come back.
+/// Reports about upstreams that are shutting down or have come back since.
 #[derive(Debug, Default)]
 pub(super) struct Upstreams {
+    /// Version of the latest list.
     version: Version,
-    known: Vec<Upstream>,
+    /// Sorted by name.
+    records: Vec<UpstreamRecord>,
+    /// Names of the upstreams that are shutting down, sorted.
     leaving: Vec<UpstreamId>,
 }
 
 impl Upstreams {
+    /// Names of the upstreams that are shutting down, sorted.
     pub(super) fn leaving(&self) -> &[UpstreamId] {
         &self.leaving
     }
 
-    /// Joins a list; returns what is new.
-    pub(super) fn on_list(
+    /// Processes a new list and returns the new reports, to be relayed.
+    pub(super) fn on_instance_list(
         &mut self,
         now: Instant,
         version: Version,
@@ -77,66 +84,75 @@
             ids.sort();
             ids
         };
-        let news = listed(State::Leaving)
+        let reports = listed(State::Leaving)
             .into_iter()
-            .filter_map(|id| self.begin(now, id, version))
+            .filter_map(|id| self.record_leaving(now, id, version))
             .collect();
         let live = listed(State::Live);
-        for upstream in &mut self.known {
+        for upstream in &mut self.records {
             if live.binary_search(&&upstream.id).is_err() {
                 upstream.confirmed = true;
             } else if upstream.leaving && upstream.confirmed {
-                upstream.end(version);
+                upstream.clear_leaving(version);
             }
         }
-        self.refresh();
-        news
+        self.update_leaving();
+        reports
     }
 
-    /// Takes the replica's own word.
-    pub(super) fn on_report(
+    /// Processes a replica's report of its own shutdown and returns it if it is new.
+    pub(super) fn on_replica_report(
         &mut self,
         now: Instant,
         upstream: &UpstreamId,
     ) -> Option<LeavingUpstream> {
-        let news = self.begin(now, upstream, self.version);
-        self.refresh();
-        news
+        let report = self.record_leaving(now, upstream, self.version);
+        self.update_leaving();
+        report
     }
 
-    /// Takes a peer's word; returns what is new, to be relayed.
-    pub(super) fn on_news(
+    /// Processes reports from a peer and returns the new ones, to be relayed.
+    pub(super) fn on_peer_reports(
         &mut self,
         now: Instant,
-        news: &[LeavingUpstream],
+        reports: &[LeavingUpstream],
     ) -> Vec<LeavingUpstream> {
-        let new = news
+        let new_reports = reports
             .iter()
-            .take(NEWS_PER_HEARTBEAT)
-            .filter_map(|n| self.begin(now, &n.upstream, n.seen_at))
+            .take(MAX_REPORTS_PER_HEARTBEAT)
+            .filter_map(|report| self.record_leaving(now, &report.upstream, report.seen_at))
             .collect::<Vec<_>>();
-        self.refresh();
-        new
+        self.update_leaving();
+        new_reports
     }
 
-    /// Ends words that no list has confirmed.
+    /// Ends reports that no list has confirmed in time.
     pub(super) fn expire(&mut self, now: Instant) {
-        for upstream in self.known.iter_mut().filter(|u| u.leaving && !u.confirmed) {
-            if now.duration_since(upstream.since) >= UNCONFIRMED_FOR {
-                // One above, so that the same word still going round is no news.
-                upstream.end(upstream.seen_at + 1);
+        for upstream in self
+            .records
+            .iter_mut()
+            .filter(|u| u.leaving && !u.confirmed)
+        {
+            if now.duration_since(upstream.reported_at) >= UNCONFIRMED_REPORT_LIFETIME {
+                // One above, so that the same report isn't accepted again while it still
+                // circulates.
+                upstream.clear_leaving(upstream.seen_at + 1);
             }
         }
-        self.refresh();
+        self.update_leaving();
     }
 
-    /// What a heartbeat carries: the latest words.
-    pub(super) fn news(&self) -> Vec<LeavingUpstream> {
-        let mut leaving = self.known.iter().filter(|u| u.leaving).collect::<Vec<_>>();
-        leaving.sort_by_key(|u| std::cmp::Reverse(u.since));
+    /// Latest reports, for a heartbeat.
+    pub(super) fn reports(&self) -> Vec<LeavingUpstream> {
+        let mut leaving = self
+            .records
+            .iter()
+            .filter(|u| u.leaving)
+            .collect::<Vec<_>>();
+        leaving.sort_by_key(|u| std::cmp::Reverse(u.reported_at));
         leaving
             .into_iter()
-            .take(NEWS_PER_HEARTBEAT)
+            .take(MAX_REPORTS_PER_HEARTBEAT)
             .map(|u| LeavingUpstream {
                 upstream: Arc::clone(&u.id),
                 seen_at: u.seen_at,
@@ -144,29 +160,30 @@
             .collect()
     }
 
-    fn begin(
+    /// Records that an upstream is shutting down and returns the report if it is new.
+    fn record_leaving(
         &mut self,
         now: Instant,
         id: &UpstreamId,
         seen_at: Version,
     ) -> Option<LeavingUpstream> {
-        self.make_room();
-        match self.known.binary_search_by(|u| u.id.cmp(id)) {
-            // Known, or an older word about a replica that has come back since: no news.
-            Ok(i) if self.known[i].leaving || self.known[i].seen_at > seen_at => return None,
+        self.evict_if_full();
+        match self.records.binary_search_by(|u| u.id.cmp(id)) {
+            // Already known, or an older report about a replica that has come back since.
+            Ok(i) if self.records[i].leaving || self.records[i].seen_at > seen_at => return None,
             Ok(i) => {
-                let known = &mut self.known[i];
-                known.leaving = true;
-                known.since = now;
-                known.seen_at = seen_at;
+                let record = &mut self.records[i];
+                record.leaving = true;
+                record.reported_at = now;
+                record.seen_at = seen_at;
             }
-            Err(i) => self.known.insert(
+            Err(i) => self.records.insert(
                 i,
-                Upstream {
+                UpstreamRecord {
                     id: Arc::clone(id),
                     leaving: true,
                     confirmed: false,
-                    since: now,
+                    reported_at: now,
                     seen_at,
                 },
             ),
@@ -177,19 +194,20 @@
         })
     }
 
-    /// Drops the oldest entry when too many are known, those that are live again first.
-    fn make_room(&mut self) {
-        if self.known.len() < MAX_KNOWN {
+    /// Drops the oldest record if there are too many, preferring upstreams that are live again.
+    fn evict_if_full(&mut self) {
+        if self.records.len() < MAX_UPSTREAMS {
             return;
         }
-        let oldest = (0..self.known.len())
-            .min_by_key(|i| (self.known[*i].leaving, self.known[*i].since))
+        let oldest = (0..self.records.len())
+            .min_by_key(|i| (self.records[*i].leaving, self.records[*i].reported_at))
             .unwrap_or_default();
-        self.known.remove(oldest);
+        self.records.remove(oldest);
     }
 
-    fn refresh(&mut self) {
-        let leaving = self.known.iter().filter(|u| u.leaving);
+    /// Updates the sorted names of leaving upstreams from the records.
+    fn update_leaving(&mut self) {
+        let leaving = self.records.iter().filter(|u| u.leaving);
         if leaving.clone().map(|u| &u.id).ne(&self.leaving) {
             self.leaving = leaving.map(|u| Arc::clone(&u.id)).collect();
         }
