--- a/crates/decisions/tests/drained_zones.rs
+++ b/crates/decisions/tests/drained_zones.rs
@@ -1,4 +1,4 @@
-//! Which zones get nothing new.
+//! Changes between lists of drained zones.
 
 use std::time::Duration;
 
@@ -8,8 +8,8 @@
 
 struct Step {
     zones: &'static [&'static str],
-    emptied: &'static [&'static str],
-    refilled: &'static [&'static str],
+    drained: &'static [&'static str],
+    restored: &'static [&'static str],
 }
 
 struct Series {
@@ -23,32 +23,32 @@
     zones.iter().map(AsRef::as_ref).collect()
 }
 
-/// A zone is emptied from the first list that names it to the first that does not.
+/// A zone is drained from the first list that contains it to the first one that doesn't.
 #[parameterized(
     once = { Series { steps: &[
-        Step { zones: &["b"], emptied: &["b"], refilled: &[] },
-        Step { zones: &["b"], emptied: &[], refilled: &[] },
-        Step { zones: &[], emptied: &[], refilled: &["b"] },
+        Step { zones: &["b"], drained: &["b"], restored: &[] },
+        Step { zones: &["b"], drained: &[], restored: &[] },
+        Step { zones: &[], drained: &[], restored: &["b"] },
     ] } },
     overlapping = { Series { steps: &[
-        Step { zones: &["b"], emptied: &["b"], refilled: &[] },
-        Step { zones: &["c", "b", "b"], emptied: &["c"], refilled: &[] },
-        Step { zones: &["c"], emptied: &[], refilled: &["b"] },
-        Step { zones: &["b"], emptied: &["b"], refilled: &["c"] },
+        Step { zones: &["b"], drained: &["b"], restored: &[] },
+        Step { zones: &["c", "b", "b"], drained: &["c"], restored: &[] },
+        Step { zones: &["c"], drained: &[], restored: &["b"] },
+        Step { zones: &["b"], drained: &["b"], restored: &["c"] },
     ] } },
 )]
-fn a_zone_is_emptied_while_it_is_listed(series: Series) {
+fn a_zone_is_drained_while_it_is_listed(series: Series) {
     let start = Instant::now();
     let mut zones = DrainedZones::new();
-    for (at, step) in series.steps.iter().enumerate() {
-        let now = start + Duration::from_secs(at as u64);
+    for (i, step) in series.steps.iter().enumerate() {
+        let now = start + Duration::from_secs(i as u64);
         let change = zones.update(now, step.zones.iter().map(|z| (*z).into()));
-        assert_eq!(names(&change.drained), step.emptied);
-        assert_eq!(names(&change.restored), step.refilled);
+        assert_eq!(names(&change.drained), step.drained);
+        assert_eq!(names(&change.restored), step.restored);
         for zone in ["a", "b", "c"] {
             assert_eq!(zones.contains(zone), step.zones.contains(&zone));
         }
-        for zone in step.refilled {
+        for zone in step.restored {
             assert_eq!(zones.restored_at(zone), Some(now));
         }
     }
