--- a/crates/decisions/tests/remote_load.rs
+++ b/crates/decisions/tests/remote_load.rs
@@ -1,4 +1,4 @@
-//! Sums of what the other instances have at replicas.
+//! Running totals of the load that other instances report.
 
 use kingcupfield_decisions::remote_load::{RemoteLoad, ReplicaLoad, TotalLoad};
 use proptest::prelude::*;
@@ -17,50 +17,49 @@
     })
 }
 
-fn sum_anew(told: &[Vec<ReplicaLoad>], replica: u32) -> TotalLoad {
-    let at = told.iter().flatten().filter(|l| l.replica == replica);
-    at.fold(TotalLoad::default(), |sum, load| TotalLoad {
-        running: sum.running + u32::from(load.running),
-        prompt: sum.prompt + u64::from(load.prompt),
+fn recomputed_total(reported: &[Vec<ReplicaLoad>], replica: u32) -> TotalLoad {
+    let loads = reported.iter().flatten().filter(|l| l.replica == replica);
+    loads.fold(TotalLoad::default(), |total, load| TotalLoad {
+        running: total.running + u32::from(load.running),
+        prompt: total.prompt + u64::from(load.prompt),
     })
 }
 
 proptest! {
-    /// Instances tell their load again and again, fall silent and return. If a sum drifted, a
-    /// replica would count as full for good, or be overfilled.
+    /// Instances report their load again and again, stop responding and return. If a total drifted,
+    /// a replica would count as full for good, or be overfilled.
     #[test]
-    fn sums_are_what_adding_up_anew_gives(words in prop::collection::vec((0_usize..5, loads()), 1..60)) {
-        let mut told = vec![Vec::new(); 5];
-        let mut elsewhere = RemoteLoad::new();
-        for (instance, loads) in words {
-            let before: Vec<TotalLoad> = (0..8).map(|r| sum_anew(&told, r)).collect();
-            elsewhere.replace(&told[instance], &loads);
-            told[instance] = loads;
-            let changed = elsewhere.take_changed();
+    fn totals_equal_recomputed_ones(messages in prop::collection::vec((0_usize..5, loads()), 1..60)) {
+        let mut reported = vec![Vec::new(); 5];
+        let mut remote_load = RemoteLoad::new();
+        for (instance, loads) in messages {
+            let previous: Vec<TotalLoad> = (0..8).map(|r| recomputed_total(&reported, r)).collect();
+            remote_load.replace(&reported[instance], &loads);
+            reported[instance] = loads;
+            let changed = remote_load.take_changed();
             for replica in 0..8_u32 {
-                let now = sum_anew(&told, replica);
-                prop_assert_eq!(elsewhere.get(replica), now);
-                let differs = now != before[replica as usize];
+                let expected = recomputed_total(&reported, replica);
+                prop_assert_eq!(remote_load.get(replica), expected);
+                let differs = expected != previous[replica as usize];
                 prop_assert!(!differs || changed.contains(&replica), "a change is not told");
             }
         }
     }
 }
 
-/// A message that repeats what is known changes nothing, so that nobody looks at all replicas for
-/// it.
+/// A message without changes marks no replica as changed, so that none is processed because of it.
 #[test]
-fn a_repeated_word_changes_nothing() {
+fn a_repeated_message_changes_nothing() {
     let load = |replica, running| ReplicaLoad {
         replica,
         running,
         prompt: 100,
     };
-    let mut elsewhere = RemoteLoad::new();
-    elsewhere.replace(&[], &[load(1, 1), load(2, 1)]);
-    assert_eq!(elsewhere.take_changed(), [1, 2]);
-    elsewhere.replace(&[load(1, 1), load(2, 1)], &[load(1, 1), load(2, 3)]);
-    assert_eq!(elsewhere.take_changed(), [2]);
-    elsewhere.replace(&[load(1, 1)], &[load(1, 1)]);
-    assert!(elsewhere.take_changed().is_empty());
+    let mut remote_load = RemoteLoad::new();
+    remote_load.replace(&[], &[load(1, 1), load(2, 1)]);
+    assert_eq!(remote_load.take_changed(), [1, 2]);
+    remote_load.replace(&[load(1, 1), load(2, 1)], &[load(1, 1), load(2, 3)]);
+    assert_eq!(remote_load.take_changed(), [2]);
+    remote_load.replace(&[load(1, 1)], &[load(1, 1)]);
+    assert!(remote_load.take_changed().is_empty());
 }
