--- a/crates/decisions/tests/regions.rs
+++ b/crates/decisions/tests/regions.rs
@@ -1,36 +1,36 @@
-//! Which regions a request may be served in, by its route and its organisation.
+//! Regions in which a request may be processed, from the lists of its route and its organisation.
 
 use kingcupfield_decisions::regions::Regions;
 use yare::parameterized;
 
-struct Bound {
+struct Restrictions {
     route: &'static [&'static str],
     organisation: &'static [&'static str],
-    /// Those of north, south and west that are left.
+    /// Which of north, south and west remain.
     allowed: &'static [&'static str],
-    told: &'static str,
+    displayed: &'static str,
 }
 
 fn named(names: &[&str]) -> Regions {
     Regions::named(names.iter().map(|n| (*n).into()))
 }
 
-/// Both lists bind; one that names nothing binds nothing.
+/// Both lists apply; an empty list restricts nothing.
 #[parameterized(
-    neither = { Bound { route: &[], organisation: &[], allowed: &["north", "south", "west"], told: "all" } },
-    route_alone = { Bound { route: &["south"], organisation: &[], allowed: &["south"], told: "south" } },
-    organisation_alone = { Bound { route: &[], organisation: &["west", "north"], allowed: &["north", "west"], told: "north,west" } },
-    both = { Bound { route: &["south", "north"], organisation: &["west", "north", "north"], allowed: &["north"], told: "north" } },
-    nothing_in_common = { Bound { route: &["south"], organisation: &["west"], allowed: &[], told: "none" } },
-    unknown_region = { Bound { route: &["east"], organisation: &[], allowed: &[], told: "east" } },
+    neither = { Restrictions { route: &[], organisation: &[], allowed: &["north", "south", "west"], displayed: "all" } },
+    route_alone = { Restrictions { route: &["south"], organisation: &[], allowed: &["south"], displayed: "south" } },
+    organisation_alone = { Restrictions { route: &[], organisation: &["west", "north"], allowed: &["north", "west"], displayed: "north,west" } },
+    both = { Restrictions { route: &["south", "north"], organisation: &["west", "north", "north"], allowed: &["north"], displayed: "north" } },
+    nothing_in_common = { Restrictions { route: &["south"], organisation: &["west"], allowed: &[], displayed: "none" } },
+    unknown_region = { Restrictions { route: &["east"], organisation: &[], allowed: &[], displayed: "east" } },
 )]
-fn both_lists_bind(case: Bound) {
+fn both_lists_apply(case: Restrictions) {
     let both = named(case.route).and(&named(case.organisation));
-    let left: Vec<&str> = ["north", "south", "west"]
+    let remaining: Vec<&str> = ["north", "south", "west"]
         .into_iter()
         .filter(|r| both.allows(r))
         .collect();
-    assert_eq!(left, case.allowed);
-    assert_eq!(both.to_string(), case.told);
-    assert_eq!(both.is_none(), case.told == "none");
+    assert_eq!(remaining, case.allowed);
+    assert_eq!(both.to_string(), case.displayed);
+    assert_eq!(both.is_none(), case.displayed == "none");
 }
