--- a/crates/decisions/tests/routing.rs
+++ b/crates/decisions/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Which owners a request is reserved at.
+//! The replicas at whose owners a request makes reservations.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 use yare::parameterized;
 
-const LOWEST: Rank = 2;
+const LOWEST_RANK: Rank = 2;
 
 /// A thousand tokens take about a second to prefill.
 const PACE: Pace = Pace {
@@ -20,7 +20,7 @@
     decode: Duration::ZERO,
 };
 
-fn candidate(upstream: &str, zone: &str, wait_ms: u64, cached: Tokens) -> Candidate {
+fn candidate(upstream: &str, zone: &str, wait_ms: u64, cached_tokens: Tokens) -> Candidate {
     let waiting = u32::from(wait_ms > 0);
     let wait = Duration::from_millis(wait_ms);
     Candidate {
@@ -35,7 +35,7 @@
             pace: None,
         }),
         digest_age: Duration::ZERO,
-        cached_tokens: cached,
+        cached_tokens,
         pace: PACE,
         round_trip: Duration::ZERO,
     }
@@ -51,22 +51,22 @@
     }
 }
 
-/// A case of the table: own replicas' waits and cached prompt, the other zone's wait.
+/// Waits in ms and cached tokens of the own zone's replicas, and the wait in ms in the other zone.
 #[derive(Debug)]
 struct Case {
     own: [(u64, Tokens); 3],
-    other: u64,
+    other_wait_ms: u64,
     rank: Rank,
-    time_left: u64,
-    link_per_s: f64,
+    time_left_ms: u64,
+    link_bytes_per_s: f64,
 }
 
 const CASE: Case = Case {
     own: [(0, 0), (100, 0), (200, 0)],
-    other: 0,
+    other_wait_ms: 0,
     rank: 1,
-    time_left: 10_000,
-    link_per_s: 1e6,
+    time_left_ms: 10_000,
+    link_bytes_per_s: 1e6,
 };
 
 #[parameterized(
@@ -76,8 +76,8 @@
     prefix_is_late = { Case { own: [(0, 0), (100, 0), (9500, 400)], ..CASE }, &["a", "b"] },
     full_here = { Case { own: [(9500, 0); 3], ..CASE }, &["z"] },
     lowest_tier_stays = { Case { own: [(9300, 0), (9500, 0), (9700, 0)], rank: 2, ..CASE }, &["a", "b"] },
-    full_everywhere = { Case { own: [(9300, 0), (9500, 0), (9700, 0)], other: 50, ..CASE }, &["a", "b"] },
-    link_is_spent = { Case { own: [(9300, 0), (9500, 0), (9700, 0)], link_per_s: 1.0, ..CASE }, &["a", "b"] },
+    full_everywhere = { Case { own: [(9300, 0), (9500, 0), (9700, 0)], other_wait_ms: 50, ..CASE }, &["a", "b"] },
+    link_is_spent = { Case { own: [(9300, 0), (9500, 0), (9700, 0)], link_bytes_per_s: 1.0, ..CASE }, &["a", "b"] },
 )]
 fn chosen(case: Case, expected: &[&str]) {
     let names = ["a", "b", "c"];
@@ -87,15 +87,15 @@
         .zip(names)
         .map(|(c, name)| candidate(name, "baltic", c.0, c.1));
     let mut candidates: Vec<Candidate> = own.collect();
-    candidates.push(candidate("z", "iberia", case.other, 0));
-    let mut link = LinkBudget::new(case.link_per_s);
+    candidates.push(candidate("z", "iberia", case.other_wait_ms, 0));
+    let mut link = LinkBudget::new(case.link_bytes_per_s);
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    let req = request(case.time_left, case.rank);
+    let req = request(case.time_left_ms, case.rank);
     let choice = choose_replicas(
         Instant::now(),
         &req,
         &candidates,
-        LOWEST,
+        LOWEST_RANK,
         &mut link,
         &mut rng,
     );
@@ -104,28 +104,29 @@
     assert_eq!(choice.remote, expected == ["z"]);
 }
 
-/// A zone has no replica of a service. Its callers would get no answer though others have room.
+/// A zone has no replica of a service. Its callers would be rejected although other zones have
+/// room.
 #[test]
 fn a_zone_without_replicas_uses_the_others() {
     let candidates = [candidate("z", "iberia", 500, 0)];
     let mut link = LinkBudget::new(0.0);
     let mut rng = ChaCha8Rng::seed_from_u64(7);
-    let req = request(10_000, LOWEST);
+    let req = request(10_000, LOWEST_RANK);
     let choice = choose_replicas(
         Instant::now(),
         &req,
         &candidates,
-        LOWEST,
+        LOWEST_RANK,
         &mut link,
         &mut rng,
     );
     assert_eq!(choice.upstreams, vec!["z".into()]);
 }
 
-/// All instances hold the same digests. If each sent to the first of the equals, one replica would
-/// get a whole burst.
+/// All instances have the same digests. If each chose the first of the equals, one replica would
+/// receive a whole burst.
 #[test]
-fn equals_are_drawn_among() {
+fn equals_are_chosen_at_random() {
     let candidates = [
         candidate("a", "baltic", 0, 0),
         candidate("b", "baltic", 0, 0),
@@ -140,14 +141,14 @@
             Instant::now(),
             &req,
             &candidates,
-            LOWEST,
+            LOWEST_RANK,
             &mut link,
             &mut rng,
         );
-        let at = candidates
+        let i = candidates
             .iter()
             .position(|c| c.upstream == choice.upstreams[0]);
-        firsts[at.expect("a candidate")] += 1;
+        firsts[i.expect("a candidate")] += 1;
     }
     assert!(firsts.iter().all(|n| (70..=130).contains(n)), "{firsts:?}");
 }
