--- a/crates/decisions/tests/membership.rs
+++ b/crates/decisions/tests/membership.rs
@@ -1,4 +1,4 @@
-//! What instances know of each other while some crash, pause, leave or are cut off.
+//! The views of instances while some of them crash, pause, shut down or are cut off.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
     format!("{zone}-{n:03}").into()
 }
 
-fn row(instance: &str, role: Role, zone: &str, state: State) -> Instance {
+fn list_entry(instance: &str, role: Role, zone: &str, state: State) -> Instance {
     Instance {
         instance: instance.into(),
         role,
@@ -32,7 +32,8 @@
     }
 }
 
-/// Instances whose messages arrive one step after they were sent, unless one side is cut or down.
+/// Instances whose messages arrive one step after they were sent, unless either side is cut off or
+/// down.
 struct Fleet {
     now: Instant,
     members: Vec<(InstanceId, Membership)>,
@@ -73,9 +74,9 @@
         let mut rows = self
             .members
             .iter()
-            .map(|(id, _)| row(id, Role::Entry, id.split('-').next().unwrap(), state(id)))
+            .map(|(id, _)| list_entry(id, Role::Entry, id.split('-').next().unwrap(), state(id)))
             .collect::<Vec<_>>();
-        rows.push(row("u1", Role::Upstream, "a", state("u1")));
+        rows.push(list_entry("u1", Role::Upstream, "a", state("u1")));
         Instances { instances: rows }
     }
 
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Steps until every instance that is up agrees; panics after a minute of virtual time.
+    /// Steps until all instances that are up agree; panics after a minute of virtual time.
     fn until<F>(&mut self, holds: F) -> Duration
     where
         F: Fn(&Membership) -> bool,
@@ -146,8 +147,8 @@
     }
 }
 
-/// A process is killed while the list still names it. Callers whose requests wait at its queues
-/// would wait for the list; peers must notice within seconds.
+/// A process is killed while the list still contains it. Callers with requests in its queues would
+/// have to wait for the list to change; the peers must notice within seconds.
 #[parameterized(one_zone = { 7 }, target_size = { 66 })]
 fn a_dead_instance_is_noticed_by_its_whole_zone(size: usize) {
     let mut fleet = Fleet::new(&[("a", size)]);
@@ -172,10 +173,10 @@
     }
 }
 
-/// A process is stopped for five seconds and wakes: the others held it dead, and to it all the
-/// others look silent. It must come back by itself and must not declare its zone dead.
+/// A process is stopped for five seconds and resumes. The others consider it dead, and to it all
+/// others look unresponsive. It must recover by itself and must not declare its zone dead.
 #[test]
-fn a_paused_instance_comes_back_and_blames_nobody() {
+fn a_paused_instance_comes_back_and_suspects_no_other() {
     let mut fleet = Fleet::new(&[("a", 5)]);
     let paused = id("a", 2);
     fleet.down.push(Arc::clone(&paused));
@@ -192,8 +193,8 @@
     assert!(took < Duration::from_secs(5), "{took:?}");
 }
 
-/// An instance is killed and started anew under its name. It is another one: keys and slots of
-/// its former life must not be taken for its own.
+/// An instance is killed and restarts under its name. It counts as another one, so that the keys
+/// and slots of its previous incarnation aren't taken for its own.
 #[test]
 fn a_restarted_instance_has_a_new_incarnation_everywhere() {
     let mut fleet = Fleet::new(&[("a", 7)]);
@@ -224,8 +225,8 @@
     assert!(fleet.of("a-003").is_superseded());
 }
 
-/// The platform restarts and serves an empty or shortened list. The instances still hear each
-/// other, so nothing may change for callers.
+/// The platform restarts and serves an empty or truncated list. The instances still receive each
+/// other's messages, so nothing may change for callers.
 #[parameterized(empty = { 0 }, one_left = { 1 })]
 fn a_list_that_lost_instances_changes_nothing(left: usize) {
     let mut fleet = Fleet::new(&[("a", 5)]);
@@ -241,7 +242,7 @@
     );
 }
 
-/// The list is stale and still names an instance that is long gone.
+/// The list is stale and still contains an instance that is long gone.
 #[test]
 fn a_stale_list_does_not_revive_the_dead() {
     let mut fleet = Fleet::new(&[("a", 5)]);
@@ -258,10 +259,10 @@
     );
 }
 
-/// A zone is cut from the others for a while. Each side goes on with its own instances, and after
-/// the cut both find together without the list's help, and without losing anybody of its own.
+/// A zone is cut off from the others for a while. Each side continues with its own instances.
+/// Afterwards they reconnect without the list's help and without losing any instance of their own.
 #[test]
-fn zones_go_on_alone_when_cut_and_find_together_again() {
+fn zones_continue_during_a_partition_and_reconnect() {
     let mut fleet = Fleet::new(&[("a", 3), ("b", 2), ("c", 2)]);
     fleet.cut = vec![id("a", 0), id("a", 1), id("a", 2)];
     fleet.run(Duration::from_secs(20));
@@ -279,7 +280,8 @@
     let joined = |m: &Membership| zones.iter().all(|(z, n)| m.live_instances(z).len() == *n);
     while !fleet.members.iter().all(|(_, m)| joined(m)) {
         fleet.step();
-        // The other side held these dead; a call that waits on one of them must not be given up.
+        // The other side considered these dead; a call that waits for one of them must not be
+        // dropped.
         for (id, membership) in &fleet.members {
             let (zone, count) = zones.iter().find(|(z, _)| id.starts_with(z)).unwrap();
             assert_eq!(
@@ -291,10 +293,10 @@
     }
 }
 
-/// An instance is told to stop while load runs. Its peers must send it no new reservations though
-/// the list still calls it live, and a late message must not bring it back.
+/// An instance is told to shut down under load. Its peers must send it no new reservations although
+/// the list still shows it as live, and a late message must not revert that.
 #[test]
-fn a_leaving_word_reaches_everybody_and_stays() {
+fn a_shutdown_report_reaches_all_instances_and_stays() {
     let mut fleet = Fleet::new(&[("a", 66)]);
     let sends = fleet.members[7].1.leave();
     fleet.post(7, sends);
@@ -312,10 +314,10 @@
     assert!(!fleet.of("a-007").reads_platform());
 }
 
-/// The platform is down and a replica says by itself that it leaves. Every instance must hear
-/// it, and the stale list must not send it new work until a later one shows it back.
+/// The platform is down and a replica reports its own shutdown. Every instance must learn it, and
+/// the stale list must not direct new requests to it until a later list shows it as live again.
 #[test]
-fn an_upstreams_own_word_spreads_and_ends_with_a_later_list() {
+fn an_upstreams_report_spreads_and_ends_with_a_later_list() {
     let mut fleet = Fleet::new(&[("a", 7), ("b", 2)]);
     let now = fleet.now;
     let sends = fleet.members[3].1.on_upstream_leaving(now, &"u1".into());
@@ -344,13 +346,14 @@
     fleet.of("a-000").on_message(now, &id("a", 1), &late);
     assert!(
         fleet.of("a-000").leaving_upstreams().is_empty(),
-        "a late word revives nothing"
+        "a late report revives nothing"
     );
 }
 
-/// A replica's leaving word is never confirmed, as the platform was down while it restarted.
+/// A replica's shutdown report is never confirmed, because the platform was down while it
+/// restarted.
 #[test]
-fn an_unconfirmed_leaving_word_ends() {
+fn an_unconfirmed_report_expires() {
     let mut fleet = Fleet::new(&[("a", 3)]);
     let now = fleet.now;
     let sends = fleet.members[0].1.on_upstream_leaving(now, &"u1".into());
