--- a/crates/decisions/tests/under_load.rs
+++ b/crates/decisions/tests/under_load.rs
@@ -1,6 +1,7 @@
-//! What callers receive under load, with the fakes and the seeds of the scenario bench.
+//! What callers experience under load, with the simulated engines and seeds of the scenario
+//! benchmark.
 //!
-//! The bench compares more ways over more seeds; here each load pattern has one plain claim.
+//! The benchmark compares more policies over more seeds; here each load pattern has one assertion.
 
 #[path = "../benches/scenarios/baseline.rs"]
 #[expect(dead_code, reason = "the bench uses the rest")]
@@ -23,7 +24,7 @@
 use plan::{HARROWGATE, SCENARIOS, Scenario};
 use world::{Net, Policy, run};
 
-/// Fixed seeds of the runs whose means are judged.
+/// Fixed seeds of the runs whose mean figures are checked.
 const SEEDS: [u64; 3] = [1, 2, 3];
 
 fn scenario(name: &str) -> Scenario {
@@ -55,8 +56,9 @@
     figures(name, |_| Box::<Central>::default())
 }
 
-/// Three times the usual requests come for ten seconds. Engines take them in order of arrival, so
-/// the urgent caller waits behind everybody and gives up.
+/// Three times the usual number of requests arrives for ten seconds. Engines process them in order
+/// of arrival, so that without scheduling a high-priority caller would wait behind all others and
+/// time out.
 #[test]
 fn a_burst_costs_the_lowest_tier() {
     let (ours, two) = (ours("burst"), direct("burst", Pick::TwoChoices));
@@ -65,8 +67,8 @@
     assert!(ours.weighted > two.weighted + 0.1, "{ours:?} {two:?}");
 }
 
-/// One organisation sends six in ten of all requests through every instance. The others' callers
-/// would be refused or late because of it.
+/// One organisation sends six in ten of all requests, through every instance. Requests of the
+/// others would be rejected or late because of it.
 #[test]
 fn a_hot_organisation_does_not_starve_the_others() {
     let merged = Mechanisms {
@@ -79,8 +81,8 @@
     assert!(ours.others > unfair.others + 0.03, "{ours:?} {unfair:?}");
 }
 
-/// Half of all prompts share one long prefix. Spread over all replicas it would be prefilled again
-/// and again; sent to one replica alone its callers would wait there.
+/// Half of all prompts share one long prefix. Spread over all replicas it would be processed again
+/// and again; sent to a single replica, its callers would queue there.
 #[test]
 fn a_hot_prefix_is_reused_and_not_queued_for() {
     let (ours, least) = (
@@ -91,8 +93,8 @@
     assert!(ours.wasted_k < least.wasted_k * 0.75, "{ours:?} {least:?}");
 }
 
-/// A replica silently runs at a tenth of its speed, or stops, and its load report looks idle.
-/// Callers sent there wait for an answer that comes too late.
+/// A replica silently runs at a tenth of its speed, or stops, while its load report looks idle.
+/// Callers sent there wait for a response that comes too late.
 #[test]
 fn a_slow_upstream_gets_little_more() {
     for name in ["slow upstream", "stalled upstream"] {
@@ -107,7 +109,7 @@
 }
 
 /// A fifth of the requests is a hundred times longer than a status check. Status checks would wait
-/// until a translation ends, and the slots fill with translations.
+/// until a translation ends, and the slots would fill with translations.
 #[test]
 fn short_requests_pass_long_ones() {
     let name = "long among short";
@@ -122,8 +124,8 @@
     );
 }
 
-/// Twice what all engines can do comes for a minute. In order of arrival every request would wait
-/// to its deadline, and the urgent ones with them.
+/// Twice the load that all engines can process arrives for a minute. In order of arrival every
+/// request would wait until its deadline, including those of high priority.
 #[test]
 fn overload_is_shed_from_the_lowest_tier() {
     let (ours, central) = (ours("overload"), central("overload"));
