--- a/crates/decisions/tests/membership.rs
+++ b/crates/decisions/tests/membership.rs
@@ -37,7 +37,7 @@
 struct Fleet {
     now: Instant,
     members: Vec<(InstanceId, Membership)>,
-    mail: Vec<(InstanceId, InstanceId, MembershipMessage)>,
+    in_flight: Vec<(InstanceId, InstanceId, MembershipMessage)>,
     down: Vec<InstanceId>,
     cut: Vec<InstanceId>,
     sent: usize,
@@ -49,7 +49,7 @@
         let mut fleet = Self {
             now,
             members: Vec::new(),
-            mail: Vec::new(),
+            in_flight: Vec::new(),
             down: Vec::new(),
             cut: Vec::new(),
             sent: 0,
@@ -63,10 +63,11 @@
         }
         let list = fleet.list(|_| State::Live);
         fleet.publish(1, &list);
-        fleet.run(Duration::from_secs(3));
+        fleet.run_for(Duration::from_secs(3));
         fleet
     }
 
+    /// List of all instances and one upstream, each in the given state.
     fn list<F>(&self, state: F) -> Instances
     where
         F: Fn(&str) -> State,
@@ -80,57 +81,60 @@
         Instances { instances: rows }
     }
 
+    /// Delivers a list to all instances.
     fn publish(&mut self, version: u64, list: &Instances) {
         for i in 0..self.members.len() {
             let now = self.now;
-            let sends = self.members[i].1.on_instance_list(now, version, list);
-            self.post(i, sends);
+            let envelopes = self.members[i].1.on_instance_list(now, version, list);
+            self.post(i, envelopes);
         }
     }
 
-    fn post(&mut self, from: usize, sends: Vec<kingcupfield_decisions::membership::Envelope>) {
+    /// Puts messages in flight, to arrive at the next step.
+    fn post(&mut self, from: usize, envelopes: Vec<kingcupfield_decisions::membership::Envelope>) {
         let from = Arc::clone(&self.members[from].0);
-        self.sent += sends.len();
-        let mail = sends
+        self.sent += envelopes.len();
+        let in_flight = envelopes
             .into_iter()
             .map(|s| (Arc::clone(&from), s.to, s.message));
-        self.mail.extend(mail);
+        self.in_flight.extend(in_flight);
     }
 
-    fn of(&mut self, id: &str) -> &mut Membership {
+    fn member(&mut self, id: &str) -> &mut Membership {
         let (_, membership) = self.members.iter_mut().find(|(m, _)| **m == *id).unwrap();
         membership
     }
 
+    /// Advances the time, delivers the messages in flight and lets all instances tick.
     fn step(&mut self) {
         self.now += STEP;
-        for (from, to, message) in std::mem::take(&mut self.mail) {
-            let apart = self.cut.contains(&from) != self.cut.contains(&to);
-            if apart || self.down.contains(&to) || self.down.contains(&from) {
+        for (from, to, message) in std::mem::take(&mut self.in_flight) {
+            let separated = self.cut.contains(&from) != self.cut.contains(&to);
+            if separated || self.down.contains(&to) || self.down.contains(&from) {
                 continue;
             }
             let Some(i) = self.members.iter().position(|(m, _)| *m == to) else {
                 continue;
             };
-            let sends = self.members[i].1.on_message(self.now, &from, &message);
-            self.post(i, sends);
+            let envelopes = self.members[i].1.on_message(self.now, &from, &message);
+            self.post(i, envelopes);
         }
         for i in 0..self.members.len() {
             if !self.down.contains(&self.members[i].0) {
-                let sends = self.members[i].1.on_tick(self.now);
-                self.post(i, sends);
+                let envelopes = self.members[i].1.on_tick(self.now);
+                self.post(i, envelopes);
             }
         }
     }
 
-    fn run(&mut self, time: Duration) {
+    fn run_for(&mut self, time: Duration) {
         for _ in 0..time.as_millis() / STEP.as_millis() {
             self.step();
         }
     }
 
     /// Steps until all instances that are up agree; panics after a minute of virtual time.
-    fn until<F>(&mut self, holds: F) -> Duration
+    fn run_until<F>(&mut self, agrees: F) -> Duration
     where
         F: Fn(&Membership) -> bool,
     {
@@ -138,7 +142,7 @@
         while !self
             .members
             .iter()
-            .all(|(m, s)| self.down.contains(m) || holds(s))
+            .all(|(m, s)| self.down.contains(m) || agrees(s))
         {
             self.step();
             assert!(self.now - start < Duration::from_mins(1), "never agreed");
@@ -154,12 +158,12 @@
     let mut fleet = Fleet::new(&[("a", size)]);
     let dead = id("a", 3);
     fleet.down.push(Arc::clone(&dead));
-    let took = fleet.until(|m| m.status(&dead) == Some(InstanceStatus::Dead));
+    let elapsed = fleet.run_until(|m| m.status(&dead) == Some(InstanceStatus::Dead));
     assert!(
-        took <= SUSPECT_AFTER + DEAD_AFTER + HEARTBEAT_INTERVAL + STEP * 8,
-        "{took:?}"
+        elapsed <= SUSPECT_AFTER + DEAD_AFTER + HEARTBEAT_INTERVAL + STEP * 8,
+        "{elapsed:?}"
     );
-    fleet.run(Duration::from_secs(5));
+    fleet.run_for(Duration::from_secs(5));
     for (m, membership) in &fleet.members {
         let wrong = fleet
             .members
@@ -180,17 +184,17 @@
     let mut fleet = Fleet::new(&[("a", 5)]);
     let paused = id("a", 2);
     fleet.down.push(Arc::clone(&paused));
-    fleet.until(|m| m.status(&paused) == Some(InstanceStatus::Dead));
-    fleet.run(Duration::from_secs(5));
+    fleet.run_until(|m| m.status(&paused) == Some(InstanceStatus::Dead));
+    fleet.run_for(Duration::from_secs(5));
     fleet.down.clear();
     fleet.step();
     assert_eq!(
-        fleet.of("a-002").live_instances("a").len(),
+        fleet.member("a-002").live_instances("a").len(),
         5,
         "it blames nobody"
     );
-    let took = fleet.until(|m| m.live_instances("a").len() == 5);
-    assert!(took < Duration::from_secs(5), "{took:?}");
+    let elapsed = fleet.run_until(|m| m.live_instances("a").len() == 5);
+    assert!(elapsed < Duration::from_secs(5), "{elapsed:?}");
 }
 
 /// An instance is killed and restarts under its name. It counts as another one, so that the keys
@@ -200,11 +204,11 @@
     let mut fleet = Fleet::new(&[("a", 7)]);
     let now = fleet.now;
     let restarted = id("a", 3);
-    *fleet.of("a-003") = Membership::new(Arc::clone(&restarted), 2, "a".into(), now);
+    *fleet.member("a-003") = Membership::new(Arc::clone(&restarted), 2, "a".into(), now);
     let list = fleet.list(|_| State::Live);
     fleet.publish(2, &list);
-    fleet.until(|m| m.incarnation("a-003") == Some(2));
-    fleet.run(Duration::from_secs(5));
+    fleet.run_until(|m| m.incarnation("a-003") == Some(2));
+    fleet.run_for(Duration::from_secs(5));
     assert!(
         fleet
             .members
@@ -220,9 +224,9 @@
         leaving: false,
     };
     fleet
-        .of("a-003")
+        .member("a-003")
         .on_message(now, &id("a", 1), &MembershipMessage::Alive(claim));
-    assert!(fleet.of("a-003").is_superseded());
+    assert!(fleet.member("a-003").is_superseded());
 }
 
 /// The platform restarts and serves an empty or truncated list. The instances still receive each
@@ -233,7 +237,7 @@
     let mut list = fleet.list(|_| State::Live);
     list.instances.truncate(left);
     fleet.publish(2, &list);
-    fleet.run(Duration::from_secs(10));
+    fleet.run_for(Duration::from_secs(10));
     assert!(
         fleet
             .members
@@ -248,10 +252,10 @@
     let mut fleet = Fleet::new(&[("a", 5)]);
     let dead = id("a", 1);
     fleet.down.push(Arc::clone(&dead));
-    fleet.until(|m| m.status(&dead) == Some(InstanceStatus::Dead));
+    fleet.run_until(|m| m.status(&dead) == Some(InstanceStatus::Dead));
     let list = fleet.list(|_| State::Live);
     fleet.publish(2, &list);
-    fleet.run(Duration::from_secs(10));
+    fleet.run_for(Duration::from_secs(10));
     let up = fleet.members.iter().filter(|(m, _)| *m != dead);
     assert!(
         up.into_iter()
@@ -265,16 +269,16 @@
 fn zones_continue_during_a_partition_and_reconnect() {
     let mut fleet = Fleet::new(&[("a", 3), ("b", 2), ("c", 2)]);
     fleet.cut = vec![id("a", 0), id("a", 1), id("a", 2)];
-    fleet.run(Duration::from_secs(20));
+    fleet.run_for(Duration::from_secs(20));
     assert!(
-        fleet.of("a-000").live_instances("a").len() == 3
-            && fleet.of("b-000").live_instances("b").len() == 2
+        fleet.member("a-000").live_instances("a").len() == 3
+            && fleet.member("b-000").live_instances("b").len() == 2
     );
     assert!(
-        fleet.of("a-000").live_instances("b").is_empty(),
+        fleet.member("a-000").live_instances("b").is_empty(),
         "nobody of zone b is heard"
     );
-    assert_eq!(fleet.of("b-000").live_instances("c").len(), 2);
+    assert_eq!(fleet.member("b-000").live_instances("c").len(), 2);
     fleet.cut.clear();
     let zones = [("a", 3), ("b", 2), ("c", 2)];
     let joined = |m: &Membership| zones.iter().all(|(z, n)| m.live_instances(z).len() == *n);
@@ -298,20 +302,20 @@
 #[test]
 fn a_shutdown_report_reaches_all_instances_and_stays() {
     let mut fleet = Fleet::new(&[("a", 66)]);
-    let sends = fleet.members[7].1.leave();
-    fleet.post(7, sends);
-    let took = fleet.until(|m| m.status("a-007") == Some(InstanceStatus::Leaving));
-    assert!(took <= Duration::from_secs(1), "{took:?}");
+    let envelopes = fleet.members[7].1.leave();
+    fleet.post(7, envelopes);
+    let elapsed = fleet.run_until(|m| m.status("a-007") == Some(InstanceStatus::Leaving));
+    assert!(elapsed <= Duration::from_secs(1), "{elapsed:?}");
     let list = fleet.list(|_| State::Live);
     fleet.publish(2, &list);
-    fleet.run(Duration::from_secs(5));
+    fleet.run_for(Duration::from_secs(5));
     assert!(
         fleet
             .members
             .iter()
             .all(|(_, m)| m.live_instances("a").len() == 65)
     );
-    assert!(!fleet.of("a-007").reads_platform());
+    assert!(!fleet.member("a-007").reads_platform());
 }
 
 /// The platform is down and a replica reports its own shutdown. Every instance must learn it, and
@@ -320,10 +324,10 @@
 fn an_upstreams_report_spreads_and_ends_with_a_later_list() {
     let mut fleet = Fleet::new(&[("a", 7), ("b", 2)]);
     let now = fleet.now;
-    let sends = fleet.members[3].1.on_upstream_leaving(now, &"u1".into());
-    fleet.post(3, sends);
-    let took = fleet.until(|m| m.leaving_upstreams().len() == 1);
-    assert!(took <= Duration::from_secs(3), "{took:?}");
+    let envelopes = fleet.members[3].1.on_upstream_leaving(now, &"u1".into());
+    fleet.post(3, envelopes);
+    let elapsed = fleet.run_until(|m| m.leaving_upstreams().len() == 1);
+    assert!(elapsed <= Duration::from_secs(3), "{elapsed:?}");
     for (version, state, leaving) in [
         (2, State::Live, 1),
         (3, State::Leaving, 1),
@@ -331,7 +335,7 @@
     ] {
         let list = fleet.list(|i| if i == "u1" { state } else { State::Live });
         fleet.publish(version, &list);
-        fleet.run(Duration::from_secs(1));
+        fleet.run_for(Duration::from_secs(1));
         let agreed = fleet
             .members
             .iter()
@@ -343,9 +347,9 @@
         seen_at: 1,
     });
     let now = fleet.now;
-    fleet.of("a-000").on_message(now, &id("a", 1), &late);
+    fleet.member("a-000").on_message(now, &id("a", 1), &late);
     assert!(
-        fleet.of("a-000").leaving_upstreams().is_empty(),
+        fleet.member("a-000").leaving_upstreams().is_empty(),
         "a late report revives nothing"
     );
 }
@@ -356,16 +360,16 @@
 fn an_unconfirmed_report_expires() {
     let mut fleet = Fleet::new(&[("a", 3)]);
     let now = fleet.now;
-    let sends = fleet.members[0].1.on_upstream_leaving(now, &"u1".into());
-    fleet.post(0, sends);
-    fleet.run(Duration::from_mins(9));
+    let envelopes = fleet.members[0].1.on_upstream_leaving(now, &"u1".into());
+    fleet.post(0, envelopes);
+    fleet.run_for(Duration::from_mins(9));
     assert!(
         fleet
             .members
             .iter()
             .all(|(_, m)| m.leaving_upstreams().len() == 1)
     );
-    fleet.run(Duration::from_mins(2));
+    fleet.run_for(Duration::from_mins(2));
     assert!(
         fleet
             .members
@@ -384,7 +388,7 @@
         .count();
     assert_eq!(readers, PLATFORM_READERS_PER_ZONE);
     fleet.sent = 0;
-    fleet.run(Duration::from_secs(10));
+    fleet.run_for(Duration::from_secs(10));
     let each = fleet.sent as f64 / 660.0;
     assert!(each < 13.0, "{each} messages a second for each instance");
 }
