--- a/crates/decisions/src/dispatch.rs
+++ b/crates/decisions/src/dispatch.rs
@@ -115,7 +115,7 @@
         })
     }
 
-    /// Updates the number of requests, and their unread prompt tokens, that other instances have
+    /// Updates the number of requests, and their pending prompt tokens, that other instances have
     /// running at a replica.
     pub fn update_remote_load(&mut self, upstream: &UpstreamId, running: u32, prompt_tokens: f64) {
         if let Some(u) = self.find(upstream) {
@@ -145,7 +145,7 @@
     /// Stores the batch step time that a peer measured at a replica, if none was measured here.
     pub fn on_peer_step_time(&mut self, upstream: &UpstreamId, step_ms: f64) {
         if let Some(u) = self.find(upstream) {
-            u.pace.on_peer_step_ms(step_ms);
+            u.latency.on_peer_step_ms(step_ms);
         }
     }
 
@@ -193,17 +193,17 @@
         counts
     }
 
-    /// For each replica: requests of this instance, their unread prompt tokens and the measured
+    /// For each replica: requests of this instance, their pending prompt tokens and the measured
     /// step time in ms.
     pub fn own_load(&self) -> impl Iterator<Item = (&UpstreamId, u32, f64, Option<f64>)> {
         self.upstreams.iter().map(|u| {
-            let unread_prompt_tokens = u.running.iter().map(|r| r.unread_prompt_tokens).sum();
+            let pending_prompt_tokens = u.running.iter().map(|r| r.pending_prompt_tokens).sum();
             let running = u.running.len() as u32;
             (
                 &u.replica.id,
                 running,
-                unread_prompt_tokens,
-                u.pace.learned_step_ms(),
+                pending_prompt_tokens,
+                u.latency.learned_step_ms(),
             )
         })
     }
@@ -317,7 +317,8 @@
         can_finish.is_empty() || can_finish.contains(&true)
     }
 
-    /// Counts the replicas of a service by what keeps them from a request restricted to `regions`.
+    /// Counts the replicas of a service by why they can't accept a request restricted to `regions`
+    /// now.
     pub fn availability(
         &self,
         now: Instant,
@@ -369,14 +370,14 @@
         let Some(r) = u.running.iter_mut().find(|r| r.job == job) else {
             return;
         };
-        let prompt_tokens = std::mem::take(&mut r.unread_prompt_tokens);
+        let prompt_tokens = std::mem::take(&mut r.pending_prompt_tokens);
         r.has_responded = true;
         if !r.prompt_started_at_once {
             return;
         }
         let time_to_first_event = now.saturating_duration_since(r.dispatched_at);
         let time_to_first_event = time_to_first_event.saturating_sub(u.replica.network_round_trip);
-        if let Some(step_ms) = u.pace.learned_step_ms() {
+        if let Some(step_ms) = u.latency.learned_step_ms() {
             let service = u.replica.service.clone();
             self.size_stats_mut(&service).on_first_event(
                 prompt_tokens,
@@ -391,7 +392,7 @@
         if let Some(u) = self.find(upstream) {
             u.last_response_at = Some(now);
             let tokens = events.max(1) * u.replica.tokens_per_event.max(1);
-            u.pace.on_gap(gap / tokens);
+            u.latency.on_gap(gap / tokens);
         }
     }
 
@@ -410,15 +411,15 @@
             Outcome::Served => {
                 u.last_response_at = Some(now);
                 u.connect_failures = 0;
-                u.pace.on_outcome(now, false);
+                u.latency.on_outcome(now, false);
                 if let Some(dispatched_at) = dispatched_at.filter(|_| !u.replica.is_engine) {
-                    u.pace
+                    u.latency
                         .on_completed(now.saturating_duration_since(dispatched_at));
                 }
             }
-            Outcome::Failed => u.pace.on_outcome(now, true),
+            Outcome::Failed => u.latency.on_outcome(now, true),
             Outcome::Unreachable => {
-                u.pace.on_outcome(now, true);
+                u.latency.on_outcome(now, true);
                 u.back_off_unreachable(now);
             }
             Outcome::Full => u.back_off_full(now),
@@ -450,7 +451,7 @@
         u.cold_gate.on_dispatch(now);
         u.running.push(Running {
             job: job.id,
-            unread_prompt_tokens: if u.replica.is_engine {
+            pending_prompt_tokens: if u.replica.is_engine {
                 job.prompt_tokens
             } else {
                 0.0
--- a/crates/decisions/src/dispatch/choice.rs
+++ b/crates/decisions/src/dispatch/choice.rs
@@ -145,7 +145,7 @@
         self.upstreams
             .iter()
             .filter(|u| u.replica.usable && u.replica.service == *service)
-            .map(|u| u.pace.failure_share(now))
+            .map(|u| u.latency.failure_share(now))
             .fold(1.0, f64::min)
     }
 }
--- a/crates/decisions/src/dispatch/job.rs
+++ b/crates/decisions/src/dispatch/job.rs
@@ -91,10 +91,11 @@
     pub unusable: u32,
 }
 
-/// Number of replicas of one service by the first reason that keeps a request from them.
+/// Number of replicas of one service by the reason for which they accept no request now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ServiceAvailability {
-    /// Replicas neither shutting down nor in a drained zone. The counts below split up this one.
+    /// Replicas that are neither shutting down nor in a drained zone. Each of them is in at most
+    /// one of the next four counts.
     pub usable: u32,
     /// Replicas in a region where the request may not be processed.
     pub region_not_allowed: u32,
--- a/crates/decisions/src/dispatch/latency.rs
+++ b/crates/decisions/src/dispatch/latency.rs
@@ -21,10 +21,14 @@
 /// Moving estimates of a replica's step time, service time and failure share.
 #[derive(Debug, Default)]
 pub struct LatencyEstimate {
+    /// Ring buffer of the latest times per token.
     gaps_ms: Vec<f64>,
     next_index: usize,
+    /// Median of `gaps_ms`, or the value from a peer.
     step_ms: Option<f64>,
+    /// Moving average of the processing time at a plain service.
     service_ms: Option<f64>,
+    /// Share of failures as of the last outcome, from 0 to 1.
     recorded_failure_share: f64,
     last_outcome_at: Option<Instant>,
 }
--- a/crates/decisions/src/dispatch/priority.rs
+++ b/crates/decisions/src/dispatch/priority.rs
@@ -37,7 +37,8 @@
 /// to be served; on their heaviest days the least served kind gets six.
 const LOCAL_ORDER_MS: u64 = 200;
 
-/// Priority, the lowest first: rank of the organisation, then rank of the tier in half tiers.
+/// Priority, the lowest first: rank of the organisation, then rank of the tier in half tiers with
+/// any demotions.
 pub type PriorityClass = (u32, u32);
 
 /// A request in the queue.
--- a/crates/decisions/src/dispatch/upstream.rs
+++ b/crates/decisions/src/dispatch/upstream.rs
@@ -104,7 +104,7 @@
 pub(super) struct Running {
     pub(super) job: JobId,
     /// Prompt tokens the engine has yet to process; 0 after the first event.
-    pub(super) unread_prompt_tokens: f64,
+    pub(super) pending_prompt_tokens: f64,
     pub(super) dispatched_at: Instant,
     pub(super) has_responded: bool,
     /// Whether no other prompt was being processed at the replica when this request was sent.
@@ -117,11 +117,16 @@
 #[derive(Debug)]
 pub(super) struct Upstream {
     pub(super) replica: Replica,
-    pub(super) pace: LatencyEstimate,
+    pub(super) latency: LatencyEstimate,
+    /// Requests of this instance that run there.
     pub(super) running: Vec<Running>,
+    /// Requests of other instances that run there, from their latest reports.
     pub(super) remote_running: u32,
+    /// Prompt tokens of these requests that the replica has yet to process.
     pub(super) remote_prompt_tokens: f64,
+    /// Time of the last response or event received here.
     pub(super) last_response_at: Option<Instant>,
+    /// Time until which no request is sent, after a failure or a rejection.
     pub(super) backoff_until: Option<Instant>,
     /// Time since which the replica has had room for another request; `None` while it is full.
     free_since: Option<Instant>,
@@ -137,7 +142,7 @@
     pub(super) fn new(replica: Replica, cold_gate: ColdGate) -> Self {
         Self {
             replica,
-            pace: LatencyEstimate::default(),
+            latency: LatencyEstimate::default(),
             running: Vec::new(),
             remote_running: 0,
             remote_prompt_tokens: 0.0,
@@ -261,7 +266,7 @@
     /// either.
     pub(super) fn is_unresponsive(&self, now: Instant) -> bool {
         let slowest_response =
-            Duration::from_secs_f64(self.pace.step_ms() * RESPONSE_TIMEOUT_STEPS / 1e3);
+            Duration::from_secs_f64(self.latency.step_ms() * RESPONSE_TIMEOUT_STEPS / 1e3);
         let timeout = RESPONSE_TIMEOUT.max(slowest_response);
         let overdue = self.running.iter().filter(|r| !r.has_responded).any(|r| {
             now.saturating_duration_since(r.dispatched_at) > timeout + r.queueing_allowance
@@ -274,14 +279,14 @@
 
     /// Whether a slot is free and no prompt is being processed there.
     pub(super) fn starts_prompt_at_once(&self) -> bool {
-        self.unread_prompt_tokens() <= 0.0 && self.running_total() < self.replica.slots
+        self.pending_prompt_tokens() <= 0.0 && self.running_total() < self.replica.slots
     }
 
     /// Prompt tokens at the replica that have yet to be processed, of all instances.
-    fn unread_prompt_tokens(&self) -> f64 {
+    fn pending_prompt_tokens(&self) -> f64 {
         self.running
             .iter()
-            .map(|r| r.unread_prompt_tokens)
+            .map(|r| r.pending_prompt_tokens)
             .sum::<f64>()
             + self.remote_prompt_tokens
     }
@@ -297,17 +302,17 @@
     ) -> f64 {
         let round_trip_ms = self.replica.weighted_round_trip.as_secs_f64() * 1000.0;
         let failure_penalty_ms =
-            (self.pace.failure_share(now) - lowest_failure_share).max(0.0) * FAILURE_PENALTY_MS;
+            (self.latency.failure_share(now) - lowest_failure_share).max(0.0) * FAILURE_PENALTY_MS;
         if !self.replica.is_engine {
             let requests_per_slot =
                 f64::from(self.running_total()) / f64::from(self.replica.slots.max(1));
             return round_trip_ms
-                + self.pace.service_ms() * (1.0 + requests_per_slot)
+                + self.latency.service_ms() * (1.0 + requests_per_slot)
                 + failure_penalty_ms;
         }
-        let step_ms = self.pace.step_ms();
+        let step_ms = self.latency.step_ms();
         let prompt_steps = prompt_cost.prompt_steps(job.prompt_tokens)
-            + prompt_cost.prompt_steps(self.unread_prompt_tokens());
+            + prompt_cost.prompt_steps(self.pending_prompt_tokens());
         let first_token_ms =
             (prompt_cost.first_steps + prompt_steps) * step_ms + self.queue_wait_ms(job);
         let stall_penalty_ms = self.stall_penalty_ms(job, prompt_cost);
@@ -322,7 +327,7 @@
     fn deadline_overrun_ms(&self, now: Instant, job: &Job, first_token_ms: f64) -> f64 {
         let time_left_ms = job.deadline.saturating_duration_since(now).as_secs_f64() * 1000.0;
         let total_ms = first_token_ms
-            + job.expected_output_tokens * OUTPUT_LENGTH_MARGIN * self.pace.step_ms();
+            + job.expected_output_tokens * OUTPUT_LENGTH_MARGIN * self.latency.step_ms();
         (total_ms - time_left_ms).max(0.0)
     }
 
@@ -354,7 +359,8 @@
         let steps = prompt_cost.first_steps
             + prompt_cost.prompt_steps(prompt_tokens)
             + output_tokens * OUTPUT_LENGTH_MARGIN;
-        !self.replica.is_engine || steps * self.pace.step_ms() <= time_left.as_secs_f64() * 1000.0
+        !self.replica.is_engine
+            || steps * self.latency.step_ms() <= time_left.as_secs_f64() * 1000.0
     }
 
     /// How long a request may have to queue in the engine before it gets a slot.
@@ -365,7 +371,7 @@
     /// Milliseconds until a slot is expected to be free for the request; 0 if one is free now.
     fn queue_wait_ms(&self, job: &Job) -> f64 {
         let excess_requests = (self.running_total() + 1).saturating_sub(self.replica.slots);
-        let ms_per_request = job.expected_output_tokens.max(60.0) * self.pace.step_ms()
+        let ms_per_request = job.expected_output_tokens.max(60.0) * self.latency.step_ms()
             / f64::from(self.replica.slots.max(1));
         f64::from(excess_requests) * ms_per_request
     }
@@ -373,10 +379,10 @@
     /// Cost of the streams that processing the prompt delays beyond their longest acceptable gap.
     fn stall_penalty_ms(&self, job: &Job, prompt_cost: &PromptCost) -> f64 {
         let own_tokens = job.prompt_tokens.min(MAX_PROMPT_TOKENS_BETWEEN_EVENTS);
-        let unread_tokens = self.unread_prompt_tokens();
-        let tokens = (own_tokens + unread_tokens).min(MAX_PROMPT_TOKENS_BETWEEN_EVENTS);
-        let slowdown = PromptCost::attention_slowdown(job.prompt_tokens.max(unread_tokens));
-        let gap_ms = tokens / prompt_cost.tokens_per_step * slowdown * self.pace.step_ms();
+        let pending_tokens = self.pending_prompt_tokens();
+        let tokens = (own_tokens + pending_tokens).min(MAX_PROMPT_TOKENS_BETWEEN_EVENTS);
+        let slowdown = PromptCost::attention_slowdown(job.prompt_tokens.max(pending_tokens));
+        let gap_ms = tokens / prompt_cost.tokens_per_step * slowdown * self.latency.step_ms();
         let max_gap_ms = job.max_event_gap.as_secs_f64() * 1000.0;
         if max_gap_ms <= 0.0 || gap_ms < max_gap_ms * 0.8 {
             return 0.0;
--- a/crates/decisions/src/membership/peer.rs
+++ b/crates/decisions/src/membership/peer.rs
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Sets the health; a live instance counts as heard now.
+    /// Sets the health. Becoming live counts as a message from the instance.
     pub(super) fn set_health(&mut self, health: Health, now: Instant) {
         if health == Health::Live {
             self.last_heard_at = now;
@@ -85,8 +85,8 @@
     /// Applies a claim if it is newer than the current state; returns whether anything changed.
     ///
     /// A peer's claim that the instance is dead only makes it suspected: after a network partition
-    /// heals, each side considers the other dead, and an instance that is heard directly all the
-    /// time would be dropped until its refutation arrived, together with the calls that wait for
+    /// heals, each side considers the other dead, and an instance whose messages still arrive here
+    /// would be dropped until its refutation arrived, together with the calls that wait for
     /// it. Without a refutation it is dead [`super::DEAD_AFTER`] later.
     pub(super) fn merge_claim(&mut self, claim: &Claim, now: Instant) -> bool {
         let previous = (self.incarnation, self.revision, self.health);
--- a/crates/decisions/src/ownership.rs
+++ b/crates/decisions/src/ownership.rs
@@ -3,8 +3,8 @@
 //! Load pattern: instances start and stop all day. With `hash % n`, one departure would move nearly
 //! every key to another owner and empty every queue. With rendezvous hashing only the keys of the
 //! departed instance move, each to the instance ranked second for it. `xxh3` is used because it has
-//! no secret key, so that every instance computes the same ranks from the names alone; nobody gains
-//! from choosing names.
+//! no secret key, so that every instance computes the same ranks from the names alone; choosing
+//! a particular name gains nothing.
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
