--- a/crates/decisions/src/concurrency.rs
+++ b/crates/decisions/src/concurrency.rs
@@ -54,6 +54,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Slowdown {
     best: f64,
+    /// Ratio of recent samples to `best`, as a moving average.
     recent: f64,
     samples: u32,
 }
@@ -93,8 +94,11 @@
 pub struct ConcurrencyLimit {
     slots: f64,
     max_slots: u32,
+    /// Whether the limit still grows by one for each good response, which doubles it every round.
     starting_up: bool,
+    /// Time until the first token, in nanoseconds per uncached prompt token.
     first_token: Slowdown,
+    /// Time between tokens, in nanoseconds.
     between_tokens: Slowdown,
     ceiling: Option<Ceiling>,
     last_decrease_at: Option<Instant>,
--- a/crates/decisions/src/dispatch/size.rs
+++ b/crates/decisions/src/dispatch/size.rs
@@ -27,7 +27,7 @@
 /// difference between them.
 const MIN_PROMPT_LENGTH_RATIO: f64 = 2.0;
 
-/// Prompt length in tokens at which attention doubles the processing time per token. Engines
+/// Prompt length in tokens at which attention doubles the time to process the prompt. Engines
 /// differ, but only one request in a hundred is that long.
 const ATTENTION_DOUBLING_TOKENS: f64 = 61_000.0;
 
--- a/crates/decisions/src/length.rs
+++ b/crates/decisions/src/length.rs
@@ -45,8 +45,10 @@
 struct History {
     organisation: OrganisationId,
     service: ServiceId,
+    /// Mean by length class of the prompt.
     by_prompt: [MeanLength; PROMPT_CLASSES],
     all: MeanLength,
+    /// Use count of the predictor at the last response.
     last_used: u64,
 }
 
