--- a/crates/entry/src/events.rs
+++ b/crates/entry/src/events.rs
@@ -9,11 +9,17 @@
 /// Incremental scanner of an event stream that arrives in chunks.
 #[derive(Debug, Default)]
 pub struct EventScanner {
+    /// Current line, up to the length that an event id needs.
     line: Vec<u8>,
+    /// Whether the current line is longer than `line`.
     overlong: bool,
+    /// Id of the current event, if it had one so far.
     pending_id: Option<String>,
+    /// Id of the last complete event.
     last_id: Option<String>,
+    /// Whether the current event has at least one complete line.
     in_event: bool,
+    /// Number of events that ended in the current chunk.
     events: u32,
 }
 
@@ -71,6 +77,7 @@
         }
     }
 
+    /// Adds a byte to the current line.
     fn push(&mut self, byte: u8) {
         if self.line.len() < MAX_ID_BYTES + ID_FIELD_BYTES {
             self.line.push(byte);
@@ -79,6 +86,7 @@
         }
     }
 
+    /// Handles the end of a line: an empty line ends the event.
     fn end_line(&mut self) {
         if self.line.last() == Some(&b'\r') {
             self.line.pop();
@@ -95,6 +103,7 @@
         self.overlong = false;
     }
 
+    /// Counts a complete event and records its id.
     fn end_event(&mut self) {
         if !self.in_event {
             return;
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -169,9 +169,11 @@
         }
         self.set_age("peers", peers.max_report_age(now));
         let live = peers.live_count(now) as f64 - 1.0;
-        let known = peers.all().len() as f64;
+        let peer_count = peers.all().len() as f64;
         self.peers.with_label_values(&["heard"]).set(live);
-        self.peers.with_label_values(&["silent"]).set(known - live);
+        self.peers
+            .with_label_values(&["silent"])
+            .set(peer_count - live);
         let counts = dispatch.replica_counts(now);
         for (state, count) in [
             ("open", counts.accepting),
--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -35,8 +35,11 @@
 
 /// What to do after one attempt.
 pub(super) enum NextStep {
+    /// Return the response to the caller.
     Respond(Box<Response<ResponseBody>>),
+    /// Wait for another slot and send the request again.
     Retry,
+    /// Refuse the request.
     Refuse(Refusal),
 }
 
@@ -185,14 +188,14 @@
         if failed && self.try_consume_retry(node) {
             return NextStep::Retry;
         }
-        let first = self.received.elapsed();
+        let first_byte = self.received.elapsed();
         let status = head.status.as_u16();
         request_log::log_answered(
             node,
             self,
             &target.published.id,
             status,
-            first,
+            first_byte,
             Duration::ZERO,
         );
         let mut response = Response::new(ResponseBody::complete(body));
--- a/crates/entry/src/request_log.rs
+++ b/crates/entry/src/request_log.rs
@@ -85,15 +85,15 @@
 
 /// Logs a response that was sent to the caller completely.
 ///
-/// `first` is the time from the receipt of the request to the first byte of the response body,
-/// `pause` the longest time between two events.
+/// `first_byte` is the time from the receipt of the request to the first byte of the response body,
+/// `max_event_gap` the longest time between two events.
 pub fn log_answered(
     node: &Node,
     ctx: &RequestContext,
     replica: &str,
     status: u16,
-    first: Duration,
-    pause: Duration,
+    first_byte: Duration,
+    max_event_gap: Duration,
 ) {
     let total = ctx.received.elapsed();
     node.metrics.observe(Phase::Complete, total);
@@ -112,8 +112,8 @@
             ctx.runs,
             ctx.route.name,
             ctx.waited.as_millis(),
-            first.as_millis(),
-            pause.as_millis(),
+            first_byte.as_millis(),
+            max_event_gap.as_millis(),
             total.as_millis(),
             ctx.meta.prompt_tokens.unwrap_or(0),
             ctx.meta.expected_output_tokens.unwrap_or(0),
@@ -123,19 +123,19 @@
 
 /// Logs a stream that ended before it was complete, or that was resumed at another replica.
 ///
-/// `how` is the outcome, `last_event` the id of the last complete event.
+/// `last_event_id` is the id of the last complete event.
 pub fn log_stream_ended(
     node: &Node,
     ctx: &RequestContext,
     replica: &str,
-    how: &'static str,
-    last_event: Option<&str>,
+    outcome: &'static str,
+    last_event_id: Option<&str>,
 ) {
-    node.metrics.count_outcome(how);
+    node.metrics.count_outcome(outcome);
     node.log.line(
         Priority::High,
         format_args!(
-            "event=stream_ended id={} how={how} replica={replica} after_ms={} runs={} last_event={last_event:?}",
+            "event=stream_ended id={} how={outcome} replica={replica} after_ms={} runs={} last_event={last_event_id:?}",
             ctx.meta.attempt_id,
             ctx.received.elapsed().as_millis(),
             ctx.runs,
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -168,10 +168,10 @@
 /// Returns the directory entries that changed after a revision; the query is that revision.
 fn snapshot_response(node: &Node, after: &str) -> Response<Full<Bytes>> {
     let after: Revision = after.parse().unwrap_or(0);
-    let known = node.directory.borrow();
-    let changed = known.entries().iter().filter(|e| e.revision > after);
+    let directory = node.directory.borrow();
+    let changed = directory.entries().iter().filter(|e| e.revision > after);
     let snapshot = Snapshot {
-        upto: known.complete_up_to(),
+        upto: directory.complete_up_to(),
         store_trouble: node.directory_reader.borrow().store_failed_recently(),
         entries: changed.cloned().collect(),
     };
