--- a/crates/decisions/src/idempotency/receiver.rs
+++ b/crates/decisions/src/idempotency/receiver.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum IssuerReply {
-    /// The outcome of the key is final.
+    /// The outcome of the call.
     Outcome(KeyOutcome),
     /// The call did not run, as it was shed or exceeded a limit; the key may be used again.
     Refused,
@@ -77,8 +77,8 @@
 impl Receiver {
     /// Starts the call; its key was verified.
     ///
-    /// `latest_incarnation` is the latest incarnation of the issuer that this instance has seen. If it is later
-    /// than the key's, the issuer has restarted and the witness is asked at once.
+    /// `latest_incarnation` is the latest incarnation of the issuer that this instance has seen. If
+    /// it is later than the key's, the issuer has restarted and the witness is asked at once.
     pub fn start(key: Key, latest_incarnation: Option<Incarnation>) -> StartedReceiver {
         let mut receiver = Self {
             key,
--- a/crates/entry/src/exchange.rs
+++ b/crates/entry/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one replica, up to the head of its answer.
+//! One attempt to send a request to one replica, up to the head of its response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,33 +15,34 @@
 use crate::node::Target;
 use crate::pool::{self, Connection};
 
-/// Kept connections are taken for requests that must not be lost only when they are this fresh:
-/// a replica may drop an idle connection without notice, and what is sent next is then in doubt.
-const FRESH_ENOUGH: Duration = Duration::from_millis(1500);
+/// Maximum idle time of a reused connection for requests that must not be retried: a replica may
+/// drop an idle connection without notice, and it is then unknown whether the request ran.
+const MAX_IDLE_UNRETRYABLE: Duration = Duration::from_millis(1500);
 
-/// Longest answer that is held whole before the caller gets it.
-const MAX_WHOLE: usize = 8 * 1024 * 1024;
+/// Maximum size in bytes of a response that is read completely before it is sent to the caller.
+const MAX_BUFFERED_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Why there is no answer of the replica.
+/// Why an attempt ended without a response of the replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendFailure {
-    /// Nothing was sent.
+    /// The request was not sent.
     NotSent,
-    /// The replica says that it has no room and did not run the request.
+    /// The replica reported that it has no free slot and did not run the request.
     Full,
-    /// Another replica answered, which did not run the request.
+    /// A different replica responded, and did not run the request.
     WrongReplica,
-    /// The replica says that it did not run the request.
-    NotRun,
-    /// The connection ended as soon as the request had come, as at a replica that has died; it may
-    /// have run.
+    /// The replica reported that it did not run the request.
+    NotExecuted,
+    /// The connection was closed as soon as the request had arrived, as by a replica that has died;
+    /// it may have run.
     Dropped,
-    /// It may have run.
+    /// The connection broke or the response was incomplete; the request may have run.
     Broken,
-    /// It was given up here, as the replica brought nothing to anybody, and a repeat is taken for it.
+    /// The attempt was abandoned because the replica stalled or was slow, and a retry replaces it;
+    /// the request may have run.
     Abandoned,
-    /// What came is not the answer to this request, which may have run.
-    Foreign,
+    /// The response belongs to another request or lacks required fields; this request may have run.
+    InvalidResponse,
 }
 
 impl SendFailure {
@@ -51,11 +52,11 @@
             Self::NotSent => "not_sent",
             Self::Full => "full",
             Self::WrongReplica => "another",
-            Self::NotRun => "not_run",
+            Self::NotExecuted => "not_run",
             Self::Dropped => "dropped",
             Self::Broken => "broken",
             Self::Abandoned => "abandoned",
-            Self::Foreign => "foreign",
+            Self::InvalidResponse => "foreign",
         }
     }
 
@@ -63,33 +64,36 @@
     pub fn may_have_run(self) -> bool {
         matches!(
             self,
-            Self::Dropped | Self::Broken | Self::Abandoned | Self::Foreign
+            Self::Dropped | Self::Broken | Self::Abandoned | Self::InvalidResponse
         )
     }
 
-    /// What it tells about the replica.
+    /// How the dispatcher should count the failure for the replica.
     pub fn outcome(self) -> Outcome {
         match self {
             Self::NotSent | Self::WrongReplica | Self::Dropped => Outcome::Unreachable,
             Self::Full => Outcome::Full,
-            Self::NotRun => Outcome::Unknown,
-            Self::Broken | Self::Abandoned | Self::Foreign => Outcome::Failed,
+            Self::NotExecuted => Outcome::Unknown,
+            Self::Broken | Self::Abandoned | Self::InvalidResponse => Outcome::Failed,
         }
     }
 }
 
-/// A replica's answer whose body is still to come.
+/// A replica's response, with the head received and the body still to be read.
 #[derive(Debug)]
 pub struct ReplicaResponse {
-    /// Its head.
+    /// Status and header fields.
     pub head: http::response::Parts,
-    /// Its body.
+    /// Body, not read yet.
     pub body: Incoming,
-    /// The connection that brings it.
+    /// Connection that carries the response.
     pub connection: Connection,
 }
 
-/// Sends a request to the target and waits for the head of the answer.
+/// Sends a request to the target and waits for the head of the response.
+///
+/// `id` identifies the attempt. Method and URI are those of `head`; `fields` are the header fields
+/// that the replica gets.
 pub async fn send(
     target: &Rc<Target>,
     protocol: &dyn ProtocolAdapter,
@@ -97,28 +101,28 @@
     head: &Parts,
     fields: HeaderMap,
     body: Bytes,
-    repeatable: bool,
+    retryable: bool,
 ) -> Result<ReplicaResponse, SendFailure> {
-    let fresh = if repeatable {
+    let max_idle = if retryable {
         Duration::MAX
     } else {
-        FRESH_ENOUGH
+        MAX_IDLE_UNRETRYABLE
     };
     loop {
-        let kept = target.pool.take_idle(Instant::now(), fresh);
-        let was_kept = kept.is_some();
-        let mut connection = match kept {
+        let idle = target.pool.take_idle(Instant::now(), max_idle);
+        let is_reused = idle.is_some();
+        let mut connection = match idle {
             Some(connection) => connection,
             None => pool::connect(target.published.address)
                 .await
                 .map_err(|_| SendFailure::NotSent)?,
         };
-        let req = request(head, fields.clone(), body.clone());
+        let req = build_request(head, fields.clone(), body.clone());
         match connection.sender.try_send_request(req).await {
-            Ok(response) => return judge(protocol, id, response, connection),
-            // The connection was closed before anything was written: a new one is tried.
+            Ok(response) => return classify_response(protocol, id, response, connection),
+            // A reused connection was closed before anything was written: try the next one.
             Err(mut e) => match e.take_message() {
-                Some(_) if was_kept => {}
+                Some(_) if is_reused => {}
                 Some(_) => return Err(SendFailure::NotSent),
                 None => return Err(SendFailure::Broken),
             },
@@ -126,15 +130,16 @@
     }
 }
 
-/// Reads the rest of an answer.
+/// Reads a response body to its end.
 pub async fn read_body(body: Incoming) -> Result<Bytes, SendFailure> {
-    let collected = Limited::new(body, MAX_WHOLE).collect().await;
+    let collected = Limited::new(body, MAX_BUFFERED_BODY_BYTES).collect().await;
     collected
         .map(http_body_util::Collected::to_bytes)
         .map_err(|_| SendFailure::Broken)
 }
 
-fn judge(
+/// Turns the head of a response into the response of the replica or a failure.
+fn classify_response(
     protocol: &dyn ProtocolAdapter,
     id: &str,
     response: Response<Incoming>,
@@ -149,12 +154,13 @@
         }),
         ResponseClass::AtCapacity => Err(SendFailure::Full),
         ResponseClass::WrongReplica => Err(SendFailure::WrongReplica),
-        ResponseClass::NotExecuted => Err(SendFailure::NotRun),
-        ResponseClass::Invalid => Err(SendFailure::Foreign),
+        ResponseClass::NotExecuted => Err(SendFailure::NotExecuted),
+        ResponseClass::Invalid => Err(SendFailure::InvalidResponse),
     }
 }
 
-fn request(head: &Parts, fields: HeaderMap, body: Bytes) -> Request<Full<Bytes>> {
+/// Builds the request to the replica from the caller's method and URI.
+fn build_request(head: &Parts, fields: HeaderMap, body: Bytes) -> Request<Full<Bytes>> {
     let mut req = Request::new(Full::new(body));
     *req.method_mut() = head.method.clone();
     *req.uri_mut() = head.uri.clone();
