--- a/src/bin/kingcup/table.rs
+++ b/src/bin/kingcup/table.rs
@@ -2,9 +2,9 @@
 
 use std::path::Path;
 
-use kingcupfield::table::diff::{Change, Difference, Fate, diff};
-use kingcupfield::table::share::shares;
-use kingcupfield::table::{Fault, TableError, json, read, read_for, sheet, show};
+use kingcupfield::table::diff::{Change, ChangeKind, Difference, diff};
+use kingcupfield::table::share::compute_shares;
+use kingcupfield::table::{Fault, TableError, csv, json, read, read_with_instances, show};
 use kingcupfield_decisions::values::Table;
 use pico_args::Arguments;
 use serde::Serialize;
@@ -19,23 +19,23 @@
     match command.as_deref() {
         Some("check") => {
             let instances = args::optional_path(&mut args, "--instances")?;
-            with_file(args, |file| check(file, instances.as_deref(), form))
+            run_with_file(args, |file| check(file, instances.as_deref(), form))
         }
-        Some("show") => with_file(args, |file| show_shares(file, form)),
-        Some("to-csv") => with_file(args, to_csv),
-        Some("from-csv") => with_file(args, from_csv),
+        Some("show") => run_with_file(args, |file| print_shares(file, form)),
+        Some("to-csv") => run_with_file(args, print_as_csv),
+        Some("from-csv") => run_with_file(args, print_as_json),
         Some("diff") => {
             let old = args::path(&mut args, "the old table's file")?;
             let new = args::path(&mut args, "the new table's file")?;
             args::finish(args)?;
-            show_diff(&old, &new, form)
+            print_diff(&old, &new, form)
         }
         Some(other) => Err(CliError::Usage(format!("unknown table command {other:?}"))),
         None => Err(CliError::Usage("a table command is missing".to_owned())),
     }
 }
 
-fn with_file<F>(mut args: Arguments, command: F) -> Result<(), CliError>
+fn run_with_file<F>(mut args: Arguments, command: F) -> Result<(), CliError>
 where
     F: FnOnce(&Path) -> Result<(), CliError>,
 {
@@ -46,7 +46,7 @@
 
 /// What `table check` prints for programs.
 #[derive(Debug, Serialize)]
-struct Verdict<'a> {
+struct CheckReport<'a> {
     accepted: bool,
     tiers: usize,
     organisations: usize,
@@ -54,42 +54,42 @@
 }
 
 /// Reads the table, with the regions and zones of the instances if their file is named.
-fn read_checked(file: &Path, instances: Option<&Path>) -> Result<Table, CliError> {
+fn read_table(file: &Path, instances: Option<&Path>) -> Result<Table, CliError> {
     let Some(path) = instances else {
         return Ok(read(file)?);
     };
-    let named = |reason: String| CliError::Instances {
+    let instances_error = |reason: String| CliError::Instances {
         path: path.to_owned(),
         reason,
     };
-    let text = std::fs::read(path).map_err(|e| named(e.to_string()))?;
-    let instances = serde_json::from_slice(&text).map_err(|e| named(e.to_string()))?;
-    Ok(read_for(file, &instances)?)
+    let text = std::fs::read(path).map_err(|e| instances_error(e.to_string()))?;
+    let instances = serde_json::from_slice(&text).map_err(|e| instances_error(e.to_string()))?;
+    Ok(read_with_instances(file, &instances)?)
 }
 
 fn check(file: &Path, instances: Option<&Path>, form: Form) -> Result<(), CliError> {
-    match read_checked(file, instances) {
+    match read_table(file, instances) {
         Ok(table) => {
-            let verdict = Verdict {
+            let report = CheckReport {
                 accepted: true,
                 tiers: table.tiers.len(),
                 organisations: table.organisations.len(),
                 faults: &[],
             };
-            output::print(form, &verdict, |v| {
-                let (tiers, organisations) = (v.tiers, v.organisations);
+            output::print(form, &report, |report| {
+                let (tiers, organisations) = (report.tiers, report.organisations);
                 format!("accepted: {tiers} tiers, {organisations} organisations\n")
             })
         }
         Err(CliError::Table(TableError::Faults { path, faults })) => {
-            let verdict = Verdict {
+            let report = CheckReport {
                 accepted: false,
                 tiers: 0,
                 organisations: 0,
                 faults: &faults,
             };
-            output::print(form, &verdict, |v| {
-                v.faults.iter().map(fault_line).collect()
+            output::print(form, &report, |report| {
+                report.faults.iter().map(format_fault).collect()
             })?;
             Err(TableError::Faults { path, faults }.into())
         }
@@ -97,7 +97,7 @@
     }
 }
 
-fn fault_line(fault: &Fault) -> String {
+fn format_fault(fault: &Fault) -> String {
     let Fault {
         row,
         column,
@@ -113,60 +113,64 @@
 }
 
 /// Reads a table for a command other than `check`; faults are listed on stderr.
-fn read_listing_faults(file: &Path) -> Result<Table, CliError> {
+fn read_or_print_faults(file: &Path) -> Result<Table, CliError> {
     let result = read(file);
     if let Err(TableError::Faults { faults, .. }) = &result {
         for fault in faults {
-            eprint!("{}", fault_line(fault));
+            eprint!("{}", format_fault(fault));
         }
     }
     Ok(result?)
 }
 
-fn show_shares(file: &Path, form: Form) -> Result<(), CliError> {
-    let table = read_listing_faults(file)?;
-    output::print(form, &shares(&table), |_| show::show(&table))
+fn print_shares(file: &Path, form: Form) -> Result<(), CliError> {
+    let table = read_or_print_faults(file)?;
+    output::print(form, &compute_shares(&table), |_| show::render(&table))
 }
 
-fn to_csv(file: &Path) -> Result<(), CliError> {
-    let table = read_listing_faults(file)?;
-    let text = sheet::write(&table).map_err(|e| CliError::Form(e.to_string()))?;
+fn print_as_csv(file: &Path) -> Result<(), CliError> {
+    let table = read_or_print_faults(file)?;
+    let text = csv::write(&table).map_err(|e| CliError::Form(e.to_string()))?;
     output::text(&text)
 }
 
-fn from_csv(file: &Path) -> Result<(), CliError> {
-    let table = read_listing_faults(file)?;
+fn print_as_json(file: &Path) -> Result<(), CliError> {
+    let table = read_or_print_faults(file)?;
     let text = json::write(&table).map_err(|e| CliError::Form(e.to_string()))?;
     output::text(&text)
 }
 
-fn show_diff(old: &Path, new: &Path, form: Form) -> Result<(), CliError> {
-    let (old, new) = (read_listing_faults(old)?, read_listing_faults(new)?);
+fn print_diff(old: &Path, new: &Path, form: Form) -> Result<(), CliError> {
+    let (old, new) = (read_or_print_faults(old)?, read_or_print_faults(new)?);
     output::print(form, &diff(&old, &new), |changes| {
         if changes.is_empty() {
             return "nothing changes\n".to_owned();
         }
-        changes.iter().map(change_lines).collect()
+        changes.iter().map(format_change).collect()
     })
 }
 
-fn change_lines(change: &Change) -> String {
-    let fate = match change.fate {
-        Fate::Added => "is added",
-        Fate::Removed => "is removed",
-        Fate::Changed => "changes",
-        Fate::Affected => "is affected by the others' changes",
+fn format_change(change: &Change) -> String {
+    let action = match change.change_kind {
+        ChangeKind::Added => "is added",
+        ChangeKind::Removed => "is removed",
+        ChangeKind::Changed => "changes",
+        ChangeKind::Affected => "is affected by the others' changes",
     };
     let Change { kind, name, .. } = change;
-    let lines: String = change.differences.iter().map(difference_line).collect();
-    format!("{kind} {name} {fate}\n{lines}")
+    let lines: String = change.differences.iter().map(format_difference).collect();
+    format!("{kind} {name} {action}\n{lines}")
 }
 
-fn difference_line(difference: &Difference) -> String {
-    let word = |value: &str| match value {
+fn format_difference(difference: &Difference) -> String {
+    let value_or_none = |value: &str| match value {
         "" => "none".to_owned(),
         value => value.to_owned(),
     };
     let Difference { column, old, new } = difference;
-    format!("  {column}: {} -> {}\n", word(old), word(new))
+    format!(
+        "  {column}: {} -> {}\n",
+        value_or_none(old),
+        value_or_none(new)
+    )
 }
--- a/src/table.rs
+++ b/src/table.rs
@@ -11,13 +11,13 @@
 use thiserror::Error;
 
 pub mod cells;
+pub mod csv;
 pub mod diff;
 pub mod json;
 pub mod share;
-pub mod sheet;
 pub mod show;
 
-pub use cells::{Checked, Sheet};
+pub use cells::{CheckedTable, Sheet};
 
 /// One thing wrong with a table, and what would be right.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -79,7 +79,7 @@
     };
     match path.extension().and_then(|e| e.to_str()) {
         Some("json") => json::read(&buf).map_err(malformed),
-        Some("csv") => sheet::read(&buf).map_err(malformed),
+        Some("csv") => csv::read(&buf).map_err(malformed),
         _ => Err(TableError::Extension {
             path: path.to_owned(),
         }),
@@ -89,19 +89,19 @@
 /// Reads a table without any fault; with faults the error lists them all.
 pub fn read(path: &Path) -> Result<Table, TableError> {
     let checked = read_sheet(path)?.check();
-    faultless(path, checked)
+    require_no_faults(path, checked)
 }
 
 /// Reads a table whose regions and zones are among those of the instances.
-pub fn read_for(path: &Path, instances: &Instances) -> Result<Table, TableError> {
+pub fn read_with_instances(path: &Path, instances: &Instances) -> Result<Table, TableError> {
     let sheet = read_sheet(path)?;
     let mut checked = sheet.check();
     let unknown = unknown_locations(&checked.table, instances).into_iter();
-    checked.faults.extend(unknown.map(|f| sheet.placed(f)));
-    faultless(path, checked)
+    checked.faults.extend(unknown.map(|f| sheet.locate(f)));
+    require_no_faults(path, checked)
 }
 
-fn faultless(path: &Path, checked: Checked) -> Result<Table, TableError> {
+fn require_no_faults(path: &Path, checked: CheckedTable) -> Result<Table, TableError> {
     if checked.faults.is_empty() {
         return Ok(checked.table);
     }
--- a/src/table/cells.rs
+++ b/src/table/cells.rs
@@ -11,29 +11,29 @@
 
 /// What a row describes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum RowKind {
     /// A tier of importance.
     Tier,
     /// An organisation with its share and limits.
     Organisation,
     /// A zone whose replicas get nothing new.
-    EmptiedZone,
+    DrainedZone,
 }
 
-impl Kind {
+impl RowKind {
     /// The word in the spreadsheet's first column.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Tier => "tier",
             Self::Organisation => "organisation",
-            Self::EmptiedZone => "emptied_zone",
+            Self::DrainedZone => "emptied_zone",
         }
     }
 }
 
 /// What a column holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Content {
+pub enum CellType {
     /// Any text.
     Text,
     /// A number.
@@ -50,53 +50,58 @@
     /// Its heading.
     pub name: &'static str,
     /// What it holds.
-    pub content: Content,
+    pub cell_type: CellType,
     /// Whether a tier has it.
-    pub tier: bool,
+    pub in_tier_rows: bool,
     /// Whether an organisation has it.
-    pub organisation: bool,
+    pub in_organisation_rows: bool,
 }
 
 impl Column {
-    const fn new(name: &'static str, content: Content, tier: bool, organisation: bool) -> Self {
+    const fn new(
+        name: &'static str,
+        cell_type: CellType,
+        in_tier_rows: bool,
+        in_organisation_rows: bool,
+    ) -> Self {
         Self {
             name,
-            content,
-            tier,
-            organisation,
+            cell_type,
+            in_tier_rows,
+            in_organisation_rows,
         }
     }
 
     /// Whether a row of `kind` has this column.
-    pub fn belongs_to(self, kind: Kind) -> bool {
+    pub fn applies_to(self, kind: RowKind) -> bool {
         match kind {
-            Kind::Tier => self.tier,
-            Kind::Organisation => self.organisation,
-            Kind::EmptiedZone => self.name == "name",
+            RowKind::Tier => self.in_tier_rows,
+            RowKind::Organisation => self.in_organisation_rows,
+            RowKind::DrainedZone => self.name == "name",
         }
     }
 }
 
 /// The columns after `kind`, in the order of the spreadsheet.
 pub const COLUMNS: [Column; 9] = [
-    Column::new("name", Content::Text, true, true),
-    Column::new("rank", Content::Number, true, false),
-    Column::new("weight", Content::Number, true, true),
-    Column::new("max_tier", Content::Text, false, true),
-    Column::new("requests_per_s", Content::Number, false, true),
-    Column::new("tokens_per_s", Content::Number, false, true),
-    Column::new("max_running", Content::Number, false, true),
-    Column::new("key_sha256", Content::Keys, false, true),
-    Column::new("allowed_regions", Content::Names, false, true),
+    Column::new("name", CellType::Text, true, true),
+    Column::new("rank", CellType::Number, true, false),
+    Column::new("weight", CellType::Number, true, true),
+    Column::new("max_tier", CellType::Text, false, true),
+    Column::new("requests_per_s", CellType::Number, false, true),
+    Column::new("tokens_per_s", CellType::Number, false, true),
+    Column::new("max_running", CellType::Number, false, true),
+    Column::new("key_sha256", CellType::Keys, false, true),
+    Column::new("allowed_regions", CellType::Names, false, true),
 ];
 
 /// One row as text; an absent or empty cell is an empty string.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
     /// Where the row stands in its file.
-    pub place: String,
+    pub location: String,
     /// What it describes.
-    pub kind: Kind,
+    pub kind: RowKind,
     /// One cell for each of [`COLUMNS`].
     pub cells: [String; COLUMNS.len()],
 }
@@ -112,7 +117,7 @@
 
 /// A table with all its faults; it is usable only without any.
 #[derive(Debug, Clone)]
-pub struct Checked {
+pub struct CheckedTable {
     /// The table; cells with faults hold a default.
     pub table: Table,
     /// The faults.
@@ -121,52 +126,52 @@
 
 impl Sheet {
     /// Reads every cell and lists every fault, those of form first.
-    pub fn check(&self) -> Checked {
+    pub fn check(&self) -> CheckedTable {
         let mut table = Table::default();
-        let mut found = self.faults.clone();
+        let mut all_faults = self.faults.clone();
         for row in &self.rows {
             let mut reader = RowReader {
                 row,
-                faults: &mut found,
+                faults: &mut all_faults,
             };
             match row.kind {
-                Kind::Tier => table.tiers.push(reader.tier()),
-                Kind::Organisation => table.organisations.push(reader.organisation()),
-                Kind::EmptiedZone => table.emptied_zones.push(reader.emptied_zone()),
+                RowKind::Tier => table.tiers.push(reader.read_tier()),
+                RowKind::Organisation => table.organisations.push(reader.read_organisation()),
+                RowKind::DrainedZone => table.emptied_zones.push(reader.read_drained_zone()),
             }
         }
         for fault in faults(&table) {
-            let fault = self.placed(fault);
+            let fault = self.locate(fault);
             // A cell that can't be read has a default, whose faults are not the operator's.
-            let cell = |f: &Fault| (f.row.clone(), f.column.clone());
-            if !found.iter().any(|f| cell(f) == cell(&fault)) {
-                found.push(fault);
+            let position = |f: &Fault| (f.row.clone(), f.column.clone());
+            if !all_faults.iter().any(|f| position(f) == position(&fault)) {
+                all_faults.push(fault);
             }
         }
-        Checked {
+        CheckedTable {
             table,
-            faults: found,
+            faults: all_faults,
         }
     }
 
     /// A fault of the decisions with its place in the file.
-    pub fn placed(&self, fault: configuration::Fault) -> Fault {
-        placed(&self.rows, fault)
+    pub fn locate(&self, fault: configuration::Fault) -> Fault {
+        locate_fault(&self.rows, fault)
     }
 }
 
 // The decisions count the rows of each kind from 1; an operator looks for a place in the file.
-fn placed(rows: &[Row], fault: configuration::Fault) -> Fault {
-    let find = |kind, number: usize| {
-        let mut of_kind = rows.iter().filter(|row| row.kind == kind);
-        let row = of_kind.nth(number.saturating_sub(1));
-        row.map_or_else(|| fault.row.to_string(), |row| row.place.clone())
+fn locate_fault(rows: &[Row], fault: configuration::Fault) -> Fault {
+    let row_location = |kind, number: usize| {
+        let mut rows_of_kind = rows.iter().filter(|row| row.kind == kind);
+        let row = rows_of_kind.nth(number.saturating_sub(1));
+        row.map_or_else(|| fault.row.to_string(), |row| row.location.clone())
     };
     Fault {
         row: match fault.row {
-            configuration::Row::Tier(number) => find(Kind::Tier, number),
-            configuration::Row::Organisation(number) => find(Kind::Organisation, number),
-            configuration::Row::DrainedZone(number) => find(Kind::EmptiedZone, number),
+            configuration::Row::Tier(number) => row_location(RowKind::Tier, number),
+            configuration::Row::Organisation(number) => row_location(RowKind::Organisation, number),
+            configuration::Row::DrainedZone(number) => row_location(RowKind::DrainedZone, number),
             other => other.to_string(),
         },
         column: match fault.column {
@@ -179,10 +184,10 @@
 }
 
 /// Rows of a table, for a spreadsheet.
-pub fn rows(table: &Table) -> Vec<Row> {
+pub fn table_rows(table: &Table) -> Vec<Row> {
     let tiers = table.tiers.iter().map(|tier| Row {
-        place: String::new(),
-        kind: Kind::Tier,
+        location: String::new(),
+        kind: RowKind::Tier,
         cells: [
             tier.tier.to_string(),
             tier.rank.to_string(),
@@ -196,32 +201,32 @@
         ],
     });
     let organisations = table.organisations.iter().map(|organisation| Row {
-        place: String::new(),
-        kind: Kind::Organisation,
+        location: String::new(),
+        kind: RowKind::Organisation,
         cells: [
             organisation.organisation.to_string(),
             String::new(),
             organisation.weight.to_string(),
             organisation.max_tier.to_string(),
-            optional(organisation.requests_per_s),
-            optional(organisation.tokens_per_s),
-            optional(organisation.max_running),
+            optional_cell(organisation.requests_per_s),
+            optional_cell(organisation.tokens_per_s),
+            optional_cell(organisation.max_running),
             organisation.key_sha256.join(" "),
             organisation.allowed_regions.join(" "),
         ],
     });
-    let emptied = table.emptied_zones.iter().map(|zone| Row {
-        place: String::new(),
-        kind: Kind::EmptiedZone,
-        cells: std::array::from_fn(|at| match at {
+    let drained_zones = table.emptied_zones.iter().map(|zone| Row {
+        location: String::new(),
+        kind: RowKind::DrainedZone,
+        cells: std::array::from_fn(|index| match index {
             0 => zone.to_string(),
             _ => String::new(),
         }),
     });
-    tiers.chain(organisations).chain(emptied).collect()
+    tiers.chain(organisations).chain(drained_zones).collect()
 }
 
-fn optional<T>(value: Option<T>) -> String
+fn optional_cell<T>(value: Option<T>) -> String
 where
     T: Display,
 {
@@ -235,32 +240,32 @@
 }
 
 impl RowReader<'_> {
-    fn tier(&mut self) -> Tier {
-        self.forbid_foreign_cells();
+    fn read_tier(&mut self) -> Tier {
+        self.reject_inapplicable_cells();
         Tier {
-            tier: self.name("name"),
-            rank: self.number("rank", "a whole number from 0 (highest) to 255"),
-            weight: self.number("weight", WEIGHT),
+            tier: self.read_name("name"),
+            rank: self.read_number("rank", "a whole number from 0 (highest) to 255"),
+            weight: self.read_number("weight", EXPECTED_WEIGHT),
         }
     }
 
-    fn organisation(&mut self) -> Organisation {
-        self.forbid_foreign_cells();
+    fn read_organisation(&mut self) -> Organisation {
+        self.reject_inapplicable_cells();
         Organisation {
-            organisation: self.name("name"),
-            weight: self.number("weight", WEIGHT),
-            max_tier: self.name("max_tier"),
-            key_sha256: self.keys(),
-            allowed_regions: self.regions(),
-            requests_per_s: self.limit("requests_per_s", RATE),
-            tokens_per_s: self.limit("tokens_per_s", RATE),
-            max_running: self.limit("max_running", "a whole number, or nothing for no limit"),
+            organisation: self.read_name("name"),
+            weight: self.read_number("weight", EXPECTED_WEIGHT),
+            max_tier: self.read_name("max_tier"),
+            key_sha256: self.read_key_hashes(),
+            allowed_regions: self.read_regions(),
+            requests_per_s: self.read_limit("requests_per_s", EXPECTED_RATE),
+            tokens_per_s: self.read_limit("tokens_per_s", EXPECTED_RATE),
+            max_running: self.read_limit("max_running", "a whole number, or nothing for no limit"),
         }
     }
 
-    fn emptied_zone(&mut self) -> Arc<str> {
-        self.forbid_foreign_cells();
-        self.name("name")
+    fn read_drained_zone(&mut self) -> Arc<str> {
+        self.reject_inapplicable_cells();
+        self.read_name("name")
     }
 
     fn cell(&self, column: &str) -> &str {
@@ -268,9 +273,9 @@
         index.map_or("", |i| self.row.cells[i].as_str())
     }
 
-    fn fault(&mut self, column: &str, reason: String, expected: &str) {
+    fn push_fault(&mut self, column: &str, reason: String, expected: &str) {
         self.faults.push(Fault {
-            row: self.row.place.clone(),
+            row: self.row.location.clone(),
             column: column.to_owned(),
             reason,
             expected: expected.to_owned(),
@@ -279,39 +284,39 @@
 
     // A limit typed into a tier's row would be lost without a word, and the operator would
     // believe it in force.
-    fn forbid_foreign_cells(&mut self) {
+    fn reject_inapplicable_cells(&mut self) {
         let kind = self.row.kind;
         for (column, cell) in COLUMNS.iter().zip(&self.row.cells) {
-            if !cell.is_empty() && !column.belongs_to(kind) {
+            if !cell.is_empty() && !column.applies_to(kind) {
                 let reason = format!("{} rows have no {}", kind.as_str(), column.name);
-                self.fault(column.name, reason, "an empty cell");
+                self.push_fault(column.name, reason, "an empty cell");
             }
         }
     }
 
-    fn name(&mut self, column: &str) -> Arc<str> {
+    fn read_name(&mut self, column: &str) -> Arc<str> {
         let text = Arc::from(self.cell(column));
-        if self.cell(column).is_empty() && !self.known_fault(column) {
-            self.fault(column, "missing".to_owned(), "a name");
+        if self.cell(column).is_empty() && !self.has_fault(column) {
+            self.push_fault(column, "missing".to_owned(), "a name");
         }
         text
     }
 
-    fn number<T>(&mut self, column: &str, expected: &str) -> T
+    fn read_number<T>(&mut self, column: &str, expected: &str) -> T
     where
         T: FromStr + Default,
     {
         let cell = self.cell(column).trim().to_owned();
         if cell.is_empty() {
-            if !self.known_fault(column) {
-                self.fault(column, "missing".to_owned(), expected);
+            if !self.has_fault(column) {
+                self.push_fault(column, "missing".to_owned(), expected);
             }
             return T::default();
         }
-        self.parse(column, &cell, expected).unwrap_or_default()
+        self.parse_cell(column, &cell, expected).unwrap_or_default()
     }
 
-    fn limit<T>(&mut self, column: &str, expected: &str) -> Option<T>
+    fn read_limit<T>(&mut self, column: &str, expected: &str) -> Option<T>
     where
         T: FromStr,
     {
@@ -319,28 +324,28 @@
         if cell.is_empty() {
             return None;
         }
-        self.parse(column, &cell, expected)
+        self.parse_cell(column, &cell, expected)
     }
 
-    fn parse<T>(&mut self, column: &str, cell: &str, expected: &str) -> Option<T>
+    fn parse_cell<T>(&mut self, column: &str, cell: &str, expected: &str) -> Option<T>
     where
         T: FromStr,
     {
         let value = cell.parse().ok();
         if value.is_none() {
-            self.fault(column, format!("can't read {cell:?}"), expected);
+            self.push_fault(column, format!("can't read {cell:?}"), expected);
         }
         value
     }
 
-    fn keys(&self) -> Vec<String> {
+    fn read_key_hashes(&self) -> Vec<String> {
         self.cell("key_sha256")
             .split_whitespace()
             .map(str::to_owned)
             .collect()
     }
 
-    fn regions(&self) -> Vec<Arc<str>> {
+    fn read_regions(&self) -> Vec<Arc<str>> {
         self.cell("allowed_regions")
             .split_whitespace()
             .map(Arc::from)
@@ -348,12 +353,12 @@
     }
 
     // A cell of the wrong type was reported when the file was read and is empty here.
-    fn known_fault(&self, column: &str) -> bool {
+    fn has_fault(&self, column: &str) -> bool {
         self.faults
             .iter()
-            .any(|f| f.row == self.row.place && f.column == column)
+            .any(|f| f.row == self.row.location && f.column == column)
     }
 }
 
-const WEIGHT: &str = "a whole number from 1";
-const RATE: &str = "a number with a decimal point, or nothing for no limit";
+const EXPECTED_WEIGHT: &str = "a whole number from 1";
+const EXPECTED_RATE: &str = "a number with a decimal point, or nothing for no limit";
--- a/src/table/sheet.rs
+++ b/src/table/csv.rs
@@ -8,19 +8,19 @@
 use kingcupfield_decisions::values::Table;
 
 use super::Fault;
-use super::cells::{COLUMNS, Kind, Row, Sheet, rows};
+use super::cells::{COLUMNS, Row, RowKind, Sheet, table_rows};
 
 /// Without this mark a spreadsheet on Windows takes UTF-8 for its local code page and garbles
 /// names such as `Đà Nẵng`.
 const BYTE_ORDER_MARK: &str = "\u{feff}";
-const KIND: &str = "kind";
+const KIND_HEADING: &str = "kind";
 const DELIMITERS: [u8; 3] = *b",;\t";
 
 /// Writes `table` as CSV.
 pub fn write(table: &Table) -> Result<String, csv::Error> {
     let mut writer = Writer::from_writer(BYTE_ORDER_MARK.as_bytes().to_vec());
-    writer.write_record(std::iter::once(KIND).chain(COLUMNS.map(|c| c.name)))?;
-    for row in rows(table) {
+    writer.write_record(std::iter::once(KIND_HEADING).chain(COLUMNS.map(|c| c.name)))?;
+    for row in table_rows(table) {
         let cells = row.cells.iter().map(String::as_str);
         writer.write_record(std::iter::once(row.kind.as_str()).chain(cells))?;
     }
@@ -34,109 +34,113 @@
 pub fn read(buf: &[u8]) -> Result<Sheet, String> {
     let buf = buf.strip_prefix(BYTE_ORDER_MARK.as_bytes()).unwrap_or(buf);
     let mut reader = ReaderBuilder::new()
-        .delimiter(delimiter(buf))
+        .delimiter(detect_delimiter(buf))
         .flexible(true)
         .from_reader(buf);
     let headers = reader.headers().map_err(|e| e.to_string())?.clone();
     let mut sheet = Sheet::default();
-    let layout = Layout::new(&headers, &mut sheet.faults);
+    let layout = ColumnLayout::new(&headers, &mut sheet.faults);
     for record in reader.records() {
         let record = record.map_err(|e| e.to_string())?;
-        let place = place(buf, &record);
-        layout.read_row(&record, place, &mut sheet);
+        let location = record_location(buf, &record);
+        layout.read_row(&record, location, &mut sheet);
     }
     Ok(sheet)
 }
 
 // The delimiter is the most frequent candidate in the heading, whose words hold none of them.
-fn delimiter(buf: &[u8]) -> u8 {
+fn detect_delimiter(buf: &[u8]) -> u8 {
     let heading = buf.split(|b| *b == b'\n').next().unwrap_or_default();
-    let count = |delimiter: u8| heading.split(|b| *b == delimiter).count();
+    let field_count = |delimiter: u8| heading.split(|b| *b == delimiter).count();
     // Of equal counts the first wins, as max_by_key takes the last one of the reversed list.
-    let best = DELIMITERS.into_iter().rev().max_by_key(|d| count(*d));
+    let best = DELIMITERS.into_iter().rev().max_by_key(|d| field_count(*d));
     best.unwrap_or(b',')
 }
 
 // The reader's position stands before the empty lines that it skips, so an operator would look
 // for the fault in a line too high.
-fn place(buf: &[u8], record: &StringRecord) -> String {
+fn record_location(buf: &[u8], record: &StringRecord) -> String {
     let Some(position) = record.position() else {
         return String::new();
     };
     let rest = buf.get(position.byte() as usize..).unwrap_or_default();
-    let skipped = rest.iter().take_while(|b| matches!(b, b'\r' | b'\n'));
-    let lines = skipped.filter(|b| **b == b'\n').count() as u64;
-    format!("line {}", position.line() + lines)
+    let line_breaks = rest.iter().take_while(|b| matches!(b, b'\r' | b'\n'));
+    let empty_lines = line_breaks.filter(|b| **b == b'\n').count() as u64;
+    format!("line {}", position.line() + empty_lines)
 }
 
 /// Where each known column stands in a file.
-struct Layout {
-    kind: Option<usize>,
-    columns: [Option<usize>; COLUMNS.len()],
-    width: usize,
+struct ColumnLayout {
+    kind_index: Option<usize>,
+    column_indices: [Option<usize>; COLUMNS.len()],
+    heading_count: usize,
 }
 
-impl Layout {
+impl ColumnLayout {
     fn new(headers: &StringRecord, faults: &mut Vec<Fault>) -> Self {
-        let find = |name| headers.iter().position(|h| h.trim() == name);
+        let index_of = |name| headers.iter().position(|h| h.trim() == name);
         let layout = Self {
-            kind: find(KIND),
-            columns: COLUMNS.map(|c| find(c.name)),
-            width: headers.len(),
+            kind_index: index_of(KIND_HEADING),
+            column_indices: COLUMNS.map(|c| index_of(c.name)),
+            heading_count: headers.len(),
         };
-        let known = || std::iter::once(KIND).chain(COLUMNS.map(|c| c.name));
-        let expected = known().collect::<Vec<_>>().join(", ");
+        let known_headings = || std::iter::once(KIND_HEADING).chain(COLUMNS.map(|c| c.name));
+        let expected = known_headings().collect::<Vec<_>>().join(", ");
         for (i, heading) in headers.iter().enumerate() {
             let heading = heading.trim();
-            if !known().any(|name| name == heading) {
+            if !known_headings().any(|name| name == heading) {
                 faults.push(heading_fault(heading, "unknown column", &expected));
-            } else if find(heading) != Some(i) {
+            } else if index_of(heading) != Some(i) {
                 faults.push(heading_fault(heading, "column stands twice", &expected));
             }
         }
-        for required in [KIND, "name", "weight"] {
-            if find(required).is_none() {
+        for required in [KIND_HEADING, "name", "weight"] {
+            if index_of(required).is_none() {
                 faults.push(heading_fault(required, "column is missing", &expected));
             }
         }
         layout
     }
 
-    fn read_row(&self, record: &StringRecord, place: String, sheet: &mut Sheet) {
+    fn read_row(&self, record: &StringRecord, location: String, sheet: &mut Sheet) {
         if record.iter().all(|cell| cell.trim().is_empty()) {
             return;
         }
-        let mut fault = |column: &str, reason: String, expected: &str| {
+        let mut push_fault = |column: &str, reason: String, expected: &str| {
             sheet.faults.push(Fault {
-                row: place.clone(),
+                row: location.clone(),
                 column: column.to_owned(),
                 reason,
                 expected: expected.to_owned(),
             });
         };
-        if record.len() > self.width {
-            let reason = format!("{} cells under {} headings", record.len(), self.width);
-            fault("", reason, "a cell that holds a delimiter in double quotes");
+        if record.len() > self.heading_count {
+            let reason = format!(
+                "{} cells under {} headings",
+                record.len(),
+                self.heading_count
+            );
+            push_fault("", reason, "a cell that holds a delimiter in double quotes");
         }
         let cell = |index: Option<usize>| index.and_then(|i| record.get(i)).unwrap_or_default();
-        let kind = match cell(self.kind).trim() {
-            "tier" => Kind::Tier,
-            "organisation" => Kind::Organisation,
-            "emptied_zone" => Kind::EmptiedZone,
+        let kind = match cell(self.kind_index).trim() {
+            "tier" => RowKind::Tier,
+            "organisation" => RowKind::Organisation,
+            "emptied_zone" => RowKind::DrainedZone,
             // Without the column its absence is the one fault to report.
-            _ if self.kind.is_none() => return,
+            _ if self.kind_index.is_none() => return,
             other => {
-                return fault(
-                    KIND,
+                return push_fault(
+                    KIND_HEADING,
                     format!("can't read {other:?}"),
                     "tier, organisation or emptied_zone",
                 );
             }
         };
         sheet.rows.push(Row {
-            place,
+            location,
             kind,
-            cells: self.columns.map(|index| cell(index).to_owned()),
+            cells: self.column_indices.map(|index| cell(index).to_owned()),
         });
     }
 }
--- a/src/table/diff.rs
+++ b/src/table/diff.rs
@@ -4,9 +4,9 @@
 use kingcupfield_decisions::values::Table;
 use serde::Serialize;
 
-use super::cells::{COLUMNS, Content, Kind, Row, rows};
-use super::share::{Share, Shares, shares};
-use super::show::percent;
+use super::cells::{COLUMNS, CellType, Row, RowKind, table_rows};
+use super::share::{OrganisationShares, TierShare, compute_shares};
+use super::show::format_percent;
 
 /// A tier or an organisation for which something changes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
@@ -16,7 +16,8 @@
     /// Its name.
     pub name: String,
     /// Added, removed or changed.
-    pub fate: Fate,
+    #[serde(rename = "fate")]
+    pub change_kind: ChangeKind,
     /// The cells and shares that differ.
     pub differences: Vec<Difference>,
 }
@@ -24,7 +25,7 @@
 /// What happens to a row.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Fate {
+pub enum ChangeKind {
     /// Only the new table has it.
     Added,
     /// Only the old table has it.
@@ -48,69 +49,71 @@
 
 /// Lists the changes, those of the new table first, then the removed rows.
 pub fn diff(old: &Table, new: &Table) -> Vec<Change> {
-    let (old_rows, new_rows) = (sorted(old), sorted(new));
+    let (old_rows, new_rows) = (sorted_rows(old), sorted_rows(new));
     let (old_shares, new_shares) = (SortedShares::new(old), SortedShares::new(new));
     let mut changes = Vec::new();
-    for row in rows(new) {
-        let before = find(&old_rows, &row);
-        let mut differences = differing_cells(before, Some(&row));
+    for row in table_rows(new) {
+        let old_row = find_row(&old_rows, &row);
+        let mut differences = compare_cells(old_row, Some(&row));
         let cells_differ = !differences.is_empty();
-        if row.kind == Kind::Organisation {
+        if row.kind == RowKind::Organisation {
             let name = &row.cells[0];
-            differences.extend(differing_shares(old_shares.of(name), new_shares.of(name)));
+            differences.extend(compare_shares(old_shares.get(name), new_shares.get(name)));
         }
-        let fate = match before {
-            None => Fate::Added,
-            Some(_) if cells_differ => Fate::Changed,
-            Some(_) => Fate::Affected,
+        let change_kind = match old_row {
+            None => ChangeKind::Added,
+            Some(_) if cells_differ => ChangeKind::Changed,
+            Some(_) => ChangeKind::Affected,
         };
-        if fate == Fate::Added || !differences.is_empty() {
-            changes.push(change(&row, fate, differences));
+        if change_kind == ChangeKind::Added || !differences.is_empty() {
+            changes.push(new_change(&row, change_kind, differences));
         }
     }
-    for row in rows(old) {
-        if find(&new_rows, &row).is_none() {
-            let differences = differing_cells(Some(&row), None);
-            changes.push(change(&row, Fate::Removed, differences));
+    for row in table_rows(old) {
+        if find_row(&new_rows, &row).is_none() {
+            let differences = compare_cells(Some(&row), None);
+            changes.push(new_change(&row, ChangeKind::Removed, differences));
         }
     }
     changes
 }
 
-fn change(row: &Row, fate: Fate, differences: Vec<Difference>) -> Change {
+fn new_change(row: &Row, change_kind: ChangeKind, differences: Vec<Difference>) -> Change {
     Change {
         kind: row.kind.as_str(),
         name: row.cells[0].clone(),
-        fate,
+        change_kind,
         differences,
     }
 }
 
-fn sorted(table: &Table) -> Vec<Row> {
-    let mut rows = rows(table);
-    rows.sort_by(|a, b| key(a).cmp(&key(b)));
+fn sorted_rows(table: &Table) -> Vec<Row> {
+    let mut rows = table_rows(table);
+    rows.sort_by(|a, b| row_key(a).cmp(&row_key(b)));
     rows
 }
 
-fn key(row: &Row) -> (&'static str, &str) {
+fn row_key(row: &Row) -> (&'static str, &str) {
     (row.kind.as_str(), row.cells[0].as_str())
 }
 
-fn find<'a>(sorted: &'a [Row], row: &Row) -> Option<&'a Row> {
-    let index = sorted.binary_search_by(|r| key(r).cmp(&key(row))).ok()?;
+fn find_row<'a>(sorted: &'a [Row], row: &Row) -> Option<&'a Row> {
+    let index = sorted
+        .binary_search_by(|r| row_key(r).cmp(&row_key(row)))
+        .ok()?;
     Some(&sorted[index])
 }
 
-fn differing_cells(old: Option<&Row>, new: Option<&Row>) -> Vec<Difference> {
+fn compare_cells(old: Option<&Row>, new: Option<&Row>) -> Vec<Difference> {
     let cell = |row: Option<&Row>, i: usize| row.map_or(String::new(), |r| r.cells[i].clone());
     let compare = |(i, column): (usize, super::cells::Column)| {
         let (old, new) = (cell(old, i), cell(new, i));
         if column.name == "name" || old == new {
             return None;
         }
-        let (old, new) = match column.content {
-            Content::Keys => (short_keys(&old), short_keys(&new)),
-            Content::Text | Content::Number | Content::Names => (old, new),
+        let (old, new) = match column.cell_type {
+            CellType::Keys => (abbreviate_hashes(&old), abbreviate_hashes(&new)),
+            CellType::Text | CellType::Number | CellType::Names => (old, new),
         };
         Some(Difference {
             column: column.name.to_owned(),
@@ -123,37 +126,40 @@
 }
 
 // Eight digits tell keys apart and keep a line readable.
-fn short_keys(keys: &str) -> String {
-    let short = |key: &str| key.chars().take(8).collect::<String>();
+fn abbreviate_hashes(keys: &str) -> String {
+    let abbreviate = |key: &str| key.chars().take(8).collect::<String>();
     keys.split_whitespace()
-        .map(short)
+        .map(abbreviate)
         .collect::<Vec<_>>()
         .join(" ")
 }
 
 /// The shares of a table, sorted by organisation.
-struct SortedShares(Vec<Shares>);
+struct SortedShares(Vec<OrganisationShares>);
 
 impl SortedShares {
     fn new(table: &Table) -> Self {
-        let mut shares = shares(table);
+        let mut shares = compute_shares(table);
         shares.sort_by(|a, b| a.organisation.cmp(&b.organisation));
         Self(shares)
     }
 
-    fn of(&self, organisation: &str) -> &[Share] {
-        let key = |s: &Shares| s.organisation.as_ref().cmp(organisation);
+    fn get(&self, organisation: &str) -> &[TierShare] {
+        let key = |s: &OrganisationShares| s.organisation.as_ref().cmp(organisation);
         let index = self.0.binary_search_by(key);
         index.map_or(&[], |i| self.0[i].tiers.as_slice())
     }
 }
 
-fn differing_shares(old: &[Share], new: &[Share]) -> Vec<Difference> {
-    let gone = |s: &&Share| !new.iter().any(|n| n.tier == s.tier);
-    let tiers = new.iter().chain(old.iter().filter(gone)).map(|s| &s.tier);
+fn compare_shares(old: &[TierShare], new: &[TierShare]) -> Vec<Difference> {
+    let is_removed = |s: &&TierShare| !new.iter().any(|n| n.tier == s.tier);
+    let tiers = new
+        .iter()
+        .chain(old.iter().filter(is_removed))
+        .map(|s| &s.tier);
     let compare = |tier: &TierId| {
-        let part = |shares: &[Share]| shares.iter().find(|s| s.tier == *tier)?.part;
-        let (old, new) = (percent(part(old)), percent(part(new)));
+        let fraction = |shares: &[TierShare]| shares.iter().find(|s| s.tier == *tier)?.fraction;
+        let (old, new) = (format_percent(fraction(old)), format_percent(fraction(new)));
         (old != new).then(|| Difference {
             column: format!("share of {tier}"),
             old,
--- a/src/table/json.rs
+++ b/src/table/json.rs
@@ -7,10 +7,10 @@
 use serde_json::{Map, Value};
 
 use super::Fault;
-use super::cells::{COLUMNS, Column, Content, Kind, Row, Sheet};
+use super::cells::{COLUMNS, CellType, Column, Row, RowKind, Sheet};
 
 /// Fields of the table.
-const LISTS: [&str; 3] = ["tiers", "organisations", "emptied_zones"];
+const TABLE_FIELDS: [&str; 3] = ["tiers", "organisations", "emptied_zones"];
 
 /// Writes `table` as indented JSON.
 pub fn write(table: &Table) -> Result<String, serde_json::Error> {
@@ -27,8 +27,8 @@
     };
     let mut sheet = Sheet::default();
     for field in table.keys() {
-        if !LISTS.contains(&field.as_str()) {
-            sheet.faults.push(fault(
+        if !TABLE_FIELDS.contains(&field.as_str()) {
+            sheet.faults.push(new_fault(
                 field.clone(),
                 "",
                 "unknown field",
@@ -36,82 +36,101 @@
             ));
         }
     }
-    read_list(&table, "tiers", Kind::Tier, &mut sheet);
-    read_list(&table, "organisations", Kind::Organisation, &mut sheet);
+    read_list(&table, "tiers", RowKind::Tier, &mut sheet);
+    read_list(&table, "organisations", RowKind::Organisation, &mut sheet);
     if table.contains_key("emptied_zones") {
-        read_list(&table, "emptied_zones", Kind::EmptiedZone, &mut sheet);
+        read_list(&table, "emptied_zones", RowKind::DrainedZone, &mut sheet);
     }
     Ok(sheet)
 }
 
-fn read_list(table: &Map<String, Value>, name: &str, kind: Kind, sheet: &mut Sheet) {
+fn read_list(table: &Map<String, Value>, name: &str, kind: RowKind, sheet: &mut Sheet) {
     let Some(Value::Array(list)) = table.get(name) else {
         let expected = format!("a list of {name}");
-        sheet
-            .faults
-            .push(fault(name.to_owned(), "", "missing or no list", &expected));
+        sheet.faults.push(new_fault(
+            name.to_owned(),
+            "",
+            "missing or no list",
+            &expected,
+        ));
         return;
     };
     for (i, value) in list.iter().enumerate() {
-        let place = format!("{name}[{i}]");
+        let location = format!("{name}[{i}]");
         match value {
-            Value::String(name) if kind == Kind::EmptiedZone => {
+            Value::String(name) if kind == RowKind::DrainedZone => {
                 let mut cells = COLUMNS.map(|_| String::new());
                 cells[0].clone_from(name);
-                sheet.rows.push(Row { place, kind, cells });
+                sheet.rows.push(Row {
+                    location,
+                    kind,
+                    cells,
+                });
             }
-            Value::Object(object) if kind != Kind::EmptiedZone => {
-                read_row(object, place, kind, sheet);
+            Value::Object(object) if kind != RowKind::DrainedZone => {
+                read_row(object, location, kind, sheet);
             }
-            _ if kind == Kind::EmptiedZone => {
-                let expected = wanted(Content::Text);
-                sheet.faults.push(fault(place, "", "no text", expected));
+            _ if kind == RowKind::DrainedZone => {
+                let expected = expected_value(CellType::Text);
+                sheet
+                    .faults
+                    .push(new_fault(location, "", "no text", expected));
             }
             _ => sheet
                 .faults
-                .push(fault(place, "", "no object", "an object in braces")),
+                .push(new_fault(location, "", "no object", "an object in braces")),
         }
     }
 }
 
-fn read_row(object: &Map<String, Value>, place: String, kind: Kind, sheet: &mut Sheet) {
-    let field = |column: Column| match column.name {
+fn read_row(object: &Map<String, Value>, location: String, kind: RowKind, sheet: &mut Sheet) {
+    let field_name = |column: Column| match column.name {
         "name" => kind.as_str(),
         other => other,
     };
-    let known = || COLUMNS.into_iter().filter(|c| c.belongs_to(kind));
+    let known_columns = || COLUMNS.into_iter().filter(|c| c.applies_to(kind));
     for name in object.keys() {
-        if !known().any(|c| field(c) == name) {
-            let expected = known().map(field).collect::<Vec<_>>().join(", ");
-            sheet
-                .faults
-                .push(fault(place.clone(), name, "unknown field", &expected));
+        if !known_columns().any(|c| field_name(c) == name) {
+            let expected = known_columns()
+                .map(field_name)
+                .collect::<Vec<_>>()
+                .join(", ");
+            sheet.faults.push(new_fault(
+                location.clone(),
+                name,
+                "unknown field",
+                &expected,
+            ));
         }
     }
     let mut cells = COLUMNS.map(|_| String::new());
     for (cell, column) in cells.iter_mut().zip(COLUMNS) {
-        let value = object.get(field(column)).unwrap_or(&Value::Null);
-        if !column.belongs_to(kind) || value.is_null() {
+        let value = object.get(field_name(column)).unwrap_or(&Value::Null);
+        if !column.applies_to(kind) || value.is_null() {
             continue;
         }
-        match read_cell(value, column.content) {
+        match read_cell(value, column.cell_type) {
             Some(text) => *cell = text,
-            None => sheet.faults.push(fault(
-                place.clone(),
+            None => sheet.faults.push(new_fault(
+                location.clone(),
                 column.name,
                 &format!("can't read {value}"),
-                wanted(column.content),
+                expected_value(column.cell_type),
             )),
         }
     }
-    sheet.rows.push(Row { place, kind, cells });
+    sheet.rows.push(Row {
+        location,
+        kind,
+        cells,
+    });
 }
 
-fn read_cell(value: &Value, content: Content) -> Option<String> {
-    match (value, content) {
-        (Value::String(text), Content::Text) => Some(text.clone()),
-        (Value::Number(number), Content::Number) => Some(number.to_string()),
-        (Value::Array(texts), Content::Keys | Content::Names) => {
+fn read_cell(value: &Value, cell_type: CellType) -> Option<String> {
+    match (value, cell_type) {
+        (Value::String(text), CellType::Text) => Some(text.clone()),
+        (Value::Number(number), CellType::Number) => Some(number.to_string()),
+        (Value::Array(texts), CellType::Keys | CellType::Names) => {
             let texts: Option<Vec<_>> = texts.iter().map(Value::as_str).collect();
             Some(texts?.join(" "))
         }
@@ -119,15 +138,15 @@
     }
 }
 
-fn wanted(content: Content) -> &'static str {
-    match content {
-        Content::Text => "a text in double quotes",
-        Content::Number => "a number without quotes",
-        Content::Keys | Content::Names => "a list of texts in double quotes",
+fn expected_value(cell_type: CellType) -> &'static str {
+    match cell_type {
+        CellType::Text => "a text in double quotes",
+        CellType::Number => "a number without quotes",
+        CellType::Keys | CellType::Names => "a list of texts in double quotes",
     }
 }
 
-fn fault(row: String, column: &str, reason: &str, expected: &str) -> Fault {
+fn new_fault(row: String, column: &str, reason: &str, expected: &str) -> Fault {
     Fault {
         row,
         column: column.to_owned(),
--- a/src/table/share.rs
+++ b/src/table/share.rs
@@ -9,20 +9,21 @@
 
 /// Share of one organisation in one tier at full load.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Share {
+pub struct TierShare {
     /// The tier.
     pub tier: TierId,
     /// Part of the capacity that reaches the tier, 0 to 1; `None` when the tier is closed to it.
-    pub part: Option<f64>,
+    #[serde(rename = "part")]
+    pub fraction: Option<f64>,
 }
 
 /// One organisation's shares, highest tier first.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Shares {
+pub struct OrganisationShares {
     /// The organisation.
     pub organisation: OrganisationId,
     /// One for each tier.
-    pub tiers: Vec<Share>,
+    pub tiers: Vec<TierShare>,
 }
 
 /// The tiers, highest first.
@@ -33,30 +34,34 @@
 }
 
 /// Every organisation's shares, in the order of the table.
-pub fn shares(table: &Table) -> Vec<Shares> {
+pub fn compute_shares(table: &Table) -> Vec<OrganisationShares> {
     let tiers = sorted_tiers(table);
-    let totals: Vec<u64> = tiers.iter().map(|t| total_weight(table, t)).collect();
-    let row = |organisation: &Organisation| {
-        let part = |(tier, total): (&&Tier, &u64)| Share {
+    let total_weights: Vec<u64> = tiers.iter().map(|t| total_weight(table, t)).collect();
+    let organisation_shares = |organisation: &Organisation| {
+        let tier_share = |(tier, total): (&&Tier, &u64)| TierShare {
             tier: tier.tier.clone(),
-            part: (may_use(table, organisation, tier) && *total > 0)
+            fraction: (may_use_tier(table, organisation, tier) && *total > 0)
                 .then(|| f64::from(organisation.weight) / *total as f64),
         };
-        Shares {
+        OrganisationShares {
             organisation: organisation.organisation.clone(),
-            tiers: tiers.iter().zip(&totals).map(part).collect(),
+            tiers: tiers.iter().zip(&total_weights).map(tier_share).collect(),
         }
     };
-    table.organisations.iter().map(row).collect()
+    table
+        .organisations
+        .iter()
+        .map(organisation_shares)
+        .collect()
 }
 
 fn total_weight(table: &Table, tier: &Tier) -> u64 {
-    let allowed = |o: &&Organisation| may_use(table, o, tier);
+    let allowed = |o: &&Organisation| may_use_tier(table, o, tier);
     let organisations = table.organisations.iter().filter(allowed);
     organisations.map(|o| u64::from(o.weight)).sum()
 }
 
-fn may_use(table: &Table, organisation: &Organisation, tier: &Tier) -> bool {
-    let highest = table.tiers.iter().find(|t| t.tier == organisation.max_tier);
-    highest.is_some_and(|highest| tier.rank >= highest.rank)
+fn may_use_tier(table: &Table, organisation: &Organisation, tier: &Tier) -> bool {
+    let max_tier = table.tiers.iter().find(|t| t.tier == organisation.max_tier);
+    max_tier.is_some_and(|max_tier| tier.rank >= max_tier.rank)
 }
--- a/tests/table_round_trip.rs
+++ b/tests/table_round_trip.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use kingcupfield::table::{json, sheet};
+use kingcupfield::table::{csv, json};
 use kingcupfield_decisions::values::{Organisation, Table, Tier};
 use proptest::option;
 use proptest::prelude::*;
@@ -12,27 +12,31 @@
 const SEED: u64 = 6;
 
 // Names with every character that a CSV writer must quote.
-fn name() -> impl Strategy<Value = Arc<str>> {
+fn any_name() -> impl Strategy<Value = Arc<str>> {
     "[a-zđẵ ;,\"'\n\t-]{1,12}".prop_map(Arc::from)
 }
 
-fn tier() -> impl Strategy<Value = Tier> {
-    (name(), any::<u8>(), any::<u32>()).prop_map(|(tier, rank, weight)| Tier { tier, rank, weight })
+fn any_tier() -> impl Strategy<Value = Tier> {
+    (any_name(), any::<u8>(), any::<u32>()).prop_map(|(tier, rank, weight)| Tier {
+        tier,
+        rank,
+        weight,
+    })
 }
 
-fn region() -> impl Strategy<Value = Arc<str>> {
+fn any_region() -> impl Strategy<Value = Arc<str>> {
     "[a-zäé-]{1,8}".prop_map(Arc::from)
 }
 
-fn organisation() -> impl Strategy<Value = Organisation> {
+fn any_organisation() -> impl Strategy<Value = Organisation> {
     let keys = prop::collection::vec("[0-9a-f]{64}", 0..3);
     let limits = (
         option::of(0.0..1e12),
         option::of(0.0..1e-3),
         option::of(any::<u32>()),
     );
-    let regions = prop::collection::vec(region(), 0..3);
-    (name(), any::<u32>(), name(), keys, limits, regions).prop_map(
+    let regions = prop::collection::vec(any_region(), 0..3);
+    (any_name(), any::<u32>(), any_name(), keys, limits, regions).prop_map(
         |(organisation, weight, max_tier, key_sha256, limits, allowed_regions)| Organisation {
             organisation,
             weight,
@@ -56,13 +60,13 @@
 
     #[test]
     fn no_cell_is_lost(
-        tiers in prop::collection::vec(tier(), 0..4),
-        organisations in prop::collection::vec(organisation(), 0..6),
-        emptied_zones in prop::collection::vec(name(), 0..3),
+        tiers in prop::collection::vec(any_tier(), 0..4),
+        organisations in prop::collection::vec(any_organisation(), 0..6),
+        emptied_zones in prop::collection::vec(any_name(), 0..3),
     ) {
         let table = Table { tiers, organisations, emptied_zones };
-        let csv = sheet::write(&table).expect("written");
-        prop_assert_eq!(&sheet::read(csv.as_bytes()).expect("read").check().table, &table);
+        let text = csv::write(&table).expect("written");
+        prop_assert_eq!(&csv::read(text.as_bytes()).expect("read").check().table, &table);
         let text = json::write(&table).expect("written");
         prop_assert_eq!(&json::read(text.as_bytes()).expect("read").check().table, &table);
     }
