--- a/src/table.rs
+++ b/src/table.rs
@@ -1,7 +1,9 @@
-//! The operators' table as a file: read, checked, shown, compared and turned into a spreadsheet.
+//! Files with the operators' table of tiers, organisations and drained zones: reads, validates,
+//! renders, compares and converts them.
 //!
-//! A table is a JSON value, as the platform publishes it, or a CSV file, as a spreadsheet saves
-//! it. Both are read cell by cell through [`Sheet`], so that every fault is found at once.
+//! A table file is JSON, the format that the platform publishes, or CSV, the format of
+//! spreadsheets. Both are parsed into the text cells of a [`Sheet`] first, which lets validation
+//! report all faults of a file instead of stopping at the first one.
 
 use std::path::{Path, PathBuf};
 
@@ -19,55 +21,55 @@
 
 pub use cells::{CheckedTable, Sheet};
 
-/// One thing wrong with a table, and what would be right.
+/// A validation error in a table file, with its location and the valid values.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Fault {
-    /// Where: a line of a CSV file, or a path such as `organisations[2]`.
+    /// Location of the row: `line 5` of a CSV file, or a JSON path such as `organisations[2]`.
     pub row: String,
-    /// Column or field; empty when the whole row is meant.
+    /// CSV column or JSON field; empty when the fault concerns the entire row.
     pub column: String,
-    /// What is wrong.
+    /// Description of the fault.
     pub reason: String,
-    /// What would be right.
+    /// Description of the valid values.
     pub expected: String,
 }
 
-/// Why a file can't be used as a table at all, or holds faults.
+/// Error while reading a table file.
 #[derive(Debug, Error)]
 pub enum TableError {
-    /// The file can't be read.
+    /// Reading the file failed.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the table file.
         path: PathBuf,
-        /// The system's reason.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// The file's name ends in neither `.json` nor `.csv`.
+    /// The file name extension is neither `.json` nor `.csv`.
     #[error("{}: a table's file name ends in .json or .csv", path.display())]
     Extension {
-        /// The file.
+        /// Path of the table file.
         path: PathBuf,
     },
-    /// The file is not JSON or CSV.
+    /// The content is not valid JSON or CSV.
     #[error("{}: {reason}", path.display())]
     Malformed {
-        /// The file.
+        /// Path of the table file.
         path: PathBuf,
-        /// The parser's reason, with its place.
+        /// Message of the parser, including the position in the file.
         reason: String,
     },
-    /// The table holds faults, all of them listed.
+    /// The file was parsed, but validation found faults.
     #[error("{}: {} faults", path.display(), faults.len())]
     Faults {
-        /// The file.
+        /// Path of the table file.
         path: PathBuf,
-        /// The faults in the order of the file.
+        /// All faults: format faults first, then faults in the values.
         faults: Vec<Fault>,
     },
 }
 
-/// Reads the cells of a `.json` or `.csv` file.
+/// Parses a `.json` or `.csv` file into text cells without validating their values.
 pub fn read_sheet(path: &Path) -> Result<Sheet, TableError> {
     let buf = std::fs::read(path).map_err(|source| TableError::Read {
         path: path.to_owned(),
@@ -86,13 +88,13 @@
     }
 }
 
-/// Reads a table without any fault; with faults the error lists them all.
+/// Reads and validates a table file; returns [`TableError::Faults`] with all faults, if any.
 pub fn read(path: &Path) -> Result<Table, TableError> {
     let checked = read_sheet(path)?.check();
     require_no_faults(path, checked)
 }
 
-/// Reads a table whose regions and zones are among those of the instances.
+/// Like [`read`], and also reports regions and availability zones that no instance is in.
 pub fn read_with_instances(path: &Path, instances: &Instances) -> Result<Table, TableError> {
     let sheet = read_sheet(path)?;
     let mut checked = sheet.check();
@@ -101,6 +103,7 @@
     require_no_faults(path, checked)
 }
 
+// Returns the table, or an error with its faults.
 fn require_no_faults(path: &Path, checked: CheckedTable) -> Result<Table, TableError> {
     if checked.faults.is_empty() {
         return Ok(checked.table);
