--- a/src/table/cells.rs
+++ b/src/table/cells.rs
@@ -1,4 +1,5 @@
-//! Rows of text cells, the common form of both file formats, and their way into a [`Table`].
+//! Rows of text cells, the intermediate form of CSV and JSON files, and their conversion to and
+//! from a [`Table`].
 
 use std::fmt::Display;
 use std::str::FromStr;
@@ -9,19 +10,19 @@
 
 use super::Fault;
 
-/// What a row describes.
+/// Kind of object that a row describes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RowKind {
-    /// A tier of importance.
+    /// A priority tier.
     Tier,
-    /// An organisation with its share and limits.
+    /// An organisation with its weight and limits.
     Organisation,
-    /// A zone whose replicas get nothing new.
+    /// A drained availability zone: its replicas receive no new requests.
     DrainedZone,
 }
 
 impl RowKind {
-    /// The word in the spreadsheet's first column.
+    /// Value of the CSV column `kind`.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Tier => "tier",
@@ -31,29 +32,29 @@
     }
 }
 
-/// What a column holds.
+/// Data type of the cells in a column.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CellType {
     /// Any text.
     Text,
     /// A number.
     Number,
-    /// A list of key hashes, parted by spaces in a spreadsheet.
+    /// A list of API key hashes, separated by whitespace in a CSV file.
     Keys,
-    /// A list of names, parted by spaces in a spreadsheet.
+    /// A list of names, separated by whitespace in a CSV file.
     Names,
 }
 
-/// A column of the table.
+/// Definition of a table column.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Column {
-    /// Its heading.
+    /// Heading in a CSV file.
     pub name: &'static str,
-    /// What it holds.
+    /// Data type of its cells.
     pub cell_type: CellType,
-    /// Whether a tier has it.
+    /// Whether rows of tiers have this column.
     pub in_tier_rows: bool,
-    /// Whether an organisation has it.
+    /// Whether rows of organisations have this column.
     pub in_organisation_rows: bool,
 }
 
@@ -82,7 +83,7 @@
     }
 }
 
-/// The columns after `kind`, in the order of the spreadsheet.
+/// The columns after `kind`, in the order of a CSV file.
 pub const COLUMNS: [Column; 9] = [
     Column::new("name", CellType::Text, true, true),
     Column::new("rank", CellType::Number, true, false),
@@ -95,37 +96,37 @@
     Column::new("allowed_regions", CellType::Names, false, true),
 ];
 
-/// One row as text; an absent or empty cell is an empty string.
+/// One row of text cells; a missing cell is an empty string.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
-    /// Where the row stands in its file.
+    /// Location in the file, for [`Fault::row`]; empty for rows that were not read from a file.
     pub location: String,
-    /// What it describes.
+    /// Kind of object that the row describes.
     pub kind: RowKind,
-    /// One cell for each of [`COLUMNS`].
+    /// One cell per column, in the order of [`COLUMNS`].
     pub cells: [String; COLUMNS.len()],
 }
 
-/// The cells of a table and the faults found while they were read.
+/// The rows of a table file and the faults found while parsing it.
 #[derive(Debug, Clone, Default)]
 pub struct Sheet {
     /// The rows in the order of the file.
     pub rows: Vec<Row>,
-    /// Faults of form: unknown columns, values of the wrong type.
+    /// Format faults: unknown columns, values of the wrong type.
     pub faults: Vec<Fault>,
 }
 
-/// A table with all its faults; it is usable only without any.
+/// Result of [`Sheet::check`]; the table may be used only if there are no faults.
 #[derive(Debug, Clone)]
 pub struct CheckedTable {
-    /// The table; cells with faults hold a default.
+    /// The converted table; cells that could not be parsed have default values.
     pub table: Table,
-    /// The faults.
+    /// All faults: format faults first, then faults in the values.
     pub faults: Vec<Fault>,
 }
 
 impl Sheet {
-    /// Reads every cell and lists every fault, those of form first.
+    /// Converts the rows to a [`Table`] and collects all faults, format faults first.
     pub fn check(&self) -> CheckedTable {
         let mut table = Table::default();
         let mut all_faults = self.faults.clone();
@@ -142,7 +143,8 @@
         }
         for fault in faults(&table) {
             let fault = self.locate(fault);
-            // A cell that can't be read has a default, whose faults are not the operator's.
+            // A cell that can't be parsed has a default value and was already reported; a fault in
+            // that default is no mistake of the operator.
             let position = |f: &Fault| (f.row.clone(), f.column.clone());
             if !all_faults.iter().any(|f| position(f) == position(&fault)) {
                 all_faults.push(fault);
@@ -154,13 +156,14 @@
         }
     }
 
-    /// A fault of the decisions with its place in the file.
+    /// Converts a fault found by [`kingcupfield_decisions`] into one with a location in the file.
     pub fn locate(&self, fault: configuration::Fault) -> Fault {
         locate_fault(&self.rows, fault)
     }
 }
 
-// The decisions count the rows of each kind from 1; an operator looks for a place in the file.
+// `configuration::Fault` numbers the rows of each kind from 1; operators need the location in the
+// file instead.
 fn locate_fault(rows: &[Row], fault: configuration::Fault) -> Fault {
     let row_location = |kind, number: usize| {
         let mut rows_of_kind = rows.iter().filter(|row| row.kind == kind);
@@ -183,7 +186,7 @@
     }
 }
 
-/// Rows of a table, for a spreadsheet.
+/// Converts a table to rows of text cells: tiers, then organisations, then drained zones.
 pub fn table_rows(table: &Table) -> Vec<Row> {
     let tiers = table.tiers.iter().map(|tier| Row {
         location: String::new(),
@@ -226,6 +229,7 @@
     tiers.chain(organisations).chain(drained_zones).collect()
 }
 
+// Formats an optional limit; no limit is an empty cell.
 fn optional_cell<T>(value: Option<T>) -> String
 where
     T: Display,
@@ -233,7 +237,7 @@
     value.map_or_else(String::new, |v| v.to_string())
 }
 
-/// Reads the cells of one row and notes their faults.
+/// Converts the cells of one row and appends their faults to `faults`.
 struct RowReader<'a> {
     row: &'a Row,
     faults: &'a mut Vec<Fault>,
@@ -268,6 +272,7 @@
         self.read_name("name")
     }
 
+    // Returns the text of the cell in the column of that name.
     fn cell(&self, column: &str) -> &str {
         let index = COLUMNS.iter().position(|c| c.name == column);
         index.map_or("", |i| self.row.cells[i].as_str())
@@ -282,8 +287,8 @@
         });
     }
 
-    // A limit typed into a tier's row would be lost without a word, and the operator would
-    // believe it in force.
+    // A limit entered in a tier's row would otherwise be dropped silently, and the operator would
+    // assume that it is enforced.
     fn reject_inapplicable_cells(&mut self) {
         let kind = self.row.kind;
         for (column, cell) in COLUMNS.iter().zip(&self.row.cells) {
@@ -294,6 +299,7 @@
         }
     }
 
+    // Reads a required name; a missing one is a fault.
     fn read_name(&mut self, column: &str) -> Arc<str> {
         let text = Arc::from(self.cell(column));
         if self.cell(column).is_empty() && !self.has_fault(column) {
@@ -302,6 +308,7 @@
         text
     }
 
+    // Reads a required number; returns the default after a fault.
     fn read_number<T>(&mut self, column: &str, expected: &str) -> T
     where
         T: FromStr + Default,
@@ -316,6 +323,7 @@
         self.parse_cell(column, &cell, expected).unwrap_or_default()
     }
 
+    // An empty cell means no limit.
     fn read_limit<T>(&mut self, column: &str, expected: &str) -> Option<T>
     where
         T: FromStr,
@@ -352,7 +360,8 @@
             .collect()
     }
 
-    // A cell of the wrong type was reported when the file was read and is empty here.
+    // A cell of the wrong type was already reported while the file was parsed and is empty here; it
+    // must not be reported as missing as well.
     fn has_fault(&self, column: &str) -> bool {
         self.faults
             .iter()
@@ -360,5 +369,7 @@
     }
 }
 
+/// Text of [`Fault::expected`] for a weight.
 const EXPECTED_WEIGHT: &str = "a whole number from 1";
+/// Text of [`Fault::expected`] for a limit per second.
 const EXPECTED_RATE: &str = "a number with a decimal point, or nothing for no limit";
