--- a/src/table/csv.rs
+++ b/src/table/csv.rs
@@ -1,8 +1,8 @@
-//! The table as CSV, for any spreadsheet.
+//! CSV format of the table, for editing in a spreadsheet.
 //!
-//! One row for each tier, organisation and emptied zone. The file is written with commas and a byte order
-//! mark, and read with commas, semicolons or tabs, since spreadsheets write what their locale
-//! says.
+//! Each tier, organisation and drained zone is one row. Files are written with commas and a byte
+//! order mark. Commas, semicolons and tabs are accepted as delimiters when reading, because the
+//! delimiter that a spreadsheet writes depends on its locale.
 
 use csv::{ReaderBuilder, StringRecord, Writer};
 use kingcupfield_decisions::values::Table;
@@ -10,13 +10,15 @@
 use super::Fault;
 use super::cells::{COLUMNS, Row, RowKind, Sheet, table_rows};
 
-/// Without this mark a spreadsheet on Windows takes UTF-8 for its local code page and garbles
-/// names such as `Đà Nẵng`.
+/// Makes spreadsheets on Windows decode the file as UTF-8; without it they assume the local code
+/// page and garble names such as `Đà Nẵng`.
 const BYTE_ORDER_MARK: &str = "\u{feff}";
+/// Heading of the column with the kind of a row; see [`RowKind::as_str`].
 const KIND_HEADING: &str = "kind";
+/// Delimiters accepted when reading, the preferred one first.
 const DELIMITERS: [u8; 3] = *b",;\t";
 
-/// Writes `table` as CSV.
+/// Serializes `table` as CSV with a byte order mark.
 pub fn write(table: &Table) -> Result<String, csv::Error> {
     let mut writer = Writer::from_writer(BYTE_ORDER_MARK.as_bytes().to_vec());
     writer.write_record(std::iter::once(KIND_HEADING).chain(COLUMNS.map(|c| c.name)))?;
@@ -30,7 +32,7 @@
     Ok(String::from_utf8_lossy(&buf).into_owned())
 }
 
-/// Reads the cells of a CSV file; the error is a text with its place.
+/// Parses a CSV file into text cells; the error is the parser's message with its position.
 pub fn read(buf: &[u8]) -> Result<Sheet, String> {
     let buf = buf.strip_prefix(BYTE_ORDER_MARK.as_bytes()).unwrap_or(buf);
     let mut reader = ReaderBuilder::new()
@@ -48,17 +50,18 @@
     Ok(sheet)
 }
 
-// The delimiter is the most frequent candidate in the heading, whose words hold none of them.
+// Returns the candidate that occurs most often in the heading line; no column name contains one.
 fn detect_delimiter(buf: &[u8]) -> u8 {
     let heading = buf.split(|b| *b == b'\n').next().unwrap_or_default();
     let field_count = |delimiter: u8| heading.split(|b| *b == delimiter).count();
-    // Of equal counts the first wins, as max_by_key takes the last one of the reversed list.
+    // On a tie the first of DELIMITERS wins: max_by_key returns the last maximum, and the list is
+    // reversed.
     let best = DELIMITERS.into_iter().rev().max_by_key(|d| field_count(*d));
     best.unwrap_or(b',')
 }
 
-// The reader's position stands before the empty lines that it skips, so an operator would look
-// for the fault in a line too high.
+// Returns the line number of a record. The CSV reader's position is before the empty lines that it
+// skips, so these are added; otherwise the reported number would be too low.
 fn record_location(buf: &[u8], record: &StringRecord) -> String {
     let Some(position) = record.position() else {
         return String::new();
@@ -69,14 +72,18 @@
     format!("line {}", position.line() + empty_lines)
 }
 
-/// Where each known column stands in a file.
+/// Index of each known column in a file, from its heading line.
 struct ColumnLayout {
+    /// Index of the column `kind`; `None` if the file has no such column.
     kind_index: Option<usize>,
+    /// Index of each of [`COLUMNS`]; `None` if the file has no such column.
     column_indices: [Option<usize>; COLUMNS.len()],
+    /// Number of cells in the heading line.
     heading_count: usize,
 }
 
 impl ColumnLayout {
+    // Locates the columns; unknown, duplicate and missing ones are added to `faults`.
     fn new(headers: &StringRecord, faults: &mut Vec<Fault>) -> Self {
         let index_of = |name| headers.iter().position(|h| h.trim() == name);
         let layout = Self {
@@ -102,6 +109,8 @@
         layout
     }
 
+    // Appends a record to the rows of `sheet`, or its faults; records with only blank cells are
+    // skipped.
     fn read_row(&self, record: &StringRecord, location: String, sheet: &mut Sheet) {
         if record.iter().all(|cell| cell.trim().is_empty()) {
             return;
@@ -127,7 +136,7 @@
             "tier" => RowKind::Tier,
             "organisation" => RowKind::Organisation,
             "emptied_zone" => RowKind::DrainedZone,
-            // Without the column its absence is the one fault to report.
+            // If the column `kind` is missing, only that is reported, not every row.
             _ if self.kind_index.is_none() => return,
             other => {
                 return push_fault(
