--- a/src/table/json.rs
+++ b/src/table/json.rs
@@ -1,7 +1,7 @@
-//! The table as JSON, as the platform publishes it.
+//! JSON format of the table, as published by the platform.
 //!
-//! An instance ignores fields that it doesn't know, so that a newer platform can't stop it. Here
-//! they are faults: a misspelt limit would otherwise be no limit at all.
+//! Instances ignore unknown fields to stay compatible with newer versions of the platform. Here an
+//! unknown field is a fault: a limit with a misspelt name would otherwise not be enforced.
 
 use kingcupfield_decisions::values::Table;
 use serde_json::{Map, Value};
@@ -9,17 +9,17 @@
 use super::Fault;
 use super::cells::{COLUMNS, CellType, Column, Row, RowKind, Sheet};
 
-/// Fields of the table.
+/// Fields of the top-level object, each a list.
 const TABLE_FIELDS: [&str; 3] = ["tiers", "organisations", "emptied_zones"];
 
-/// Writes `table` as indented JSON.
+/// Serializes `table` as indented JSON with a final newline.
 pub fn write(table: &Table) -> Result<String, serde_json::Error> {
     let mut text = serde_json::to_string_pretty(table)?;
     text.push('\n');
     Ok(text)
 }
 
-/// Reads the cells of a JSON table; the error is a text with line and column.
+/// Parses a JSON table into text cells; the message of a syntax error has its line and column.
 pub fn read(buf: &[u8]) -> Result<Sheet, String> {
     let value = serde_json::from_slice(buf).map_err(|e| e.to_string())?;
     let Value::Object(table) = value else {
@@ -44,6 +44,7 @@
     Ok(sheet)
 }
 
+// Appends the rows of one list to `sheet`. A drained zone is a string, other rows are objects.
 fn read_list(table: &Map<String, Value>, name: &str, kind: RowKind, sheet: &mut Sheet) {
     let Some(Value::Array(list)) = table.get(name) else {
         let expected = format!("a list of {name}");
@@ -83,7 +84,9 @@
     }
 }
 
+// Appends the object's fields as a row to `sheet`; unknown fields and wrong types are faults.
 fn read_row(object: &Map<String, Value>, location: String, kind: RowKind, sheet: &mut Sheet) {
+    // The name of a row is in the field `tier` or `organisation`.
     let field_name = |column: Column| match column.name {
         "name" => kind.as_str(),
         other => other,
@@ -126,6 +129,7 @@
     });
 }
 
+// Converts a JSON value to the text of a cell; `None` if it doesn't have the type of the column.
 fn read_cell(value: &Value, cell_type: CellType) -> Option<String> {
     match (value, cell_type) {
         (Value::String(text), CellType::Text) => Some(text.clone()),
@@ -138,6 +142,7 @@
     }
 }
 
+// Text of `Fault::expected` for a value of the wrong type.
 fn expected_value(cell_type: CellType) -> &'static str {
     match cell_type {
         CellType::Text => "a text in double quotes",
