--- a/src/table/share.rs
+++ b/src/table/share.rs
@@ -1,39 +1,42 @@
-//! Who gets which share of a tier when all organisations wait in it.
+//! Computes each organisation's share of a tier's capacity when all organisations have requests
+//! queued in that tier.
 //!
-//! Tiers go in strict order, so a tier's share is whatever the tiers above it leave. Inside a
-//! tier the share of an organisation is its weight over the weights of all that may use the tier.
+//! Tiers are served in strict priority order: a tier receives the capacity that the tiers above it
+//! leave unused. Within a tier, an organisation's share is its weight divided by the total weight
+//! of the organisations that may use the tier.
 
 use kingcupfield_decisions::id::{OrganisationId, TierId};
 use kingcupfield_decisions::values::{Organisation, Table, Tier};
 use serde::Serialize;
 
-/// Share of one organisation in one tier at full load.
+/// Share of one organisation in one tier when all organisations have requests queued there.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct TierShare {
-    /// The tier.
+    /// Tier that the share is of.
     pub tier: TierId,
-    /// Part of the capacity that reaches the tier, 0 to 1; `None` when the tier is closed to it.
+    /// Fraction (0 to 1) of the capacity available to the tier; `None` if the organisation may not
+    /// use the tier.
     #[serde(rename = "part")]
     pub fraction: Option<f64>,
 }
 
-/// One organisation's shares, highest tier first.
+/// Shares of one organisation in all tiers.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct OrganisationShares {
-    /// The organisation.
+    /// Organisation that the shares belong to.
     pub organisation: OrganisationId,
-    /// One for each tier.
+    /// One share per tier, highest priority first.
     pub tiers: Vec<TierShare>,
 }
 
-/// The tiers, highest first.
+/// Returns the tiers, highest priority (lowest rank) first.
 pub fn sorted_tiers(table: &Table) -> Vec<&Tier> {
     let mut tiers: Vec<_> = table.tiers.iter().collect();
     tiers.sort_by_key(|t| t.rank);
     tiers
 }
 
-/// Every organisation's shares, in the order of the table.
+/// Computes the shares of all organisations, in the order of the table.
 pub fn compute_shares(table: &Table) -> Vec<OrganisationShares> {
     let tiers = sorted_tiers(table);
     let total_weights: Vec<u64> = tiers.iter().map(|t| total_weight(table, t)).collect();
@@ -55,12 +58,14 @@
         .collect()
 }
 
+// Sums the weights of the organisations that may use a tier.
 fn total_weight(table: &Table, tier: &Tier) -> u64 {
     let allowed = |o: &&Organisation| may_use_tier(table, o, tier);
     let organisations = table.organisations.iter().filter(allowed);
     organisations.map(|o| u64::from(o.weight)).sum()
 }
 
+// An organisation may use its `max_tier` and the tiers of lower priority.
 fn may_use_tier(table: &Table, organisation: &Organisation, tier: &Tier) -> bool {
     let max_tier = table.tiers.iter().find(|t| t.tier == organisation.max_tier);
     max_tier.is_some_and(|max_tier| tier.rank >= max_tier.rank)
