--- a/src/table/show.rs
+++ b/src/table/show.rs
@@ -1,4 +1,4 @@
-//! The table for a reader: who comes first, who gets which share, who is limited to what.
+//! Renders a table as text for operators: order of the tiers, shares and limits of organisations.
 
 use std::fmt::Write;
 
@@ -8,7 +8,7 @@
 
 use super::share::{TierShare, compute_shares, sorted_tiers};
 
-/// Renders the table with a few sentences that explain it.
+/// Renders the shares and limits as a text table, followed by one sentence per organisation.
 pub fn render(table: &Table) -> String {
     let tiers = sorted_tiers(table);
     let mut text = String::new();
@@ -46,6 +46,7 @@
     text
 }
 
+// Builds the row of an organisation: weight, share of each tier, limits.
 fn organisation_record(organisation: &Organisation, shares: &[TierShare]) -> Vec<String> {
     let mut cells = vec![
         organisation.organisation.to_string(),
@@ -63,6 +64,7 @@
     cells
 }
 
+// Builds the sentence about an organisation: shares, limits, allowed regions.
 fn describe_organisation(organisation: &Organisation, shares: &[TierShare]) -> String {
     let parts: Vec<_> = shares
         .iter()
@@ -94,7 +96,7 @@
     )
 }
 
-/// A part as per cent, or a dash when the tier is closed.
+/// Formats a fraction (0 to 1) as a percentage; `None`, a tier that is not allowed, as `-`.
 pub fn format_percent(fraction: Option<f64>) -> String {
     fraction.map_or_else(
         || "-".to_owned(),
@@ -102,7 +104,7 @@
     )
 }
 
-/// A rate with its thousands parted, as people read it.
+/// Formats a rate with commas as thousands separators.
 fn format_rate(rate: f64) -> String {
     let text = rate.to_string();
     let (integer, fraction) = text.split_once('.').unwrap_or((&text, ""));
