--- a/src/table/diff.rs
+++ b/src/table/diff.rs
@@ -1,4 +1,4 @@
-//! What changes for whom between two tables.
+//! Compares two tables: changed cells, and the shares of organisations that change as a result.
 
 use kingcupfield_decisions::id::TierId;
 use kingcupfield_decisions::values::Table;
@@ -8,38 +8,38 @@
 use super::share::{OrganisationShares, TierShare, compute_shares};
 use super::show::format_percent;
 
-/// A tier or an organisation for which something changes.
+/// All differences of one tier, organisation or drained zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Change {
-    /// `tier`, `organisation` or `emptied_zone`.
+    /// Kind of the row: `tier`, `organisation` or `emptied_zone`.
     pub kind: &'static str,
-    /// Its name.
+    /// Name of the tier, organisation or drained zone.
     pub name: String,
-    /// Added, removed or changed.
+    /// How the row differs between the tables.
     #[serde(rename = "fate")]
     pub change_kind: ChangeKind,
-    /// The cells and shares that differ.
+    /// Cells and shares with different values in the two tables.
     pub differences: Vec<Difference>,
 }
 
-/// What happens to a row.
+/// How a row differs between the old and the new table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeKind {
-    /// Only the new table has it.
+    /// The row exists only in the new table.
     Added,
-    /// Only the old table has it.
+    /// The row exists only in the old table.
     Removed,
-    /// Its cells differ.
+    /// The row exists in both tables with different cells.
     Changed,
-    /// Its cells are the same, yet others' changes move its share.
+    /// The cells are equal, but changes to other rows change the organisation's shares.
     Affected,
 }
 
-/// One cell or share that differs; an empty text means none.
+/// Old and new value of one cell or share; an empty string means no value.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Difference {
-    /// Column, or `share of TIER`.
+    /// Name of the column, or `share of TIER` for a share.
     pub column: String,
     /// Value in the old table.
     pub old: String,
@@ -47,7 +47,7 @@
     pub new: String,
 }
 
-/// Lists the changes, those of the new table first, then the removed rows.
+/// Compares two tables; rows of the new table come first, then removed rows.
 pub fn diff(old: &Table, new: &Table) -> Vec<Change> {
     let (old_rows, new_rows) = (sorted_rows(old), sorted_rows(new));
     let (old_shares, new_shares) = (SortedShares::new(old), SortedShares::new(new));
@@ -87,16 +87,19 @@
     }
 }
 
+// Returns the rows sorted by `row_key`, for binary search with `find_row`.
 fn sorted_rows(table: &Table) -> Vec<Row> {
     let mut rows = table_rows(table);
     rows.sort_by(|a, b| row_key(a).cmp(&row_key(b)));
     rows
 }
 
+// Identifies a row in both tables: kind and name.
 fn row_key(row: &Row) -> (&'static str, &str) {
     (row.kind.as_str(), row.cells[0].as_str())
 }
 
+// Finds the row with the same kind and name in rows sorted by `row_key`.
 fn find_row<'a>(sorted: &'a [Row], row: &Row) -> Option<&'a Row> {
     let index = sorted
         .binary_search_by(|r| row_key(r).cmp(&row_key(row)))
@@ -104,6 +107,7 @@
     Some(&sorted[index])
 }
 
+// Lists the cells that differ; `None` is a row that the table doesn't have.
 fn compare_cells(old: Option<&Row>, new: Option<&Row>) -> Vec<Difference> {
     let cell = |row: Option<&Row>, i: usize| row.map_or(String::new(), |r| r.cells[i].clone());
     let compare = |(i, column): (usize, super::cells::Column)| {
@@ -125,7 +129,7 @@
     columns.filter_map(compare).collect()
 }
 
-// Eight digits tell keys apart and keep a line readable.
+// Eight digits are enough to distinguish key hashes and keep the output lines short.
 fn abbreviate_hashes(keys: &str) -> String {
     let abbreviate = |key: &str| key.chars().take(8).collect::<String>();
     keys.split_whitespace()
@@ -134,7 +138,7 @@
         .join(" ")
 }
 
-/// The shares of a table, sorted by organisation.
+/// Shares of all organisations of a table, sorted by organisation for binary search.
 struct SortedShares(Vec<OrganisationShares>);
 
 impl SortedShares {
@@ -144,6 +148,7 @@
         Self(shares)
     }
 
+    // Returns the shares of an organisation; empty if the table doesn't have it.
     fn get(&self, organisation: &str) -> &[TierShare] {
         let key = |s: &OrganisationShares| s.organisation.as_ref().cmp(organisation);
         let index = self.0.binary_search_by(key);
@@ -151,6 +156,7 @@
     }
 }
 
+// Lists the tiers in which an organisation's share differs, including removed tiers.
 fn compare_shares(old: &[TierShare], new: &[TierShare]) -> Vec<Difference> {
     let is_removed = |s: &&TierShare| !new.iter().any(|n| n.tier == s.tier);
     let tiers = new
