--- a/src/bin/kingcup/table.rs
+++ b/src/bin/kingcup/table.rs
@@ -1,4 +1,4 @@
-//! `kingcup table`: the operators' table as a file.
+//! `kingcup table`: validates, shows, converts and compares files with the operators' table.
 
 use std::path::Path;
 
@@ -13,7 +13,7 @@
 use crate::error::CliError;
 use crate::output::{self, Form};
 
-/// Runs one of the table's commands.
+/// Runs a `kingcup table` subcommand with the remaining arguments.
 pub fn run(mut args: Arguments, form: Form) -> Result<(), CliError> {
     let command = args.subcommand()?;
     match command.as_deref() {
@@ -35,6 +35,7 @@
     }
 }
 
+/// Parses a table file's path as the only remaining argument and runs `command` on it.
 fn run_with_file<F>(mut args: Arguments, command: F) -> Result<(), CliError>
 where
     F: FnOnce(&Path) -> Result<(), CliError>,
@@ -44,7 +45,7 @@
     command(&file)
 }
 
-/// What `table check` prints for programs.
+/// JSON output of `table check --json`.
 #[derive(Debug, Serialize)]
 struct CheckReport<'a> {
     accepted: bool,
@@ -53,7 +54,7 @@
     faults: &'a [Fault],
 }
 
-/// Reads the table, with the regions and zones of the instances if their file is named.
+/// Reads and validates a table; with an `instances` file also its regions and zones.
 fn read_table(file: &Path, instances: Option<&Path>) -> Result<Table, CliError> {
     let Some(path) = instances else {
         return Ok(read(file)?);
@@ -67,6 +68,7 @@
     Ok(read_with_instances(file, &instances)?)
 }
 
+/// Validates a table and prints the result; faults are also an error, for the exit code.
 fn check(file: &Path, instances: Option<&Path>, form: Form) -> Result<(), CliError> {
     match read_table(file, instances) {
         Ok(table) => {
@@ -97,6 +99,7 @@
     }
 }
 
+/// Formats a fault as one line of output.
 fn format_fault(fault: &Fault) -> String {
     let Fault {
         row,
@@ -112,7 +115,7 @@
     format!("{row}{column}: {reason}; right would be: {expected}\n")
 }
 
-/// Reads a table for a command other than `check`; faults are listed on stderr.
+/// Reads a table for a command other than `check`, and prints its faults to stderr.
 fn read_or_print_faults(file: &Path) -> Result<Table, CliError> {
     let result = read(file);
     if let Err(TableError::Faults { faults, .. }) = &result {
@@ -123,23 +126,27 @@
     Ok(result?)
 }
 
+/// `table show`: prints the shares of all organisations.
 fn print_shares(file: &Path, form: Form) -> Result<(), CliError> {
     let table = read_or_print_faults(file)?;
     output::print(form, &compute_shares(&table), |_| show::render(&table))
 }
 
+/// `table to-csv`: prints the table as CSV.
 fn print_as_csv(file: &Path) -> Result<(), CliError> {
     let table = read_or_print_faults(file)?;
     let text = csv::write(&table).map_err(|e| CliError::Form(e.to_string()))?;
     output::text(&text)
 }
 
+/// `table from-csv`: prints the table as JSON.
 fn print_as_json(file: &Path) -> Result<(), CliError> {
     let table = read_or_print_faults(file)?;
     let text = json::write(&table).map_err(|e| CliError::Form(e.to_string()))?;
     output::text(&text)
 }
 
+/// `table diff`: prints the differences between two tables.
 fn print_diff(old: &Path, new: &Path, form: Form) -> Result<(), CliError> {
     let (old, new) = (read_or_print_faults(old)?, read_or_print_faults(new)?);
     output::print(form, &diff(&old, &new), |changes| {
@@ -150,6 +157,7 @@
     })
 }
 
+/// Formats a changed row and its differences, each on a line of its own.
 fn format_change(change: &Change) -> String {
     let action = match change.change_kind {
         ChangeKind::Added => "is added",
