--- a/tests/table_round_trip.rs
+++ b/tests/table_round_trip.rs
@@ -1,4 +1,4 @@
-//! Any table survives the way to a spreadsheet and back, and to JSON and back.
+//! Property test: a table is unchanged after a round trip through CSV and through JSON.
 
 use std::sync::Arc;
 
@@ -8,10 +8,12 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
+/// Number of random tables.
 const CASES: u32 = 256;
+/// Seed of the random generator, fixed to make failures reproducible.
 const SEED: u64 = 6;
 
-// Names with every character that a CSV writer must quote.
+// Names with all characters that require quoting in CSV.
 fn any_name() -> impl Strategy<Value = Arc<str>> {
     "[a-zđẵ ;,\"'\n\t-]{1,12}".prop_map(Arc::from)
 }
@@ -59,7 +61,7 @@
     })]
 
     #[test]
-    fn no_cell_is_lost(
+    fn table_is_unchanged_by_a_round_trip(
         tiers in prop::collection::vec(any_tier(), 0..4),
         organisations in prop::collection::vec(any_organisation(), 0..6),
         emptied_zones in prop::collection::vec(any_name(), 0..3),
