--- a/src/table.rs
+++ b/src/table.rs
@@ -69,7 +69,8 @@
     },
 }
 
-/// Parses a `.json` or `.csv` file into text cells without validating their values.
+/// Parses a `.json` or `.csv` file into text cells and collects its format faults; the values are
+/// not validated.
 pub fn read_sheet(path: &Path) -> Result<Sheet, TableError> {
     let buf = std::fs::read(path).map_err(|source| TableError::Read {
         path: path.to_owned(),
