--- a/src/bin/kingcup/table.rs
+++ b/src/bin/kingcup/table.rs
@@ -49,7 +49,9 @@
 #[derive(Debug, Serialize)]
 struct CheckReport<'a> {
     accepted: bool,
+    /// Number of tiers; 0 if the table has faults.
     tiers: usize,
+    /// Number of organisations; 0 if the table has faults.
     organisations: usize,
     faults: &'a [Fault],
 }
