--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -10,7 +10,7 @@
 use crate::reply::Head;
 use crate::request::{Received, Request, Waiting};
 use crate::shared::Shared;
-use crate::slots::{Grant, Need};
+use crate::slots::{Grant, SlotRequest};
 
 /// Connects that may fail before the request is refused; each time another replica is chosen.
 const MAX_NOT_SENT: u32 = 3;
@@ -42,7 +42,7 @@
     fn tokens(&self) -> Tokens;
 
     /// What it needs of a replica.
-    fn need(&self) -> Need;
+    fn need(&self) -> SlotRequest;
 
     /// Sends it to the granted replica, at most once, and answers the caller.
     fn dispatch(
@@ -99,7 +99,7 @@
 async fn wait(
     shared: &Shared,
     waiting: &Request<Waiting>,
-    need: Need,
+    need: SlotRequest,
     head: &mut HeadSender,
 ) -> Waited {
     let meta = waiting.meta();
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -27,7 +27,7 @@
 use crate::reply::{self, Head};
 use crate::request::{Dispatched, Meta, NotSent, Received, Request, Waiting};
 use crate::shared::Shared;
-use crate::slots::{Grant, Need, failed};
+use crate::slots::{Grant, SlotRequest, failed_outcome};
 use crate::stream::{AnswerStream, Broken};
 use crate::upstream::Upstream;
 
@@ -113,9 +113,9 @@
         self.prompt.tokens + self.prompt.max_tokens
     }
 
-    fn need(&self) -> Need {
+    fn need(&self) -> SlotRequest {
         let bytes = self.body.len() as u64 + self.prompt.max_tokens * BYTES_PER_TOKEN;
-        Need::completion(self.prompt.tokens, self.prompt.max_tokens, bytes)
+        SlotRequest::completion(self.prompt.tokens, self.prompt.max_tokens, bytes)
             .with_prefixes(self.prompt.prefixes.clone())
     }
 
@@ -141,7 +141,7 @@
             }
             Err(e) => match NotSent::from_error(&e) {
                 Some(proof) => {
-                    grant.finish(failed());
+                    grant.finish(failed_outcome());
                     let waiting = dispatched.not_sent(proof);
                     return Sent::NotSent(Box::new(Unsent { waiting, head }));
                 }
@@ -324,7 +324,7 @@
         self.note_resumed(stream);
         if stream.passed() > 0 {
             let took = self.started.elapsed();
-            grant.started(took);
+            grant.report_first_token(took);
             self.first_token = Some(took);
             self.request.first_token();
         }
--- a/src/inbox.rs
+++ b/src/inbox.rs
@@ -61,7 +61,7 @@
             | PeerMessage::ToHolder { .. }
             | PeerMessage::ToLevelOwner { .. }
             | PeerMessage::ToLevelMember { .. }
-            | PeerMessage::Digests(_) => self.slots.on_peer(from, message),
+            | PeerMessage::Digests(_) => self.slots.on_peer_message(from, message),
         }
     }
 
--- a/src/keyed_run.rs
+++ b/src/keyed_run.rs
@@ -26,9 +26,9 @@
 use crate::keys::Met;
 use crate::limits::Admission;
 use crate::request::{Dispatched, Meta, NotSent, Received, Request, Waiting};
-use crate::scheduler::PLAIN_WORK;
+use crate::scheduler::PLAIN_CALL_WORK;
 use crate::shared::Shared;
-use crate::slots::{Grant, Need};
+use crate::slots::{Grant, SlotRequest};
 use crate::upstream::{IDEMPOTENCY_KEY, Upstream};
 
 /// How long after the caller's deadline the answer of a dispatched call is still waited for: a
@@ -152,7 +152,7 @@
         };
         let waiting = request.admit();
         let meta = Arc::clone(waiting.meta());
-        let need = Need::plain(self.keyed.body.len() as u64);
+        let need = SlotRequest::plain_call(self.keyed.body.len() as u64);
         let granted = timeout_at(self.deadline, self.shared.slots.acquire(&meta, need)).await;
         match granted.unwrap_or_else(|_| Err(Refusal::new(RefusalKind::Deadline))) {
             Ok(grant) => Ok((waiting, grant, admission)),
@@ -212,7 +212,7 @@
             whole,
             first_token,
             between_tokens: None,
-            work: PLAIN_WORK,
+            work: PLAIN_CALL_WORK,
         });
         let outcome = outcome.unwrap_or(KeyOutcome::Unknown { upstream: None });
         KeyReply::Issuer(IssuerReply::Outcome(outcome))
--- a/src/plain.rs
+++ b/src/plain.rs
@@ -25,9 +25,9 @@
 use crate::limits::Admission;
 use crate::reply::{self, Head};
 use crate::request::{Dispatched, Meta, NotSent, Request, Waiting};
-use crate::scheduler::PLAIN_WORK;
+use crate::scheduler::PLAIN_CALL_WORK;
 use crate::shared::Shared;
-use crate::slots::{Grant, Need};
+use crate::slots::{Grant, SlotRequest};
 use crate::stream::Broken;
 use crate::upstream::{IDEMPOTENCY_KEY, Upstream, X_REQUEST_ID};
 
@@ -144,8 +144,8 @@
         0
     }
 
-    fn need(&self) -> Need {
-        Need::plain(self.call.body.len() as u64)
+    fn need(&self) -> SlotRequest {
+        SlotRequest::plain_call(self.call.body.len() as u64)
     }
 
     async fn dispatch(
@@ -174,7 +174,7 @@
                     whole,
                     first_token: Some(first_token),
                     between_tokens: None,
-                    work: PLAIN_WORK,
+                    work: PLAIN_CALL_WORK,
                 });
                 Sent::Done
             }
@@ -183,7 +183,7 @@
                     whole: false,
                     first_token: None,
                     between_tokens: None,
-                    work: PLAIN_WORK,
+                    work: PLAIN_CALL_WORK,
                 });
                 if let Some(proof) = NotSent::from_error(&e) {
                     let waiting = dispatched.not_sent(proof);
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -58,7 +58,7 @@
 
 /// What a waiting request needs of a replica.
 #[derive(Debug, Clone)]
-pub struct Need {
+pub struct SlotRequest {
     /// Prompt tokens.
     pub prompt: Tokens,
     /// Longest answer; `None` for a plain call, whose work is fixed.
@@ -73,14 +73,14 @@
 
 /// Expected work of a plain call: a status check costs an engine's batch about as much as this
 /// many decoded tokens.
-pub const PLAIN_WORK: Work = Work {
+pub const PLAIN_CALL_WORK: Work = Work {
     prefill: 0,
     decode: 4,
 };
 
-impl Need {
+impl SlotRequest {
     /// Makes the need of a plain call of `bytes`.
-    pub fn plain(bytes: u64) -> Self {
+    pub fn plain_call(bytes: u64) -> Self {
         Self {
             prompt: 0,
             max_tokens: None,
@@ -142,7 +142,7 @@
 struct Waiter {
     request: RequestId,
     meta: Arc<Meta>,
-    need: Need,
+    need: SlotRequest,
     decision: Decision,
     /// Set when its owners gave it up and lower tiers must be refused first.
     given_up: Option<GivenUp>,
@@ -245,7 +245,7 @@
     }
 
     /// Takes a message of another instance.
-    pub fn on_peer(&mut self, now: Instant, from: &InstanceId, message: PeerMessage) {
+    pub fn on_peer_message(&mut self, now: Instant, from: &InstanceId, message: PeerMessage) {
         match message {
             PeerMessage::ToOwner { upstream, message } => {
                 self.local.push_back(Local::Owner {
--- a/src/scheduler/owned.rs
+++ b/src/scheduler/owned.rs
@@ -34,7 +34,7 @@
     }
 
     /// Takes a load report of an owned replica.
-    pub fn on_report(&mut self, now: Instant, upstream: &UpstreamId, report: LoadReport) {
+    pub fn on_load_report(&mut self, now: Instant, upstream: &UpstreamId, report: LoadReport) {
         if let Ok(at) = self.owned_at(upstream) {
             self.owned[at].leaving |= report.leaving;
             let sends = self.owned[at].queue.on_load_report(now, report);
--- a/src/scheduler/placing.rs
+++ b/src/scheduler/placing.rs
@@ -13,7 +13,7 @@
 use kingcupfield_decisions::work::Work;
 use tokio::time::Instant;
 
-use super::{Decision, GivenUp, Need, PLAIN_WORK, Scheduler, Waiter};
+use super::{Decision, GivenUp, PLAIN_CALL_WORK, Scheduler, SlotRequest, Waiter};
 use crate::error::{Refusal, RefusalKind};
 use crate::fleet::Snapshot;
 use crate::members::View;
@@ -23,7 +23,13 @@
 
 impl Scheduler {
     /// Lets a request wait for a grant; the decision comes through `decision`.
-    pub fn acquire(&mut self, now: Instant, meta: Arc<Meta>, need: Need, decision: Decision) {
+    pub fn acquire(
+        &mut self,
+        now: Instant,
+        meta: Arc<Meta>,
+        need: SlotRequest,
+        decision: Decision,
+    ) {
         let rank = meta.rank;
         if !self.pool_mut(&meta.service).member.admits(now, rank) {
             let after = self.retry_after(now, &meta.service, Duration::ZERO);
@@ -160,7 +166,7 @@
         &mut self,
         now: Instant,
         meta: &Meta,
-        need: &Need,
+        need: &SlotRequest,
         candidates: &[Candidate],
         work: Work,
     ) -> Vec<UpstreamId> {
@@ -191,9 +197,9 @@
         })
     }
 
-    fn expected_work(&self, meta: &Meta, need: &Need) -> Work {
+    fn expected_work(&self, meta: &Meta, need: &SlotRequest) -> Work {
         let Some(max_tokens) = need.max_tokens else {
-            return PLAIN_WORK;
+            return PLAIN_CALL_WORK;
         };
         let decode = self.lengths.predict(
             &meta.organisation,
--- a/src/scheduler/replicas.rs
+++ b/src/scheduler/replicas.rs
@@ -15,7 +15,7 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-use super::{DigestRows, Identity, Need};
+use super::{DigestRows, Identity, SlotRequest};
 use crate::fleet::Snapshot;
 use crate::members::View;
 
@@ -139,7 +139,7 @@
         now: Instant,
         service: &ServiceId,
         me: &Identity,
-        need: &Need,
+        need: &SlotRequest,
         regions: &Regions,
     ) -> Vec<Candidate> {
         let serves = |r: &&Replica| r.live && r.service == *service && regions.allows(&r.region);
--- a/src/slots.rs
+++ b/src/slots.rs
@@ -17,7 +17,7 @@
 use crate::message::PeerMessage;
 use crate::peers::Peers;
 use crate::request::Meta;
-pub use crate::scheduler::Need;
+pub use crate::scheduler::SlotRequest;
 use crate::scheduler::{Decision, Granted, Scheduler};
 use crate::watcher::Watched;
 
@@ -42,7 +42,7 @@
 enum Message {
     Acquire {
         meta: Arc<Meta>,
-        need: Need,
+        need: SlotRequest,
         decision: Decision,
     },
     Cancel(RequestId),
@@ -96,7 +96,7 @@
     }
 
     /// Tells that the first token came.
-    pub fn started(&self, first_token: Duration) {
+    pub fn report_first_token(&self, first_token: Duration) {
         let message = Message::Started {
             request: self.request.clone(),
             first_token,
@@ -137,7 +137,7 @@
 }
 
 /// Outcome of a request that broke before any token.
-pub fn failed() -> RequestOutcome {
+pub fn failed_outcome() -> RequestOutcome {
     RequestOutcome {
         whole: false,
         first_token: None,
@@ -163,7 +163,7 @@
     }
 
     /// Waits until the request may go to a replica, or is refused. Dropped, it stops waiting.
-    pub async fn acquire(&self, meta: &Arc<Meta>, need: Need) -> Result<Grant, Refusal> {
+    pub async fn acquire(&self, meta: &Arc<Meta>, need: SlotRequest) -> Result<Grant, Refusal> {
         let (decision, decided) = oneshot::channel();
         let request = meta.request.clone();
         let message = Message::Acquire {
@@ -203,7 +203,7 @@
     }
 
     /// Takes a message of a peer; a full mailbox drops it, leases and renewals repeat it.
-    pub fn on_peer(&self, from: &InstanceId, message: PeerMessage) {
+    pub fn on_peer_message(&self, from: &InstanceId, message: PeerMessage) {
         self.tx
             .try_send(Message::Peer {
                 from: from.clone(),
@@ -213,7 +213,7 @@
     }
 
     /// Takes a load report of an owned replica.
-    pub fn on_report(&self, upstream: &UpstreamId, report: LoadReport) {
+    pub fn on_load_report(&self, upstream: &UpstreamId, report: LoadReport) {
         self.tx
             .try_send(Message::Report {
                 upstream: upstream.clone(),
@@ -311,8 +311,10 @@
                 first_token,
             } => scheduler.on_started(now, &request, first_token),
             Message::Finished { request, outcome } => scheduler.on_finished(now, &request, outcome),
-            Message::Peer { from, message } => scheduler.on_peer(now, &from, message),
-            Message::Report { upstream, report } => scheduler.on_report(now, &upstream, report),
+            Message::Peer { from, message } => scheduler.on_peer_message(now, &from, message),
+            Message::Report { upstream, report } => {
+                scheduler.on_load_report(now, &upstream, report);
+            }
             Message::CacheEvent { upstream, event } => scheduler.on_cache_event(&upstream, event),
             Message::Dump(tx) => drop(tx.send(scheduler.dump(now))),
         }
--- a/src/watcher.rs
+++ b/src/watcher.rs
@@ -126,7 +126,7 @@
                 if report.leaving {
                     self.members.on_upstream_leaving(&watched.upstream);
                 }
-                self.slots.on_report(&watched.upstream, report);
+                self.slots.on_load_report(&watched.upstream, report);
             }
             let jitter = rand::rng().random_range(0.9..=1.1);
             sleep(REPORT_EVERY.mul_f64(jitter)).await;
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -9,7 +9,7 @@
 use kingcupfield::metrics::Metrics;
 use kingcupfield::record::Records;
 use kingcupfield::request::Meta;
-use kingcupfield::scheduler::{Granted, Identity, Need, Scheduler};
+use kingcupfield::scheduler::{Granted, Identity, Scheduler, SlotRequest};
 use kingcupfield_decisions::configuration::ValueName;
 use kingcupfield_decisions::id::{InstanceId, Rank, RequestId, UpstreamId};
 use kingcupfield_decisions::slots::{LoadReport, RequestOutcome};
@@ -120,7 +120,7 @@
         self.nodes[at].scheduler.acquire(
             self.now,
             Arc::new(meta),
-            Need::completion(100, 50, 1000),
+            SlotRequest::completion(100, 50, 1000),
             tx,
         );
         self.deliver();
@@ -167,7 +167,7 @@
                     .iter_mut()
                     .find(|n| n.instance == out.to && !n.paused);
                 if let Some(to) = to {
-                    to.scheduler.on_peer(self.now, &from, out.message);
+                    to.scheduler.on_peer_message(self.now, &from, out.message);
                 }
             }
         }
@@ -368,7 +368,9 @@
     };
     let now = net.now;
     let owner = owner.expect("one owns it");
-    net.nodes[owner].scheduler.on_report(now, &leaver, report);
+    net.nodes[owner]
+        .scheduler
+        .on_load_report(now, &leaver, report);
     net.deliver();
     for at in [0, 1] {
         let (_, mut decided) = net.acquire(at, 1, Duration::from_mins(1));
