--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -1,7 +1,13 @@
-//! The scheduler of one instance: holder of its requests, owner of some replicas and shed levels.
+//! The request scheduler of one instance.
 //!
-//! It joins the state machines of `kingcupfield-decisions` without any I/O: messages go in, and
-//! messages for other instances and decisions for waiting requests come out.
+//! Each replica has one instance as its owner, which queues the reservations of all instances for
+//! that replica and grants slots. The instance that received a request is its holder: it reserves
+//! slots with the owners of suitable replicas. Every instance is the holder of its own requests,
+//! and may own replicas and the shed levels of services.
+//!
+//! The scheduler combines the state machines of `kingcupfield-decisions` and does no I/O: its input
+//! is messages and ticks, its output is messages for other instances and grants or refusals for
+//! waiting requests.
 
 mod digests;
 mod owned;
@@ -39,147 +45,156 @@
 use crate::watcher::Watched;
 
 use digests::DigestClock;
-use owned::Owned;
+use owned::OwnedReplica;
 use pools::Pool;
 use replicas::Replicas;
 
-/// Who this instance is.
+/// Name, incarnation and location of this instance.
 #[derive(Debug, Clone)]
 pub struct Identity {
-    /// Its name.
+    /// Name of the instance.
     pub instance: InstanceId,
-    /// This life of it.
+    /// Number of this run of the process; it grows with every restart.
     pub incarnation: Incarnation,
-    /// Its zone.
+    /// Availability zone of the instance.
     pub zone: ZoneId,
-    /// Its region.
+    /// Region of the instance.
     pub region: RegionId,
 }
 
-/// What a waiting request needs of a replica.
+/// Size and placement constraints of a request that needs a slot at a replica.
 #[derive(Debug, Clone)]
 pub struct SlotRequest {
-    /// Prompt tokens.
-    pub prompt: Tokens,
-    /// Longest answer; `None` for a plain call, whose work is fixed.
+    /// Length of the prompt, in tokens.
+    pub prompt_tokens: Tokens,
+    /// Maximum length of the response, in tokens; `None` for a plain call, whose work is fixed.
     pub max_tokens: Option<Tokens>,
     /// Hashes of the prompt's prefixes, shortest first.
     pub prefixes: Vec<PrefixHash>,
-    /// Bytes that cross a link when another zone serves it.
-    pub bytes: u64,
-    /// Replicas that could not be connected.
-    pub excluded: Vec<UpstreamId>,
+    /// Bytes that cross a link between zones when a replica of another zone serves the request.
+    pub transfer_bytes: u64,
+    /// Replicas to which an earlier attempt could not connect.
+    pub excluded_upstreams: Vec<UpstreamId>,
 }
 
-/// Expected work of a plain call: a status check costs an engine's batch about as much as this
-/// many decoded tokens.
+/// Expected work of a plain call, in tokens: a status check loads an engine's batch about as much
+/// as decoding 4 tokens.
 pub const PLAIN_CALL_WORK: Work = Work {
     prefill: 0,
     decode: 4,
 };
 
 impl SlotRequest {
-    /// Makes the need of a plain call of `bytes`.
+    /// Creates the slot request of a plain call with a body of `bytes`.
     pub fn plain_call(bytes: u64) -> Self {
         Self {
-            prompt: 0,
+            prompt_tokens: 0,
             max_tokens: None,
             prefixes: Vec::new(),
-            bytes,
-            excluded: Vec::new(),
+            transfer_bytes: bytes,
+            excluded_upstreams: Vec::new(),
         }
     }
 
-    /// Makes the need of a completion.
-    pub fn completion(prompt: Tokens, max_tokens: Tokens, bytes: u64) -> Self {
+    /// Creates the slot request of a completion.
+    pub fn completion(prompt_tokens: Tokens, max_tokens: Tokens, bytes: u64) -> Self {
         Self {
-            prompt,
+            prompt_tokens,
             max_tokens: Some(max_tokens),
             prefixes: Vec::new(),
-            bytes,
-            excluded: Vec::new(),
+            transfer_bytes: bytes,
+            excluded_upstreams: Vec::new(),
         }
     }
 
-    /// Leaves out replicas that could not be connected.
+    /// Excludes replicas to which an earlier attempt could not connect.
     pub fn with_excluded(mut self, excluded: Vec<UpstreamId>) -> Self {
-        self.excluded = excluded;
+        self.excluded_upstreams = excluded;
         self
     }
 
-    /// Adds the prefixes of the prompt.
+    /// Sets the hashes of the prompt's prefixes, shortest first.
     pub fn with_prefixes(mut self, prefixes: Vec<PrefixHash>) -> Self {
         self.prefixes = prefixes;
         self
     }
 }
 
-/// The right to send one request to one replica, just claimed.
+/// A claimed grant: the right to send one request to one replica.
 #[derive(Debug, Clone)]
-pub struct Granted {
-    /// The replica.
+pub struct ClaimedGrant {
+    /// Name of the replica.
     pub upstream: UpstreamId,
-    /// Its address, `IP:port`.
+    /// Address of the replica, `IP:port`.
     pub address: String,
-    /// When the right was claimed.
-    pub at: Instant,
+    /// When the grant was claimed.
+    pub claimed_at: Instant,
 }
 
-/// Where the decision about a waiting request goes.
-pub type Decision = oneshot::Sender<Result<Granted, Refusal>>;
+/// Sender of the grant or refusal to the task of a waiting request.
+pub type DecisionSender = oneshot::Sender<Result<ClaimedGrant, Refusal>>;
 
 /// A message for another instance.
 #[derive(Debug)]
 pub struct Outgoing {
-    /// Whom it goes to.
+    /// The receiving instance.
     pub to: InstanceId,
-    /// The message.
+    /// Content of the message.
     pub message: PeerMessage,
 }
 
-/// A request that waits for a decision.
+/// A request that waits for a grant or a refusal.
 #[derive(Debug)]
-struct Waiter {
+struct WaitingRequest {
     request: RequestId,
     meta: Arc<Meta>,
-    need: SlotRequest,
-    decision: Decision,
-    /// Set when its owners gave it up and lower tiers must be refused first.
-    given_up: Option<GivenUp>,
+    slot_request: SlotRequest,
+    decision: DecisionSender,
+    /// Set when the owners rejected the request and requests of lower tiers must be refused first.
+    pending_refusal: Option<RefusalCause>,
 }
 
+/// Why a request is refused.
 #[derive(Debug, Clone, Copy)]
-struct GivenUp {
-    why: Rejection,
-    wait: Duration,
+struct RefusalCause {
+    rejection: Rejection,
+    /// Expected wait in the owner's queue, from which the caller's retry delay is computed; zero if
+    /// unknown.
+    expected_wait: Duration,
 }
 
-/// A request that runs, for the corrections at its end.
+/// A dispatched request, kept until its end to train the length predictor.
 #[derive(Debug)]
-struct Running {
+struct RunningRequest {
     request: RequestId,
     meta: Arc<Meta>,
-    prompt: Tokens,
-    predicts: bool,
+    prompt_tokens: Tokens,
+    /// Whether the length of the response trains the predictor: true for completions.
+    trains_predictor: bool,
 }
 
-/// A message that stays inside this instance.
+/// A message whose sender and receiver are both state machines of this instance, or which came
+/// from another instance and waits for delivery to one of them.
 #[derive(Debug)]
-enum Local {
+enum LocalMessage {
+    /// From a holder to the owner of `upstream`.
     Owner {
         from: InstanceId,
         upstream: UpstreamId,
         message: ToOwner,
     },
+    /// From the owner of `upstream` to the holder of a request, which is this instance.
     Holder {
         upstream: UpstreamId,
         message: ToHolder,
     },
+    /// From a member to the owner of the shed level of `service`.
     LevelOwner {
         from: InstanceId,
         service: ServiceId,
         message: ToLevelOwner,
     },
+    /// From the owner of the shed level of `service` to a member, which is this instance.
     LevelMember {
         service: ServiceId,
         message: ToLevelMember,
@@ -189,29 +204,35 @@
 /// The scheduler of one instance.
 #[derive(Debug)]
 pub struct Scheduler {
-    me: Identity,
+    identity: Identity,
     snapshot: Arc<Snapshot>,
     view: Arc<View>,
     replicas: Replicas,
     holder: Holder,
-    owned: Vec<Owned>,
+    /// Replicas that this instance owns, sorted by name.
+    owned: Vec<OwnedReplica>,
+    /// Shed state of each service, sorted by the service's name.
     pools: Vec<Pool>,
-    waiters: Vec<Waiter>,
-    running: Vec<Running>,
-    lengths: LengthPredictor,
-    link: LinkBudget,
-    digests: DigestClock,
+    /// Requests of this instance that wait for a slot, sorted by their id.
+    waiters: Vec<WaitingRequest>,
+    /// Dispatched requests of this instance, sorted by their id.
+    running: Vec<RunningRequest>,
+    length_predictor: LengthPredictor,
+    link_budget: LinkBudget,
+    digest_clock: DigestClock,
     rng: ChaCha8Rng,
     records: Records,
-    local: VecDeque<Local>,
-    out: Vec<Outgoing>,
+    local_messages: VecDeque<LocalMessage>,
+    /// Messages for other instances since the last `take_outgoing`.
+    outgoing: Vec<Outgoing>,
+    /// The owned replicas, if they may have changed since the last `take_watched`.
     watched: Option<Vec<Watched>>,
 }
 
 impl Scheduler {
-    /// Makes the scheduler of an instance that knows nobody yet.
-    pub fn new(me: Identity, rng: ChaCha8Rng, records: Records, now: Instant) -> Self {
-        let holder = Holder::new(me.instance.clone(), me.incarnation)
+    /// Creates a scheduler with an empty snapshot of the fleet and no live instances.
+    pub fn new(identity: Identity, rng: ChaCha8Rng, records: Records, now: Instant) -> Self {
+        let holder = Holder::new(identity.instance.clone(), identity.incarnation)
             .with_widen_delay(kingcupfield_decisions::routing::WIDEN_AFTER);
         Self {
             snapshot: Arc::default(),
@@ -222,51 +243,52 @@
             pools: Vec::new(),
             waiters: Vec::new(),
             running: Vec::new(),
-            lengths: LengthPredictor::new(),
-            link: LinkBudget::new(LINK_BYTES_PER_S),
-            digests: DigestClock::new(now),
+            length_predictor: LengthPredictor::new(),
+            link_budget: LinkBudget::new(LINK_BYTES_PER_S),
+            digest_clock: DigestClock::new(now),
             rng,
             records,
-            local: VecDeque::new(),
-            out: Vec::new(),
+            local_messages: VecDeque::new(),
+            outgoing: Vec::new(),
             watched: None,
-            me,
+            identity,
         }
     }
 
-    /// Messages for other instances since the last call.
+    /// Returns the messages for other instances since the last call.
     pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outgoing)
     }
 
-    /// The replicas that this instance owns, if they changed since the last call.
+    /// Returns the replicas that this instance owns if they may have changed since the last call.
     pub fn take_watched(&mut self) -> Option<Vec<Watched>> {
         self.watched.take()
     }
 
-    /// Takes a message of another instance.
+    /// Handles a message from another instance.
     pub fn on_peer_message(&mut self, now: Instant, from: &InstanceId, message: PeerMessage) {
         match message {
             PeerMessage::ToOwner { upstream, message } => {
-                self.local.push_back(Local::Owner {
+                self.local_messages.push_back(LocalMessage::Owner {
                     from: from.clone(),
                     upstream,
                     message,
                 });
             }
             PeerMessage::ToHolder { upstream, message } => {
-                self.local.push_back(Local::Holder { upstream, message });
+                self.local_messages
+                    .push_back(LocalMessage::Holder { upstream, message });
             }
             PeerMessage::ToLevelOwner { service, message } => {
-                self.local.push_back(Local::LevelOwner {
+                self.local_messages.push_back(LocalMessage::LevelOwner {
                     from: from.clone(),
                     service,
                     message,
                 });
             }
             PeerMessage::ToLevelMember { service, message } => {
-                self.local
-                    .push_back(Local::LevelMember { service, message });
+                self.local_messages
+                    .push_back(LocalMessage::LevelMember { service, message });
             }
             PeerMessage::Digests(rows) => self.on_digests(now, from, &rows),
             PeerMessage::ToLimitOwner(_)
@@ -274,106 +296,117 @@
             | PeerMessage::Membership(_)
             | PeerMessage::Configuration(_) => {}
         }
-        self.settle(now);
+        self.deliver_local(now);
     }
 
-    /// Takes the time; to be called every 50 ms.
+    /// Advances all timers; to be called every 50 ms.
     pub fn on_tick(&mut self, now: Instant) {
-        let reply = self.holder.on_tick(now);
-        self.apply(now, reply);
+        let output = self.holder.on_tick(now);
+        self.apply_holder_output(now, output);
         self.tick_owned(now);
         self.tick_pools(now);
         self.tick_digests(now);
-        self.settle(now);
+        self.deliver_local(now);
         self.retry_refusals(now);
-        self.settle(now);
+        self.deliver_local(now);
     }
 
-    /// A dispatched request got its first token.
+    /// Handles the first token of a dispatched request, `first_token` after its dispatch.
     pub fn on_started(&mut self, now: Instant, request: &RequestId, first_token: Duration) {
-        let sends = self.holder.on_started(request, first_token);
-        self.send_asks(sends);
-        self.settle(now);
+        let messages = self.holder.on_started(request, first_token);
+        self.send_to_owners(messages);
+        self.deliver_local(now);
     }
 
-    /// A dispatched request ended.
+    /// Handles the end of a dispatched request: releases its slot and trains the length predictor.
     pub fn on_finished(&mut self, now: Instant, request: &RequestId, outcome: RequestOutcome) {
-        if let Ok(at) = self.running_at(request) {
-            let running = self.running.remove(at);
-            if outcome.whole && running.predicts && outcome.between_tokens.is_some() {
+        if let Ok(index) = self.find_running(request) {
+            let running = self.running.remove(index);
+            if outcome.whole && running.trains_predictor && outcome.between_tokens.is_some() {
                 let meta = &running.meta;
                 let decoded = outcome.work.decode;
-                self.lengths
-                    .on_answer(&meta.organisation, &meta.service, running.prompt, decoded);
+                self.length_predictor.on_answer(
+                    &meta.organisation,
+                    &meta.service,
+                    running.prompt_tokens,
+                    decoded,
+                );
             }
         }
-        let reply = self.holder.on_finished(now, request, outcome);
-        self.apply(now, reply);
-        self.settle(now);
+        let output = self.holder.on_finished(now, request, outcome);
+        self.apply_holder_output(now, output);
+        self.deliver_local(now);
     }
 
-    /// State for the dump.
+    /// Returns the scheduler's state for the diagnostic dump.
     pub fn dump(&self, now: Instant) -> Value {
         json!({
             "held": self.holder.len(),
             "waiting": self.waiters.len(),
             "running": self.running.len(),
             "replicas": self.replicas.dump(now),
-            "owned": self.owned.iter().map(|o| o.dump(now)).collect::<Vec<_>>(),
-            "pools": self.pools.iter().map(|p| p.dump(now)).collect::<Vec<_>>(),
+            "owned": self.owned.iter().map(|replica| replica.dump(now)).collect::<Vec<_>>(),
+            "pools": self.pools.iter().map(|pool| pool.dump(now)).collect::<Vec<_>>(),
         })
     }
 
-    /// Handles the messages that stay inside until none is left.
-    fn settle(&mut self, now: Instant) {
-        while let Some(local) = self.local.pop_front() {
+    /// Delivers the queued local messages, and those that they cause, until the queue is empty.
+    fn deliver_local(&mut self, now: Instant) {
+        while let Some(local) = self.local_messages.pop_front() {
             match local {
-                Local::Owner {
+                LocalMessage::Owner {
                     from,
                     upstream,
                     message,
                 } => {
                     self.on_to_owner(now, &from, &upstream, message);
                 }
-                Local::Holder { upstream, message } => {
-                    self.note_rejection(&upstream, &message);
-                    let reply = self.holder.on_message(now, &upstream, message);
-                    self.apply(now, reply);
+                LocalMessage::Holder { upstream, message } => {
+                    self.record_rejection(&upstream, &message);
+                    let output = self.holder.on_message(now, &upstream, message);
+                    self.apply_holder_output(now, output);
                 }
-                Local::LevelOwner {
+                LocalMessage::LevelOwner {
                     from,
                     service,
                     message,
                 } => {
                     self.on_to_level_owner(now, &from, &service, &message);
                 }
-                Local::LevelMember { service, message } => {
+                LocalMessage::LevelMember { service, message } => {
                     self.on_to_level_member(now, &service, &message);
                 }
             }
         }
     }
 
-    /// Carries out what the holder wants.
-    fn apply(&mut self, now: Instant, reply: HolderOutput) {
-        self.send_asks(reply.messages);
-        for action in reply.actions {
+    /// Sends the holder's messages and performs its dispatches and refusals.
+    fn apply_holder_output(&mut self, now: Instant, output: HolderOutput) {
+        self.send_to_owners(output.messages);
+        for action in output.actions {
             match action {
                 HolderAction::Dispatch { request, upstream } => {
                     self.dispatch(now, &request, &upstream);
                 }
                 HolderAction::Refuse { request, why, wait } => {
-                    self.give_up(now, &request, GivenUp { why, wait });
+                    self.on_rejected(
+                        now,
+                        &request,
+                        RefusalCause {
+                            rejection: why,
+                            expected_wait: wait,
+                        },
+                    );
                 }
             }
         }
     }
 
-    /// Claims a grant for a waiting request and tells it.
+    /// Claims a grant for a waiting request and sends the grant to the request's task.
     fn dispatch(&mut self, now: Instant, request: &RequestId, upstream: &UpstreamId) {
-        let regions = self.waiter_at(request).map(|at| {
-            let organisation = &self.waiters[at].meta.organisation;
-            self.regions(organisation)
+        let regions = self.find_waiter(request).map(|index| {
+            let organisation = &self.waiters[index].meta.organisation;
+            self.allowed_regions(organisation)
         });
         let regions = regions.unwrap_or_default();
         let address = self
@@ -381,31 +414,34 @@
             .address_to_dispatch(upstream, &regions, &self.view);
         match self.holder.dispatch(now, request) {
             Err(DispatchError::NotGranted) => return,
-            Err(DispatchError::Lapsed { messages }) => return self.send_asks(messages),
-            Ok(claimed) => self.send_asks(claimed.messages),
+            Err(DispatchError::Lapsed { messages }) => return self.send_to_owners(messages),
+            Ok(claimed) => self.send_to_owners(claimed.messages),
         }
-        let (Ok(at), Some(address)) = (self.waiter_at(request), address) else {
-            // The replica left since its owner granted: the request waits again, without it.
-            let reply = self.holder.on_connect_failed(now, request);
-            return self.apply(now, reply);
+        let (Ok(index), Some(address)) = (self.find_waiter(request), address) else {
+            // The replica left after its owner granted the slot: the request waits for another one.
+            let output = self.holder.on_connect_failed(now, request);
+            return self.apply_holder_output(now, output);
         };
-        let waiter = self.waiters.remove(at);
-        self.leave_pool(&waiter);
-        self.pool_mut(&waiter.meta.service).retry.on_served(now);
-        self.replicas.note_prefixes(upstream, &waiter.need.prefixes);
+        let waiter = self.waiters.remove(index);
+        self.remove_from_pool(&waiter);
+        self.pool_mut(&waiter.meta.service)
+            .retry_after
+            .on_served(now);
+        self.replicas
+            .record_prefixes(upstream, &waiter.slot_request.prefixes);
         self.records.add(
             request,
             Step::Granted {
                 upstream: upstream.clone(),
             },
         );
-        let granted = Granted {
+        let granted = ClaimedGrant {
             upstream: upstream.clone(),
             address,
-            at: now,
+            claimed_at: now,
         };
         if waiter.decision.send(Ok(granted)).is_err() {
-            let reply = self.holder.on_finished(
+            let output = self.holder.on_finished(
                 now,
                 request,
                 RequestOutcome {
@@ -413,32 +449,33 @@
                     ..RequestOutcome::default()
                 },
             );
-            return self.apply(now, reply);
+            return self.apply_holder_output(now, output);
         }
-        let running = Running {
+        let running = RunningRequest {
             request: request.clone(),
             meta: waiter.meta,
-            prompt: waiter.need.prompt,
-            predicts: waiter.need.max_tokens.is_some(),
+            prompt_tokens: waiter.slot_request.prompt_tokens,
+            trains_predictor: waiter.slot_request.max_tokens.is_some(),
         };
-        if let Err(at) = self.running_at(request) {
-            self.running.insert(at, running);
+        if let Err(index) = self.find_running(request) {
+            self.running.insert(index, running);
         }
     }
 
-    fn send_asks(&mut self, asks: Vec<OwnerEnvelope>) {
-        for OwnerEnvelope { upstream, message } in asks {
+    /// Sends messages to the owners of replicas; a replica without an owner counts as owned here.
+    fn send_to_owners(&mut self, messages: Vec<OwnerEnvelope>) {
+        for OwnerEnvelope { upstream, message } in messages {
             match self.replicas.owner(&upstream) {
-                Some(owner) if *owner != self.me.instance => {
+                Some(owner) if *owner != self.identity.instance => {
                     let to = owner.clone();
-                    self.out.push(Outgoing {
+                    self.outgoing.push(Outgoing {
                         to,
                         message: PeerMessage::ToOwner { upstream, message },
                     });
                 }
                 _ => {
-                    let from = self.me.instance.clone();
-                    self.local.push_back(Local::Owner {
+                    let from = self.identity.instance.clone();
+                    self.local_messages.push_back(LocalMessage::Owner {
                         from,
                         upstream,
                         message,
@@ -448,14 +485,19 @@
         }
     }
 
-    fn note_rejection(&mut self, upstream: &UpstreamId, message: &ToHolder) {
+    /// Records an owner's rejection, and excludes a replica that is leaving.
+    fn record_rejection(&mut self, upstream: &UpstreamId, message: &ToHolder) {
         if let ToHolder::Rejected { request, why, .. } = message {
             if *why == Rejection::Leaving
-                && let Ok(at) = self.waiter_at(request)
+                && let Ok(index) = self.find_waiter(request)
             {
-                // Its owner knows first. Until the list says so too, the replica would be chosen
-                // again at once, over and over, and its request would never be answered.
-                self.waiters[at].need.excluded.push(upstream.clone());
+                // The owner knows that the replica leaves before the instance list does. Without
+                // the exclusion the replica would be chosen again and again until the list
+                // changes, and the request would never be answered.
+                self.waiters[index]
+                    .slot_request
+                    .excluded_upstreams
+                    .push(upstream.clone());
             }
             let step = Step::Rejected {
                 upstream: upstream.clone(),
@@ -465,14 +507,16 @@
         }
     }
 
-    fn waiter_at(&self, request: &RequestId) -> Result<usize, usize> {
+    /// Index of a waiting request, or where to insert it.
+    fn find_waiter(&self, request: &RequestId) -> Result<usize, usize> {
         self.waiters.binary_search_by(|w| w.request.cmp(request))
     }
 
-    fn running_at(&self, request: &RequestId) -> Result<usize, usize> {
+    /// Index of a running request, or where to insert it.
+    fn find_running(&self, request: &RequestId) -> Result<usize, usize> {
         self.running.binary_search_by(|r| r.request.cmp(request))
     }
 }
 
-/// Rows of a batch of digests.
+/// One message's digests, a row for each replica.
 type DigestRows = Vec<DigestRow>;
--- a/src/scheduler/digests.rs
+++ b/src/scheduler/digests.rs
@@ -1,4 +1,4 @@
-//! Digests of owned replicas, by which instances choose among owners.
+//! Periodic digests (load and pace) of owned replicas, from which instances choose replicas.
 
 use std::time::Duration;
 
@@ -8,128 +8,141 @@
 use super::{DigestRows, Outgoing, Scheduler};
 use crate::message::{DigestRow, PeerMessage};
 
-/// Shortest time between two digests: at the brief's size four a second cost little.
-const SHORTEST: Duration = Duration::from_millis(250);
+/// Minimum time between two digests: at the specified fleet size four a second cost little.
+const MIN_DIGEST_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Longest time between two digests; routing trusts one for ten seconds.
-const LONGEST: Duration = Duration::from_secs(2);
+/// Maximum time between two digests; routing uses a digest for ten seconds.
+const MAX_DIGEST_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Replicas of a zone for which a digest each second is affordable: 30 rows of about 120 bytes
-/// are 3.6 KB/s of the 9 KB/s that control may take.
-const ROWS_PER_S: f64 = 30.0;
+/// Digest rows that the instances of a zone send per second: 30 rows of about 120 bytes are
+/// 3.6 KB/s of the 9 KB/s allowed for control messages. A zone with more replicas sends digests
+/// less often than once a second.
+const MAX_ZONE_ROWS_PER_S: f64 = 30.0;
 
-/// Replicas with room that another zone hears of, for each service.
-const REMOTE_ROWS: usize = 2;
+/// Maximum number of replicas with free slots that are sent to other zones, for each service.
+const MAX_REMOTE_ROWS_PER_SERVICE: usize = 2;
 
-/// When digests go out.
+/// Time of the last digest, from which the next one is due.
 #[derive(Debug)]
 pub(super) struct DigestClock {
-    sent: Instant,
+    last_sent: Instant,
 }
 
 impl DigestClock {
     pub(super) fn new(now: Instant) -> Self {
-        Self { sent: now }
+        Self { last_sent: now }
     }
 }
 
 impl Scheduler {
+    /// Stores received digests; the bridge relays those of other zones inside its own zone.
     pub(super) fn on_digests(&mut self, now: Instant, from: &InstanceId, rows: &DigestRows) {
         self.replicas.on_digests(now, rows);
-        let foreign = self
+        let from_other_zone = self
             .snapshot
             .entry(from)
-            .is_some_and(|i| i.availability_zone != self.me.zone);
-        if foreign && self.is_bridge() {
-            self.send_digests(&self.neighbours(), rows);
+            .is_some_and(|entry| entry.availability_zone != self.identity.zone);
+        if from_other_zone && self.is_bridge() {
+            self.send_digests(&self.zone_peers(), rows);
         }
     }
 
+    /// Sends the digests of owned replicas when they are due; the interval grows with the zone.
     pub(super) fn tick_digests(&mut self, now: Instant) {
-        let zone = &self.me.zone;
-        let of_zone = self
+        let zone = &self.identity.zone;
+        let zone_replicas = self
             .replicas
             .rows()
             .iter()
             .filter(|r| r.zone == *zone)
             .count();
-        let period = Duration::from_secs_f64(of_zone as f64 / ROWS_PER_S).clamp(SHORTEST, LONGEST);
-        if now.saturating_duration_since(self.digests.sent) < period {
+        let interval = Duration::from_secs_f64(zone_replicas as f64 / MAX_ZONE_ROWS_PER_S)
+            .clamp(MIN_DIGEST_INTERVAL, MAX_DIGEST_INTERVAL);
+        if now.saturating_duration_since(self.digest_clock.last_sent) < interval {
             return;
         }
-        self.digests.sent = now;
-        let row = |o: &super::Owned| DigestRow {
-            upstream: o.queue.upstream().clone(),
-            digest: o.queue.digest(now),
+        self.digest_clock.last_sent = now;
+        let row = |replica: &super::OwnedReplica| DigestRow {
+            upstream: replica.queue.upstream().clone(),
+            digest: replica.queue.digest(now),
         };
         let rows: DigestRows = self.owned.iter().map(row).collect();
         self.replicas.on_digests(now, &rows);
-        self.send_digests(&self.neighbours(), &rows);
+        self.send_digests(&self.zone_peers(), &rows);
         if self.is_bridge() {
-            let remote = self.rows_with_room();
+            let remote = self.rows_with_free_slots();
             self.send_digests(&self.other_bridges(), &remote);
         }
     }
 
-    fn send_digests(&mut self, to: &[InstanceId], rows: &DigestRows) {
+    fn send_digests(&mut self, receivers: &[InstanceId], rows: &DigestRows) {
         if rows.is_empty() {
             return;
         }
-        for to in to {
+        for to in receivers {
             let message = PeerMessage::Digests(rows.clone());
-            self.out.push(Outgoing {
+            self.outgoing.push(Outgoing {
                 to: to.clone(),
                 message,
             });
         }
     }
 
-    /// The other live instances of this zone.
-    fn neighbours(&self) -> Vec<InstanceId> {
-        let live = self.view.live(&self.me.zone).iter();
-        live.filter(|i| **i != self.me.instance).cloned().collect()
+    /// Returns the other live instances of this zone.
+    fn zone_peers(&self) -> Vec<InstanceId> {
+        let live = self.view.live(&self.identity.zone).iter();
+        live.filter(|i| **i != self.identity.instance)
+            .cloned()
+            .collect()
     }
 
-    /// The first live instance of a zone speaks for it to the others.
+    /// Whether this instance is the bridge of its zone: the first live instance, which exchanges
+    /// digests with the bridges of the other zones.
     fn is_bridge(&self) -> bool {
-        self.view.live(&self.me.zone).first() == Some(&self.me.instance)
+        self.view.live(&self.identity.zone).first() == Some(&self.identity.instance)
     }
 
+    /// Returns the bridges of the other zones.
     fn other_bridges(&self) -> Vec<InstanceId> {
-        let others = self.view.live.iter().filter(|z| z.zone != self.me.zone);
+        let others = self
+            .view
+            .live
+            .iter()
+            .filter(|z| z.zone != self.identity.zone);
         others
             .filter_map(|z| z.instances.first().cloned())
             .collect()
     }
 
-    /// A few replicas of this zone with room, for each service.
-    fn rows_with_room(&self) -> DigestRows {
+    /// Returns the digests sent to other zones: for each service, the replicas of this zone that
+    /// have free slots, least running requests first.
+    fn rows_with_free_slots(&self) -> DigestRows {
         let mut rows: Vec<_> = self
             .replicas
             .rows()
             .iter()
-            .filter(|r| r.zone == self.me.zone && r.live)
+            .filter(|r| r.zone == self.identity.zone && r.live)
             .filter_map(|r| r.digest.map(|digest| (r, digest)))
             .filter(|(_, d)| d.waiting == 0 && d.running < d.limit)
             .collect();
         rows.sort_by_key(|(r, d)| (r.service.clone(), d.running));
-        let mut taken: DigestRows = Vec::new();
-        let mut last = None;
-        let mut of_service = 0;
+        let mut selected: DigestRows = Vec::new();
+        let mut previous_service = None;
+        let mut service_rows = 0;
         for (replica, digest) in rows {
-            of_service = if last == Some(&replica.service) {
-                of_service + 1
+            service_rows = if previous_service == Some(&replica.service) {
+                service_rows + 1
             } else {
                 1
             };
-            last = Some(&replica.service);
-            if of_service <= REMOTE_ROWS {
-                taken.push(DigestRow {
+            previous_service = Some(&replica.service);
+            if service_rows <= MAX_REMOTE_ROWS_PER_SERVICE {
+                selected.push(DigestRow {
                     upstream: replica.upstream.clone(),
                     digest,
                 });
             }
         }
-        taken
+        selected
     }
 }
--- a/src/scheduler/owned.rs
+++ b/src/scheduler/owned.rs
@@ -1,4 +1,4 @@
-//! The replicas that this instance owns: their queues of reservations.
+//! The replicas that this instance owns, each with its queue of reservations.
 
 use kingcupfield_decisions::id::{InstanceId, UpstreamId};
 use kingcupfield_decisions::prefixes::CacheEvent;
@@ -6,17 +6,19 @@
 use serde_json::{Value, json};
 use tokio::time::Instant;
 
-use super::{Local, Outgoing, Scheduler};
+use super::{LocalMessage, Outgoing, Scheduler};
 use crate::message::PeerMessage;
 
-/// One queue.
+/// A replica that this instance owns.
 #[derive(Debug)]
-pub(super) struct Owned {
+pub(super) struct OwnedReplica {
     pub(super) queue: SlotQueue,
+    /// Whether the replica accepts no further requests.
     leaving: bool,
 }
 
-impl Owned {
+impl OwnedReplica {
+    /// Returns the replica's state for the diagnostic dump.
     pub(super) fn dump(&self, now: Instant) -> Value {
         json!({
             "upstream": &**self.queue.upstream(),
@@ -28,28 +30,29 @@
 }
 
 impl Scheduler {
-    /// Whether this instance keeps the queue of `upstream`.
+    /// Whether this instance has the queue of `upstream`.
     pub fn owns(&self, upstream: &UpstreamId) -> bool {
-        self.owned_at(upstream).is_ok()
+        self.find_owned(upstream).is_ok()
     }
 
-    /// Takes a load report of an owned replica.
+    /// Handles a load report of an owned replica; ignores those of other replicas.
     pub fn on_load_report(&mut self, now: Instant, upstream: &UpstreamId, report: LoadReport) {
-        if let Ok(at) = self.owned_at(upstream) {
-            self.owned[at].leaving |= report.leaving;
-            let sends = self.owned[at].queue.on_load_report(now, report);
-            self.send_to_holders(sends);
-            self.settle(now);
+        if let Ok(index) = self.find_owned(upstream) {
+            self.owned[index].leaving |= report.leaving;
+            let messages = self.owned[index].queue.on_load_report(now, report);
+            self.send_to_holders(messages);
+            self.deliver_local(now);
         }
     }
 
-    /// Takes a cache event of an owned replica.
+    /// Handles a prefix cache event of an owned replica; ignores those of other replicas.
     pub fn on_cache_event(&mut self, upstream: &UpstreamId, event: CacheEvent) {
-        if let Ok(at) = self.owned_at(upstream) {
-            self.owned[at].queue.on_cache_event(event);
+        if let Ok(index) = self.find_owned(upstream) {
+            self.owned[index].queue.on_cache_event(event);
         }
     }
 
+    /// Handles a holder's message to the owner of `upstream`.
     pub(super) fn on_to_owner(
         &mut self,
         now: Instant,
@@ -57,127 +60,135 @@
         upstream: &UpstreamId,
         message: ToOwner,
     ) {
-        let at = match self.owned_at(upstream) {
-            Ok(at) => at,
-            // Only a reservation makes a queue. The sender may see another membership than this
-            // instance; the queue starts cautiously, so that two owners do not fill the replica.
+        let index = match self.find_owned(upstream) {
+            Ok(index) => index,
+            // Only a reservation creates a queue. The sender's view of the membership may differ
+            // from this instance's, so that two instances own the replica; a new queue starts
+            // with few slots, which keeps the two from overloading the replica.
             Err(_) if !matches!(message, ToOwner::Reserve(_)) => return,
-            Err(at) => {
-                let Some(owned) = self.new_owned(now, upstream) else {
+            Err(index) => {
+                let Some(owned) = self.new_owned_replica(now, upstream) else {
                     return;
                 };
-                self.owned.insert(at, owned);
-                at
+                self.owned.insert(index, owned);
+                index
             }
         };
-        let sends = self.owned[at].queue.on_message(now, from, message);
-        self.send_to_holders(sends);
+        let messages = self.owned[index].queue.on_message(now, from, message);
+        self.send_to_holders(messages);
     }
 
+    /// Updates the pace and the shed level of each owned queue and advances its timers.
     pub(super) fn tick_owned(&mut self, now: Instant) {
-        for at in 0..self.owned.len() {
-            let upstream = self.owned[at].queue.upstream().clone();
+        for index in 0..self.owned.len() {
+            let upstream = self.owned[index].queue.upstream().clone();
             if let Some(replica) = self.replicas.get(&upstream) {
-                let lowest = self.level_of(now, &replica.service);
-                let usual = self
+                let lowest_rank = self.lowest_admitted_rank(now, &replica.service);
+                let median = self
                     .replicas
-                    .usual_pace(&replica.service, replica.generation.as_deref());
-                self.owned[at].queue.set_usual_pace(usual);
-                let sends = self.owned[at].queue.set_lowest_rank(now, lowest);
-                self.send_to_holders(sends);
+                    .median_pace(&replica.service, replica.generation.as_deref());
+                self.owned[index].queue.set_usual_pace(median);
+                let messages = self.owned[index].queue.set_lowest_rank(now, lowest_rank);
+                self.send_to_holders(messages);
             }
-            let sends = self.owned[at].queue.on_tick(now);
-            self.send_to_holders(sends);
+            let messages = self.owned[index].queue.on_tick(now);
+            self.send_to_holders(messages);
         }
     }
 
-    /// Drops queues that others own by now, starts those that are this instance's.
+    /// Drops the queues of replicas that other instances now own, and creates those of replicas
+    /// that this instance now owns.
     pub(super) fn refresh_owned(&mut self, now: Instant) {
-        let mine =
-            |upstream: &UpstreamId, s: &Self| s.replicas.owner(upstream) == Some(&s.me.instance);
+        let is_owned = |upstream: &UpstreamId, scheduler: &Self| {
+            scheduler.replicas.owner(upstream) == Some(&scheduler.identity.instance)
+        };
         let lost: Vec<UpstreamId> = self
             .owned
             .iter()
             .map(|o| o.queue.upstream().clone())
-            .filter(|upstream| !mine(upstream, self))
+            .filter(|upstream| !is_owned(upstream, self))
             .collect();
         self.owned.retain(|o| !lost.contains(o.queue.upstream()));
         let owned: Vec<UpstreamId> = self
             .replicas
             .rows()
             .iter()
-            .filter(|r| r.owner == self.me.instance)
+            .filter(|r| r.owner == self.identity.instance)
             .map(|r| r.upstream.clone())
             .collect();
         for upstream in owned {
-            self.refresh_one(now, &upstream);
+            self.refresh_owned_replica(now, &upstream);
         }
     }
 
-    fn refresh_one(&mut self, now: Instant, upstream: &UpstreamId) {
+    /// Creates or restarts the queue of one owned replica, or marks it as leaving.
+    fn refresh_owned_replica(&mut self, now: Instant, upstream: &UpstreamId) {
         let live = self.replicas.get(upstream).is_some_and(|r| r.live);
-        match self.owned_at(upstream) {
-            Ok(at) if live && self.owned[at].leaving => {
-                // It came back under the same name: its queue starts anew.
-                if let Some(owned) = self.new_owned(now, upstream) {
-                    self.owned[at] = owned;
+        match self.find_owned(upstream) {
+            Ok(index) if live && self.owned[index].leaving => {
+                // The replica came back under the same name: its queue is created again.
+                if let Some(owned) = self.new_owned_replica(now, upstream) {
+                    self.owned[index] = owned;
                 }
             }
-            Ok(at) if !live && !self.owned[at].leaving => {
-                self.owned[at].leaving = true;
-                let sends = self.owned[at].queue.set_leaving(now);
-                self.send_to_holders(sends);
+            Ok(index) if !live && !self.owned[index].leaving => {
+                self.owned[index].leaving = true;
+                let messages = self.owned[index].queue.set_leaving(now);
+                self.send_to_holders(messages);
             }
             Ok(_) => {}
-            Err(at) => {
-                if let Some(owned) = self.new_owned(now, upstream) {
-                    self.owned.insert(at, owned);
+            Err(index) => {
+                if let Some(owned) = self.new_owned_replica(now, upstream) {
+                    self.owned.insert(index, owned);
                 }
             }
         }
     }
 
-    /// Gives back what dead instances held.
-    pub(super) fn free_holders(&mut self, now: Instant, gone: &[InstanceId]) {
-        for at in 0..self.owned.len() {
-            for holder in gone {
-                let sends = self.owned[at].queue.on_holder_dead(now, holder);
-                self.send_to_holders(sends);
+    /// Releases the slots and reservations of dead instances in all owned queues.
+    pub(super) fn release_dead_holders(&mut self, now: Instant, dead: &[InstanceId]) {
+        for index in 0..self.owned.len() {
+            for holder in dead {
+                let messages = self.owned[index].queue.on_holder_dead(now, holder);
+                self.send_to_holders(messages);
             }
         }
     }
 
-    fn new_owned(&self, now: Instant, upstream: &UpstreamId) -> Option<Owned> {
+    /// Creates the queue of a replica; `None` if the replica is not listed.
+    fn new_owned_replica(&self, now: Instant, upstream: &UpstreamId) -> Option<OwnedReplica> {
         let replica = self.replicas.get(upstream)?;
-        let neighbours = self.view.live(&replica.zone).len().max(1);
+        let zone_size = self.view.live(&replica.zone).len().max(1);
         let mut queue = SlotQueue::new(upstream.clone(), replica.generation.clone(), now)
-            .with_zone_size(neighbours);
-        let usual = self
+            .with_zone_size(zone_size);
+        let median = self
             .replicas
-            .usual_pace(&replica.service, replica.generation.as_deref());
-        if let Some(usual) = usual {
-            queue = queue.with_usual_pace(usual);
+            .median_pace(&replica.service, replica.generation.as_deref());
+        if let Some(median) = median {
+            queue = queue.with_usual_pace(median);
         }
         if !replica.live {
             queue.set_leaving(now);
         }
-        Some(Owned {
+        Some(OwnedReplica {
             queue,
             leaving: !replica.live,
         })
     }
 
-    fn send_to_holders(&mut self, sends: Vec<HolderEnvelope>) {
+    /// Sends messages to the holders of requests, this instance among them.
+    fn send_to_holders(&mut self, messages: Vec<HolderEnvelope>) {
         for HolderEnvelope {
             to,
             upstream,
             message,
-        } in sends
+        } in messages
         {
-            if to == self.me.instance {
-                self.local.push_back(Local::Holder { upstream, message });
+            if to == self.identity.instance {
+                self.local_messages
+                    .push_back(LocalMessage::Holder { upstream, message });
             } else {
-                self.out.push(Outgoing {
+                self.outgoing.push(Outgoing {
                     to,
                     message: PeerMessage::ToHolder { upstream, message },
                 });
@@ -185,7 +196,8 @@
         }
     }
 
-    fn owned_at(&self, upstream: &UpstreamId) -> Result<usize, usize> {
+    /// Index of an owned replica, or where to insert it.
+    fn find_owned(&self, upstream: &UpstreamId) -> Result<usize, usize> {
         self.owned
             .binary_search_by(|o| o.queue.upstream().cmp(upstream))
     }
--- a/src/scheduler/placing.rs
+++ b/src/scheduler/placing.rs
@@ -1,4 +1,4 @@
-//! Where a request is reserved, and what happens when fleet or membership change.
+//! Reservation of slots for requests, and updates after a change of the fleet or the membership.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,9 @@
 use kingcupfield_decisions::work::Work;
 use tokio::time::Instant;
 
-use super::{Decision, GivenUp, PLAIN_CALL_WORK, Scheduler, SlotRequest, Waiter};
+use super::{
+    DecisionSender, PLAIN_CALL_WORK, RefusalCause, Scheduler, SlotRequest, WaitingRequest,
+};
 use crate::error::{Refusal, RefusalKind};
 use crate::fleet::Snapshot;
 use crate::members::View;
@@ -22,60 +24,64 @@
 use crate::watcher::Watched;
 
 impl Scheduler {
-    /// Lets a request wait for a grant; the decision comes through `decision`.
+    /// Queues a request for a slot; the grant or refusal is sent through `decision`.
     pub fn acquire(
         &mut self,
         now: Instant,
         meta: Arc<Meta>,
-        need: SlotRequest,
-        decision: Decision,
+        slot_request: SlotRequest,
+        decision: DecisionSender,
     ) {
         let rank = meta.rank;
-        if !self.pool_mut(&meta.service).member.admits(now, rank) {
-            let after = self.retry_after(now, &meta.service, Duration::ZERO);
+        if !self.pool_mut(&meta.service).level_member.admits(now, rank) {
+            let retry_after = self.retry_after(now, &meta.service, Duration::ZERO);
             decision
-                .send(Err(Refusal::new(RefusalKind::Shed).with_retry_after(after)))
+                .send(Err(
+                    Refusal::new(RefusalKind::Shed).with_retry_after(retry_after)
+                ))
                 .ok();
             return;
         }
         let request = meta.request.clone();
-        let Err(at) = self.waiter_at(&request) else {
+        let Err(index) = self.find_waiter(&request) else {
             decision.send(Err(Refusal::new(RefusalKind::Unknown))).ok();
             return;
         };
         if !self
             .pool_mut(&meta.service)
-            .member
+            .level_member
             .add_waiting(&request, rank)
         {
-            let after = self.retry_after(now, &meta.service, Duration::ZERO);
+            let retry_after = self.retry_after(now, &meta.service, Duration::ZERO);
             decision
-                .send(Err(Refusal::new(RefusalKind::Shed).with_retry_after(after)))
+                .send(Err(
+                    Refusal::new(RefusalKind::Shed).with_retry_after(retry_after)
+                ))
                 .ok();
             return;
         }
-        let waiter = Waiter {
+        let waiter = WaitingRequest {
             request: request.clone(),
             meta,
-            need,
+            slot_request,
             decision,
-            given_up: None,
+            pending_refusal: None,
         };
-        self.waiters.insert(at, waiter);
-        self.place(now, &request);
-        self.settle(now);
+        self.waiters.insert(index, waiter);
+        self.reserve(now, &request);
+        self.deliver_local(now);
     }
 
-    /// Takes changed values.
+    /// Applies a new snapshot of the fleet's table, services and instances.
     pub fn on_fleet(&mut self, now: Instant, snapshot: Arc<Snapshot>) {
         self.snapshot = snapshot;
         self.refresh(now);
     }
 
-    /// Takes changed membership.
+    /// Applies a new view of the live instances, and releases the slots held by dead ones.
     pub fn on_view(&mut self, now: Instant, view: Arc<View>) {
-        let before = std::mem::replace(&mut self.view, view);
-        let gone: Vec<InstanceId> = before
+        let previous_view = std::mem::replace(&mut self.view, view);
+        let dead: Vec<InstanceId> = previous_view
             .live
             .iter()
             .flat_map(|z| &z.instances)
@@ -83,154 +89,172 @@
             .cloned()
             .collect();
         self.refresh(now);
-        self.free_holders(now, &gone);
-        self.settle(now);
+        self.release_dead_holders(now, &dead);
+        self.deliver_local(now);
     }
 
-    /// Reserves again after all owners said that their replicas leave.
-    pub(super) fn place_again(&mut self, now: Instant, request: &RequestId) {
-        let sends = self.holder.withdraw(request);
-        self.send_asks(sends);
-        self.place(now, request);
+    /// Withdraws the reservations of a request whose owners rejected it because their replicas
+    /// leave or the reservations lapsed, and makes new ones.
+    pub(super) fn reserve_again(&mut self, now: Instant, request: &RequestId) {
+        let messages = self.holder.withdraw(request);
+        self.send_to_owners(messages);
+        self.reserve(now, request);
     }
 
+    /// Recomputes the owners of replicas, and the queues and pools that depend on them.
     fn refresh(&mut self, now: Instant) {
-        let changed = self.replicas.refresh(&self.me, &self.snapshot, &self.view);
+        let owner_changed = self
+            .replicas
+            .refresh(&self.identity, &self.snapshot, &self.view);
         self.refresh_owned(now);
         self.refresh_pools(now);
-        self.watched = Some(self.watched_now());
-        for upstream in changed {
-            let sends = self.holder.on_owner_changed(now, &upstream);
-            self.send_asks(sends);
+        self.watched = Some(self.owned_upstreams());
+        for upstream in owner_changed {
+            let messages = self.holder.on_owner_changed(now, &upstream);
+            self.send_to_owners(messages);
         }
-        self.settle(now);
+        self.deliver_local(now);
     }
 
-    fn place(&mut self, now: Instant, request: &RequestId) {
-        let Ok(at) = self.waiter_at(request) else {
+    /// Reserves slots for a waiting request, or refuses it if no replica can serve it in time.
+    fn reserve(&mut self, now: Instant, request: &RequestId) {
+        let Ok(index) = self.find_waiter(request) else {
             return;
         };
-        let meta = self.waiters[at].meta.clone();
-        let need = self.waiters[at].need.clone();
-        let work = self.expected_work(&meta, &need);
-        let regions = self.regions(&meta.organisation);
+        let meta = self.waiters[index].meta.clone();
+        let slot_request = self.waiters[index].slot_request.clone();
+        let work = self.expected_work(&meta, &slot_request);
+        let regions = self.allowed_regions(&meta.organisation);
         let mut candidates =
             self.replicas
-                .candidates(now, &meta.service, &self.me, &need, &regions);
-        candidates.retain(|c| !need.excluded.contains(&c.upstream));
+                .candidates(now, &meta.service, &self.identity, &slot_request, &regions);
+        candidates.retain(|c| !slot_request.excluded_upstreams.contains(&c.upstream));
         let time_left = meta.deadline.saturating_duration_since(now);
-        if let Some(why) = why_not(&candidates, work, time_left) {
-            let wait = Duration::ZERO;
-            return self.refuse_now(now, request, GivenUp { why, wait });
+        if let Some(rejection) = early_rejection(&candidates, work, time_left) {
+            let expected_wait = Duration::ZERO;
+            return self.refuse_now(
+                now,
+                request,
+                RefusalCause {
+                    rejection,
+                    expected_wait,
+                },
+            );
         }
-        let upstreams = self.choose(now, &meta, &need, &candidates, work);
+        let upstreams = self.choose_upstreams(now, &meta, &slot_request, &candidates, work);
         for upstream in &upstreams {
             let upstream = upstream.clone();
             self.records.add(request, Step::Reserved { upstream });
         }
         let reservation = Reservation {
             request: request.clone(),
-            holder: self.me.instance.clone(),
+            holder: self.identity.instance.clone(),
             organisation: meta.organisation.clone(),
             weight: meta.weight,
             rank: meta.rank,
             work,
-            prefixes: need.prefixes,
+            prefixes: slot_request.prefixes,
             time_left,
             asked: 0,
         };
-        let reply = self.holder.reserve(now, reservation, &upstreams);
-        self.apply(now, reply);
+        let output = self.holder.reserve(now, reservation, &upstreams);
+        self.apply_holder_output(now, output);
     }
 
-    fn watched_now(&self) -> Vec<Watched> {
-        let mine = self
+    /// Returns the replicas that this instance owns, which the watcher polls.
+    fn owned_upstreams(&self) -> Vec<Watched> {
+        let owned = self
             .replicas
             .rows()
             .iter()
-            .filter(|r| r.owner == self.me.instance);
+            .filter(|r| r.owner == self.identity.instance);
         let is_model = |service: &str| {
             self.snapshot
                 .service(service)
                 .is_some_and(|s| s.kind == ServiceKind::Model)
         };
-        mine.map(|r| Watched {
-            upstream: r.upstream.clone(),
-            address: r.address.clone(),
-            model: is_model(&r.service),
-        })
-        .collect()
+        owned
+            .map(|r| Watched {
+                upstream: r.upstream.clone(),
+                address: r.address.clone(),
+                model: is_model(&r.service),
+            })
+            .collect()
     }
 
-    fn choose(
+    /// Chooses the replicas at which a request reserves a slot.
+    fn choose_upstreams(
         &mut self,
         now: Instant,
         meta: &Meta,
-        need: &SlotRequest,
+        slot_request: &SlotRequest,
         candidates: &[Candidate],
         work: Work,
     ) -> Vec<UpstreamId> {
         let route = RouteRequest {
             rank: meta.rank,
-            zone: self.me.zone.clone(),
+            zone: self.identity.zone.clone(),
             time_left: meta.deadline.saturating_duration_since(now),
             work,
-            bytes: need.bytes,
+            bytes: slot_request.transfer_bytes,
         };
-        let lowest = self.bottom();
+        let lowest_rank = self.lowest_tier_rank();
         choose_replicas(
             now,
             &route,
             candidates,
-            lowest,
-            &mut self.link,
+            lowest_rank,
+            &mut self.link_budget,
             &mut self.rng,
         )
         .upstreams
     }
 
-    /// Where an organisation's requests may be served, by the table in force.
-    pub(super) fn regions(&self, organisation: &str) -> Regions {
-        let listed = self.snapshot.table.organisation(organisation);
-        listed.map_or_else(Regions::all, |o| {
+    /// Returns the regions in which the current table allows an organisation's requests.
+    pub(super) fn allowed_regions(&self, organisation: &str) -> Regions {
+        let row = self.snapshot.table.organisation(organisation);
+        row.map_or_else(Regions::all, |o| {
             Regions::named(o.allowed_regions.iter().cloned())
         })
     }
 
-    fn expected_work(&self, meta: &Meta, need: &SlotRequest) -> Work {
-        let Some(max_tokens) = need.max_tokens else {
+    /// Estimates the work of a request, in tokens.
+    fn expected_work(&self, meta: &Meta, slot_request: &SlotRequest) -> Work {
+        let Some(max_tokens) = slot_request.max_tokens else {
             return PLAIN_CALL_WORK;
         };
-        let decode = self.lengths.predict(
+        let decode = self.length_predictor.predict(
             &meta.organisation,
             &meta.service,
-            need.prompt,
+            slot_request.prompt_tokens,
             Some(max_tokens),
         );
-        Work::new(need.prompt, decode)
+        Work::new(slot_request.prompt_tokens, decode)
     }
 }
 
-/// Why no candidate is worth a reservation: there is none, or even at once it would end too late.
-fn why_not(candidates: &[Candidate], work: Work, time_left: Duration) -> Option<Rejection> {
+/// Returns why no reservation is made: there is no candidate, or the request would miss its
+/// deadline even if it started at once.
+fn early_rejection(candidates: &[Candidate], work: Work, time_left: Duration) -> Option<Rejection> {
     if candidates.is_empty() {
         return Some(Rejection::Leaving);
     }
     let estimate = Estimate {
         wait: Duration::ZERO,
-        service: best_service(candidates, work).unwrap_or_default(),
+        service: fastest_service_time(candidates, work).unwrap_or_default(),
     };
     is_unmeetable(time_left, estimate).then_some(Rejection::Late)
 }
 
-/// Time from dispatch to the end of the answer on the fastest candidate whose pace is known.
-fn best_service(candidates: &[Candidate], work: Work) -> Option<Duration> {
+/// Returns the time from dispatch to the end of the response on the fastest candidate; `None` if
+/// the pace of any candidate is unknown.
+fn fastest_service_time(candidates: &[Candidate], work: Work) -> Option<Duration> {
     let paces = candidates
         .iter()
         .filter_map(|c| c.digest.and_then(|d| d.pace));
-    let known: Vec<Pace> = paces.collect();
-    if known.len() < candidates.len() {
+    let known_paces: Vec<Pace> = paces.collect();
+    if known_paces.len() < candidates.len() {
         return None;
     }
-    known.iter().map(|pace| pace.service_time(work)).min()
+    known_paces.iter().map(|pace| pace.service_time(work)).min()
 }
--- a/src/slots.rs
+++ b/src/slots.rs
@@ -1,4 +1,4 @@
-//! The slots service: the scheduler behind a bounded mailbox.
+//! The slots service: runs the scheduler in a task with a bounded mailbox.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,32 +18,34 @@
 use crate::peers::Peers;
 use crate::request::Meta;
 pub use crate::scheduler::SlotRequest;
-use crate::scheduler::{Decision, Granted, Scheduler};
+use crate::scheduler::{ClaimedGrant, DecisionSender, Scheduler};
 use crate::watcher::Watched;
 
-/// Name of the service in the kernel.
+/// Name under which the slots service is registered.
 pub const SLOTS: &str = "slots";
 
-/// Messages that wait for the service; a request beyond it is refused as unavailable.
-const MAILBOX: usize = 16_384;
+/// Maximum number of messages in the mailbox; while it is full, requests are refused as
+/// unavailable.
+const MAILBOX_CAPACITY: usize = 16_384;
 
-/// How often leases, stalls and levels are looked after.
-const TICK: Duration = Duration::from_millis(50);
+/// Interval at which the scheduler checks leases, stalled replicas and shed levels.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A grant that was claimed longer ago than this is given back unused: the process was paused
-/// between the claim and the first byte. An owner takes a claimed slot back after three seconds
-/// without a word of its holder.
-const CLAIM_LIFE: Duration = Duration::from_secs(1);
+/// Time after its claim during which a grant may be used. An older one is released unused: the
+/// process was paused between the claim and the first byte, and an owner reclaims a claimed slot
+/// after three seconds without a message from the holder.
+const CLAIM_VALIDITY: Duration = Duration::from_secs(1);
 
-/// Advice for callers that meet a full mailbox.
-const BUSY_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay returned to callers while the mailbox is full.
+const FULL_MAILBOX_RETRY_AFTER: Duration = Duration::from_secs(1);
 
+/// Input of the slots service.
 #[derive(Debug)]
 enum Message {
     Acquire {
         meta: Arc<Meta>,
-        need: SlotRequest,
-        decision: Decision,
+        slot_request: SlotRequest,
+        decision: DecisionSender,
     },
     Cancel(RequestId),
     Started {
@@ -58,7 +60,7 @@
         from: InstanceId,
         message: PeerMessage,
     },
-    Report {
+    LoadReport {
         upstream: UpstreamId,
         report: LoadReport,
     },
@@ -69,33 +71,34 @@
     Dump(oneshot::Sender<Value>),
 }
 
-/// Handle of the service; clones share it.
+/// Handle of the slots service; all clones send to the same task.
 #[derive(Debug, Clone)]
 pub struct Slots {
     tx: mpsc::Sender<Message>,
-    ended: mpsc::UnboundedSender<Message>,
+    /// Cancelled and finished requests, which must not be lost when the mailbox is full.
+    ended_tx: mpsc::UnboundedSender<Message>,
 }
 
-/// The right to dispatch one request to one replica; dropped, it gives the slot back.
+/// The right to dispatch one request to one replica; dropping it releases the slot.
 #[derive(Debug)]
 pub struct Grant {
-    /// The replica.
+    /// Name of the replica.
     pub upstream: UpstreamId,
-    /// Its address, `IP:port`.
+    /// Address of the replica, `IP:port`.
     pub address: String,
     request: RequestId,
-    claimed: Instant,
+    claimed_at: Instant,
     outcome: RequestOutcome,
     slots: Slots,
 }
 
 impl Grant {
-    /// Whether the right still holds; checked right before the first byte goes out.
+    /// Whether the grant may still be used; checked right before the first byte is sent.
     pub fn is_valid(&self) -> bool {
-        self.claimed.elapsed() < CLAIM_LIFE
+        self.claimed_at.elapsed() < CLAIM_VALIDITY
     }
 
-    /// Tells that the first token came.
+    /// Reports the first token of the response, `first_token` after dispatch.
     pub fn report_first_token(&self, first_token: Duration) {
         let message = Message::Started {
             request: self.request.clone(),
@@ -104,7 +107,7 @@
         self.slots.tx.try_send(message).ok();
     }
 
-    /// Tells how the request ended.
+    /// Releases the slot and reports the outcome of the request.
     pub fn finish(mut self, outcome: RequestOutcome) {
         self.outcome = outcome;
     }
@@ -116,13 +119,14 @@
             request: self.request.clone(),
             outcome: self.outcome,
         };
-        // Not bounded, as a slot that is never given back is lost until its holder dies; there
-        // are never more of these than requests held, whose number is bounded.
-        self.slots.ended.send(message).ok();
+        // This channel is unbounded: if the message were dropped, the slot would be lost until its
+        // holder dies. It has no more messages than the instance has requests, whose number is
+        // bounded.
+        self.slots.ended_tx.send(message).ok();
     }
 }
 
-/// Tells the service that nobody waits any more, when a waiting request is dropped.
+/// Cancels a waiting request when its future is dropped before the decision.
 struct CancelOnDrop {
     request: Option<RequestId>,
     slots: Slots,
@@ -131,12 +135,12 @@
 impl Drop for CancelOnDrop {
     fn drop(&mut self) {
         if let Some(request) = self.request.take() {
-            self.slots.ended.send(Message::Cancel(request)).ok();
+            self.slots.ended_tx.send(Message::Cancel(request)).ok();
         }
     }
 }
 
-/// Outcome of a request that broke before any token.
+/// Returns the outcome of a request that failed before its first token.
 pub fn failed_outcome() -> RequestOutcome {
     RequestOutcome {
         whole: false,
@@ -147,34 +151,39 @@
 }
 
 impl Slots {
-    /// Makes the service; the task is to be spawned.
+    /// Creates the handle and the task of the service; the caller spawns the task.
     pub fn new(scheduler: Scheduler, peers: Peers) -> (Self, SlotsTask) {
-        let (tx, rx) = mpsc::channel(MAILBOX);
-        let (ended, ended_rx) = mpsc::unbounded_channel();
-        let (watched, _) = watch::channel(Vec::new());
+        let (tx, rx) = mpsc::channel(MAILBOX_CAPACITY);
+        let (ended_tx, ended_rx) = mpsc::unbounded_channel();
+        let (watched_tx, _) = watch::channel(Vec::new());
         let task = SlotsTask {
             scheduler,
             peers,
             rx,
-            ended: ended_rx,
-            watched,
+            ended_rx,
+            watched_tx,
         };
-        (Self { tx, ended }, task)
+        (Self { tx, ended_tx }, task)
     }
 
-    /// Waits until the request may go to a replica, or is refused. Dropped, it stops waiting.
-    pub async fn acquire(&self, meta: &Arc<Meta>, need: SlotRequest) -> Result<Grant, Refusal> {
+    /// Waits until the request is granted a slot or is refused. Dropping the future cancels the
+    /// wait.
+    pub async fn acquire(
+        &self,
+        meta: &Arc<Meta>,
+        slot_request: SlotRequest,
+    ) -> Result<Grant, Refusal> {
         let (decision, decided) = oneshot::channel();
         let request = meta.request.clone();
         let message = Message::Acquire {
             meta: meta.clone(),
-            need,
+            slot_request,
             decision,
         };
         if self.tx.try_send(message).is_err() {
             let refusal =
                 Refusal::new(RefusalKind::Unavailable).with_message("the instance is full");
-            return Err(refusal.with_retry_after(BUSY_RETRY));
+            return Err(refusal.with_retry_after(FULL_MAILBOX_RETRY_AFTER));
         }
         let mut cancel = CancelOnDrop {
             request: Some(request.clone()),
@@ -182,12 +191,12 @@
         };
         let decided = decided.await;
         cancel.request = None;
-        let Granted {
+        let ClaimedGrant {
             upstream,
             address,
-            at,
+            claimed_at,
         } = decided.unwrap_or_else(|_| Err(Refusal::new(RefusalKind::Unavailable)))?;
-        // Until told otherwise the request ended by no fault of the replica.
+        // Unless the caller reports another outcome, the replica is not at fault.
         let outcome = RequestOutcome {
             whole: true,
             ..RequestOutcome::default()
@@ -196,13 +205,14 @@
             upstream,
             address,
             request,
-            claimed: at,
+            claimed_at,
             outcome,
             slots: self.clone(),
         })
     }
 
-    /// Takes a message of a peer; a full mailbox drops it, leases and renewals repeat it.
+    /// Queues a message of another instance. A full mailbox drops it: lease expiry and renewals
+    /// make up for lost messages.
     pub fn on_peer_message(&self, from: &InstanceId, message: PeerMessage) {
         self.tx
             .try_send(Message::Peer {
@@ -212,17 +222,17 @@
             .ok();
     }
 
-    /// Takes a load report of an owned replica.
+    /// Queues a load report of an owned replica; a full mailbox drops it.
     pub fn on_load_report(&self, upstream: &UpstreamId, report: LoadReport) {
         self.tx
-            .try_send(Message::Report {
+            .try_send(Message::LoadReport {
                 upstream: upstream.clone(),
                 report,
             })
             .ok();
     }
 
-    /// Takes a cache event of an owned replica.
+    /// Queues a prefix cache event of an owned replica; a full mailbox drops it.
     pub fn on_cache_event(&self, upstream: &UpstreamId, event: CacheEvent) {
         self.tx
             .try_send(Message::CacheEvent {
@@ -232,7 +242,7 @@
             .ok();
     }
 
-    /// State for the dump.
+    /// Returns the scheduler's state for the diagnostic dump.
     pub async fn dump(&self) -> Value {
         let (tx, rx) = oneshot::channel();
         self.tx.send(Message::Dump(tx)).await.ok();
@@ -240,23 +250,23 @@
     }
 }
 
-/// Task of the service.
+/// Task of the slots service, which runs the scheduler.
 #[derive(Debug)]
 pub struct SlotsTask {
     scheduler: Scheduler,
     peers: Peers,
     rx: mpsc::Receiver<Message>,
-    ended: mpsc::UnboundedReceiver<Message>,
-    watched: watch::Sender<Vec<Watched>>,
+    ended_rx: mpsc::UnboundedReceiver<Message>,
+    watched_tx: watch::Sender<Vec<Watched>>,
 }
 
 impl SlotsTask {
-    /// Follows which replicas this instance owns.
+    /// Subscribes to the list of replicas that this instance owns.
     pub fn watched(&self) -> watch::Receiver<Vec<Watched>> {
-        self.watched.subscribe()
+        self.watched_tx.subscribe()
     }
 
-    /// Runs for ever.
+    /// Runs until all handles are dropped.
     pub async fn run(mut self, fleet: Fleet, members: Members) {
         let mut fleet = fleet.watch();
         let mut view = members.watch();
@@ -264,13 +274,14 @@
             .on_fleet(Instant::now(), fleet.borrow_and_update().clone());
         self.scheduler
             .on_view(Instant::now(), view.borrow_and_update().clone());
-        let mut ticks = interval(TICK);
+        let mut ticks = interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            // Ends come first: a request that waits again after a failed connect has ended before.
+            // Ends come first: a request that asks for a slot again after a failed connect has to
+            // release its previous slot before.
             tokio::select! {
                 biased;
-                Some(message) = self.ended.recv() => self.on_message(message),
+                Some(message) = self.ended_rx.recv() => self.on_message(message),
                 _ = ticks.tick() => self.scheduler.on_tick(Instant::now()),
                 Ok(()) = fleet.changed() => {
                     self.scheduler.on_fleet(Instant::now(), fleet.borrow_and_update().clone());
@@ -290,21 +301,23 @@
         }
     }
 
+    /// Publishes the list of owned replicas if it changed.
     fn publish(&mut self) {
         if let Some(watched) = self.scheduler.take_watched() {
-            self.watched.send_replace(watched);
+            self.watched_tx.send_replace(watched);
         }
     }
 
+    /// Passes a message to the scheduler.
     fn on_message(&mut self, message: Message) {
         let now = Instant::now();
         let scheduler = &mut self.scheduler;
         match message {
             Message::Acquire {
                 meta,
-                need,
+                slot_request,
                 decision,
-            } => scheduler.acquire(now, meta, need, decision),
+            } => scheduler.acquire(now, meta, slot_request, decision),
             Message::Cancel(request) => scheduler.on_cancel(now, &request),
             Message::Started {
                 request,
@@ -312,7 +325,7 @@
             } => scheduler.on_started(now, &request, first_token),
             Message::Finished { request, outcome } => scheduler.on_finished(now, &request, outcome),
             Message::Peer { from, message } => scheduler.on_peer_message(now, &from, message),
-            Message::Report { upstream, report } => {
+            Message::LoadReport { upstream, report } => {
                 scheduler.on_load_report(now, &upstream, report);
             }
             Message::CacheEvent { upstream, event } => scheduler.on_cache_event(&upstream, event),
--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -9,7 +9,7 @@
 use kingcupfield::metrics::Metrics;
 use kingcupfield::record::Records;
 use kingcupfield::request::Meta;
-use kingcupfield::scheduler::{Granted, Identity, Scheduler, SlotRequest};
+use kingcupfield::scheduler::{ClaimedGrant, Identity, Scheduler, SlotRequest};
 use kingcupfield_decisions::configuration::ValueName;
 use kingcupfield_decisions::id::{InstanceId, Rank, RequestId, UpstreamId};
 use kingcupfield_decisions::slots::{LoadReport, RequestOutcome};
@@ -23,7 +23,7 @@
 const TICK: Duration = Duration::from_millis(50);
 const TIERS: [&str; 3] = ["urgent", "normal", "bulk"];
 
-type Decided = oneshot::Receiver<Result<Granted, Refusal>>;
+type Decided = oneshot::Receiver<Result<ClaimedGrant, Refusal>>;
 
 /// Schedulers whose messages arrive at once, unless an instance is paused.
 struct Net {
