--- a/tests/scheduler.rs
+++ b/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! Schedulers of several instances that exchange their messages in virtual time.
+//! Tests of several schedulers that exchange messages in simulated time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,13 +23,15 @@
 const TICK: Duration = Duration::from_millis(50);
 const TIERS: [&str; 3] = ["urgent", "normal", "bulk"];
 
-type Decided = oneshot::Receiver<Result<ClaimedGrant, Refusal>>;
+type DecisionReceiver = oneshot::Receiver<Result<ClaimedGrant, Refusal>>;
 
-/// Schedulers whose messages arrive at once, unless an instance is paused.
-struct Net {
+/// Schedulers with a simulated clock and network. Messages arrive at once; those to a paused
+/// instance are lost.
+struct Cluster {
     now: Instant,
     nodes: Vec<Node>,
-    sent: u64,
+    /// Number of slot requests so far, from which request ids are made.
+    acquired: u64,
 }
 
 struct Node {
@@ -38,11 +40,12 @@
     paused: bool,
 }
 
-impl Net {
-    /// Instances `a`, `b`, .. before replicas `r-0`, `r-1`, .. of one service.
+impl Cluster {
+    /// Creates instances `a`, `b`, .. and replicas `r-0`, `r-1`, .. of one service, and runs them
+    /// for 1.5 s.
     fn new(instances: usize, replicas: usize) -> Self {
         let now = Instant::now();
-        let names: Vec<InstanceId> = (0..instances).map(name).collect();
+        let names: Vec<InstanceId> = (0..instances).map(instance_name).collect();
         let nodes = names.iter().map(|instance| {
             let me = Identity {
                 instance: instance.clone(),
@@ -58,17 +61,18 @@
                 paused: false,
             }
         });
-        let mut net = Self {
+        let mut cluster = Self {
             now,
             nodes: nodes.collect(),
-            sent: 0,
+            acquired: 0,
         };
-        net.publish(replicas, &[]);
-        net.live(&names);
-        net.run(TICK * 30);
-        net
+        cluster.publish(replicas, &[]);
+        cluster.set_live(&names);
+        cluster.run(TICK * 30);
+        cluster
     }
 
+    /// Publishes an instance list in which the replicas `leaving` are marked as leaving.
     fn publish(&mut self, replicas: usize, leaving: &[&str]) {
         let fleet = snapshot(self.nodes.len(), replicas, leaving);
         for node in &mut self.nodes {
@@ -77,17 +81,18 @@
         self.deliver();
     }
 
-    /// Publishes a table in which one field of the organisation or of the table itself is set, and a replica
-    /// `s-0` of the zone y in the region s beside `r-0`.
-    fn publish_placement(&mut self, version: u64, allowed: &[&str], emptied: &[&str]) {
-        let fleet = two_regions(self.nodes.len(), version, allowed, emptied);
+    /// Publishes a table with the organisation's allowed regions and the drained zones, and two
+    /// replicas: `r-0` in zone z of region r and `s-0` in zone y of region s.
+    fn publish_placement(&mut self, version: u64, allowed: &[&str], drained: &[&str]) {
+        let fleet = snapshot_of_two_regions(self.nodes.len(), version, allowed, drained);
         for node in &mut self.nodes {
             node.scheduler.on_fleet(self.now, fleet.clone());
         }
         self.deliver();
     }
 
-    fn live(&mut self, names: &[InstanceId]) {
+    /// Publishes the set of live instances to all schedulers.
+    fn set_live(&mut self, names: &[InstanceId]) {
         let live = vec![ZoneLive {
             zone: "z".into(),
             instances: names.to_vec(),
@@ -102,9 +107,16 @@
         self.deliver();
     }
 
-    fn acquire(&mut self, at: usize, rank: Rank, time_left: Duration) -> (RequestId, Decided) {
-        self.sent += 1;
-        let request: RequestId = format!("{}.1.{:x}", self.nodes[at].instance, self.sent).into();
+    /// Requests a slot through the instance with index `instance`.
+    fn acquire(
+        &mut self,
+        instance: usize,
+        rank: Rank,
+        time_left: Duration,
+    ) -> (RequestId, DecisionReceiver) {
+        self.acquired += 1;
+        let request: RequestId =
+            format!("{}.1.{:x}", self.nodes[instance].instance, self.acquired).into();
         let meta = Meta {
             request: request.clone(),
             organisation: "org".into(),
@@ -117,7 +129,7 @@
             attempt: 1,
         };
         let (tx, rx) = oneshot::channel();
-        self.nodes[at].scheduler.acquire(
+        self.nodes[instance].scheduler.acquire(
             self.now,
             Arc::new(meta),
             SlotRequest::completion(100, 50, 1000),
@@ -127,17 +139,19 @@
         (request, rx)
     }
 
-    fn finish(&mut self, at: usize, request: &RequestId) {
+    /// Ends a dispatched request successfully.
+    fn finish(&mut self, instance: usize, request: &RequestId) {
         let outcome = RequestOutcome {
             whole: true,
             ..RequestOutcome::default()
         };
-        self.nodes[at]
+        self.nodes[instance]
             .scheduler
             .on_finished(self.now, request, outcome);
         self.deliver();
     }
 
+    /// Advances the clock by `time` and ticks every instance that is not paused.
     fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
@@ -149,19 +163,19 @@
         }
     }
 
-    /// Delivers until nothing is under way; messages for a paused instance are lost.
+    /// Delivers messages until none is left; messages for a paused instance are lost.
     fn deliver(&mut self) {
         loop {
-            let mut under_way = Vec::new();
+            let mut in_flight = Vec::new();
             for node in &mut self.nodes {
                 let from = node.instance.clone();
                 let out = node.scheduler.take_outgoing();
-                under_way.extend(out.into_iter().map(|o| (from.clone(), o)));
+                in_flight.extend(out.into_iter().map(|o| (from.clone(), o)));
             }
-            if under_way.is_empty() {
+            if in_flight.is_empty() {
                 return;
             }
-            for (from, out) in under_way {
+            for (from, out) in in_flight {
                 let to = self
                     .nodes
                     .iter_mut()
@@ -174,7 +188,7 @@
     }
 }
 
-fn name(i: usize) -> InstanceId {
+fn instance_name(i: usize) -> InstanceId {
     char::from(b'a' + i as u8).to_string().into()
 }
 
@@ -185,24 +199,26 @@
         .collect()
 }
 
-fn entries(instances: usize) -> impl Iterator<Item = Value> {
+/// Returns the instance list's rows of the live instances.
+fn entry_instances(instances: usize) -> impl Iterator<Item = Value> {
     (0..instances).map(|i| {
-        json!({"instance": &*name(i), "role": "entry", "availability_zone": "z", "region": "r",
+        json!({"instance": &*instance_name(i), "role": "entry", "availability_zone": "z", "region": "r",
                "address": format!("127.0.0.1:{}", 7000 + i), "rpc_address": format!("127.0.0.1:{}", 7100 + i),
                "state": "live"})
     })
 }
 
-fn two_regions(
+/// Returns a snapshot with a replica in each of two regions, allowed regions and drained zones.
+fn snapshot_of_two_regions(
     instances: usize,
     version: u64,
     allowed: &[&str],
-    emptied: &[&str],
+    drained: &[&str],
 ) -> Arc<Snapshot> {
     let table = json!({
         "tiers": tiers(),
         "organisations": [{"organisation": "org", "weight": 1, "max_tier": "urgent", "allowed_regions": allowed}],
-        "emptied_zones": emptied,
+        "emptied_zones": drained,
     });
     let replica = |upstream: &str, zone: &str, region: &str, port: u16| {
         json!({"instance": upstream, "role": "upstream", "availability_zone": zone, "region": region,
@@ -212,11 +228,12 @@
         replica("r-0", "z", "r", 8000),
         replica("s-0", "y", "s", 8001),
     ];
-    let list: Vec<_> = entries(instances).chain(replicas).collect();
-    published(version, &table, &list)
+    let list: Vec<_> = entry_instances(instances).chain(replicas).collect();
+    snapshot_of(version, &table, &list)
 }
 
-fn published(version: u64, table: &Value, instances: &[Value]) -> Arc<Snapshot> {
+/// Returns the snapshot of a fleet with one service and this table and instance list.
+fn snapshot_of(version: u64, table: &Value, instances: &[Value]) -> Arc<Snapshot> {
     let fleet = Fleet::new(Instant::now(), Metrics::new());
     let services = json!({"services": [{"service": "drafting", "kind": "model"}]});
     fleet.offer(ValueName::Table, version, table);
@@ -233,6 +250,7 @@
     fleet.snapshot()
 }
 
+/// Returns a snapshot with replicas in a single zone, some of which are leaving.
 fn snapshot(instances: usize, replicas: usize, leaving: &[&str]) -> Arc<Snapshot> {
     let table = json!({
         "tiers": tiers(),
@@ -248,34 +266,36 @@
         json!({"instance": upstream, "role": "upstream", "availability_zone": "z", "region": "r",
                "service": "drafting", "address": format!("127.0.0.1:{}", 8000 + i), "state": state})
     });
-    let list: Vec<_> = entries(instances).chain(upstreams).collect();
-    published(1, &table, &list)
+    let list: Vec<_> = entry_instances(instances).chain(upstreams).collect();
+    snapshot_of(1, &table, &list)
 }
 
-fn granted(decided: &mut Decided) -> Option<UpstreamId> {
-    match decided.try_recv() {
+/// Returns the replica of a grant, or `None` while the request waits; panics on a refusal.
+fn granted(decision: &mut DecisionReceiver) -> Option<UpstreamId> {
+    match decision.try_recv() {
         Ok(Ok(granted)) => Some(granted.upstream),
         Ok(Err(refusal)) => panic!("refused: {refusal}"),
         Err(_) => None,
     }
 }
 
-/// Fills all slots from instance `at`; returns who runs and who waits.
+/// Requests that were granted a slot, and those that still wait.
 struct Filled {
     running: Vec<RequestId>,
-    waiting: Vec<(RequestId, Decided)>,
+    waiting: Vec<(RequestId, DecisionReceiver)>,
 }
 
-fn fill(net: &mut Net, at: usize, rank: Rank, count: usize) -> Filled {
+/// Sends `count` requests of tier `rank` to the instance with index `instance`.
+fn fill(cluster: &mut Cluster, instance: usize, rank: Rank, count: usize) -> Filled {
     let mut filled = Filled {
         running: Vec::new(),
         waiting: Vec::new(),
     };
     for _ in 0..count {
-        let (request, mut decided) = net.acquire(at, rank, Duration::from_mins(5));
-        match granted(&mut decided) {
+        let (request, mut decision) = cluster.acquire(instance, rank, Duration::from_mins(5));
+        match granted(&mut decision) {
             Some(_) => filled.running.push(request),
-            None => filled.waiting.push((request, decided)),
+            None => filled.waiting.push((request, decision)),
         }
     }
     filled
@@ -283,25 +303,25 @@
 
 #[test]
 fn a_request_is_granted_by_the_owner_wherever_it_came_in() {
-    let mut net = Net::new(3, 2);
-    for at in 0..3 {
-        let (request, mut decided) = net.acquire(at, 1, Duration::from_mins(1));
-        assert!(granted(&mut decided).is_some(), "instance {at}");
-        net.finish(at, &request);
+    let mut cluster = Cluster::new(3, 2);
+    for instance in 0..3 {
+        let (request, mut decision) = cluster.acquire(instance, 1, Duration::from_mins(1));
+        assert!(granted(&mut decision).is_some(), "instance {instance}");
+        cluster.finish(instance, &request);
     }
 }
 
-/// Bulk requests fill an engine through one instance, and an urgent one comes in at another. Its
-/// caller notices a late draft if the first instance's own queue goes first.
+/// Bulk requests of one instance fill an engine, then an urgent request arrives at another
+/// instance. It would be served late if the waiting requests of the first instance went first.
 #[test]
 fn the_higher_tier_of_another_instance_goes_first() {
-    let mut net = Net::new(2, 1);
-    let filled = fill(&mut net, 0, 2, 40);
+    let mut cluster = Cluster::new(2, 1);
+    let filled = fill(&mut cluster, 0, 2, 40);
     assert!(!filled.waiting.is_empty(), "the engine is full");
-    let (_, mut urgent) = net.acquire(1, 0, Duration::from_mins(1));
+    let (_, mut urgent) = cluster.acquire(1, 0, Duration::from_mins(1));
     assert_eq!(granted(&mut urgent), None);
-    net.finish(0, &filled.running[0]);
-    net.run(TICK * 2);
+    cluster.finish(0, &filled.running[0]);
+    cluster.run(TICK * 2);
     assert!(granted(&mut urgent).is_some());
     let overtaken = filled
         .waiting
@@ -311,53 +331,57 @@
     assert_eq!(overtaken, 0, "bulk requests that went first");
 }
 
-/// A caller goes away in the moment in which its grant is decided. Nobody sends the request; if
-/// the slot stayed taken, the engine would serve less with each such caller until it served none.
+/// A caller disconnects just as its request is granted, so the request is never sent. If the slot
+/// were not released, each such caller would reduce the engine's capacity until nothing is served.
 #[test]
 fn a_slot_granted_to_a_caller_that_went_away_comes_back() {
-    let mut net = Net::new(2, 1);
-    let capacity = fill(&mut net, 0, 1, 40).running.len();
-    let mut net = Net::new(2, 1);
+    let mut cluster = Cluster::new(2, 1);
+    let capacity = fill(&mut cluster, 0, 1, 40).running.len();
+    let mut cluster = Cluster::new(2, 1);
     for _ in 0..3 * capacity {
-        let (request, decided) = net.acquire(1, 1, Duration::from_mins(1));
-        drop(decided);
-        net.nodes[1].scheduler.on_cancel(net.now, &request);
-        net.deliver();
+        let (request, decision) = cluster.acquire(1, 1, Duration::from_mins(1));
+        drop(decision);
+        cluster.nodes[1].scheduler.on_cancel(cluster.now, &request);
+        cluster.deliver();
     }
-    net.run(TICK * 4);
+    cluster.run(TICK * 4);
     assert!(
-        fill(&mut net, 0, 1, 40).running.len() >= capacity,
+        fill(&mut cluster, 0, 1, 40).running.len() >= capacity,
         "slots were lost"
     );
 }
 
-/// A replica is marked as leaving while requests wait for it. They would run on an engine that is
-/// about to go; they must go to another, or be refused as not run.
+/// A replica is marked as leaving. Requests sent to it would run on an engine that is about to
+/// stop; they must be sent to another replica, or be refused as not run.
 #[test]
 fn a_leaving_replica_gets_nothing_more() {
-    let mut net = Net::new(2, 2);
-    net.publish(2, &["r-0"]);
-    for at in [0, 1, 0, 1] {
-        let (_, mut decided) = net.acquire(at, 1, Duration::from_mins(1));
-        assert_eq!(granted(&mut decided).as_deref(), Some("r-1"));
+    let mut cluster = Cluster::new(2, 2);
+    cluster.publish(2, &["r-0"]);
+    for instance in [0, 1, 0, 1] {
+        let (_, mut decision) = cluster.acquire(instance, 1, Duration::from_mins(1));
+        assert_eq!(granted(&mut decision).as_deref(), Some("r-1"));
     }
-    net.publish(2, &["r-0", "r-1"]);
-    let (_, mut decided) = net.acquire(0, 1, Duration::from_mins(1));
-    let refusal = decided
+    cluster.publish(2, &["r-0", "r-1"]);
+    let (_, mut decision) = cluster.acquire(0, 1, Duration::from_mins(1));
+    let refusal = decision
         .try_recv()
         .expect("decided")
         .expect_err("nobody is left");
     assert_eq!(refusal.kind, RefusalKind::Unavailable);
 }
 
-/// The last replica tells its owner that it leaves before the list or any peer says so. A request
-/// must be refused as not run; placed at the same replica again and again it would keep its
-/// instance busy for ever, and no other caller would get an answer either.
+/// The last replica reports to its owner that it is leaving, before the instance list or a peer
+/// does. A request must be refused as not run: if it were reserved at the same replica again and
+/// again, it would keep its instance in an endless loop, and no other request would be handled
+/// either.
 #[test]
 fn the_last_replica_that_leaves_by_its_own_word_is_not_chosen_again() {
-    let mut net = Net::new(2, 1);
-    let leaver: UpstreamId = "r-0".into();
-    let owner = net.nodes.iter().position(|n| n.scheduler.owns(&leaver));
+    let mut cluster = Cluster::new(2, 1);
+    let leaving_replica: UpstreamId = "r-0".into();
+    let owner = cluster
+        .nodes
+        .iter()
+        .position(|n| n.scheduler.owns(&leaving_replica));
     let report = LoadReport {
         at_ms: 1,
         running: 0,
@@ -366,102 +390,107 @@
         kv_total: 1,
         leaving: true,
     };
-    let now = net.now;
+    let now = cluster.now;
     let owner = owner.expect("one owns it");
-    net.nodes[owner]
+    cluster.nodes[owner]
         .scheduler
-        .on_load_report(now, &leaver, report);
-    net.deliver();
-    for at in [0, 1] {
-        let (_, mut decided) = net.acquire(at, 1, Duration::from_mins(1));
-        let refusal = decided
+        .on_load_report(now, &leaving_replica, report);
+    cluster.deliver();
+    for instance in [0, 1] {
+        let (_, mut decision) = cluster.acquire(instance, 1, Duration::from_mins(1));
+        let refusal = decision
             .try_recv()
             .expect("decided")
             .expect_err("nobody is left");
-        assert_eq!(refusal.kind, RefusalKind::Unavailable, "instance {at}");
+        assert_eq!(
+            refusal.kind,
+            RefusalKind::Unavailable,
+            "instance {instance}"
+        );
     }
 }
 
-/// The owner of an engine stops without a word. Requests that wait at its queue would wait until
-/// their deadline; once it is known dead another instance owns the engine and grants them.
+/// The owner of an engine crashes. Requests in its queue would wait until their deadline; once the
+/// owner is known to be dead, another instance must own the engine and grant them.
 #[test]
 fn a_new_owner_grants_what_waited_at_a_dead_one() {
-    let mut net = Net::new(3, 1);
-    let owner = net
+    let mut cluster = Cluster::new(3, 1);
+    let owner = cluster
         .nodes
         .iter()
         .position(|n| n.scheduler.owns(&"r-0".into()))
         .expect("one owns it");
-    let at = (owner + 1) % 3;
-    net.nodes[owner].paused = true;
-    let (_, mut decided) = net.acquire(at, 1, Duration::from_mins(1));
-    assert_eq!(granted(&mut decided), None, "its owner does not answer");
-    let left: Vec<InstanceId> = (0..3).filter(|i| *i != owner).map(name).collect();
-    net.live(&left);
-    net.run(Duration::from_secs(2));
-    assert!(granted(&mut decided).is_some());
+    let instance = (owner + 1) % 3;
+    cluster.nodes[owner].paused = true;
+    let (_, mut decision) = cluster.acquire(instance, 1, Duration::from_mins(1));
+    assert_eq!(granted(&mut decision), None, "its owner does not answer");
+    let remaining: Vec<InstanceId> = (0..3).filter(|i| *i != owner).map(instance_name).collect();
+    cluster.set_live(&remaining);
+    cluster.run(Duration::from_secs(2));
+    assert!(granted(&mut decision).is_some());
 }
 
-/// Bulk requests wait when an urgent one has to be refused, as its deadline can't be met. A caller
-/// of the lower tier must not be served in place of what was refused.
+/// An urgent request has to be refused because its deadline can't be met, while bulk requests wait.
+/// These must be refused too: no request of a lower tier may be served instead of the urgent one.
 #[test]
 fn before_an_urgent_refusal_the_waiting_bulk_is_refused() {
-    let mut net = Net::new(2, 1);
-    fill(&mut net, 0, 0, 40);
-    let mut bulk = fill(&mut net, 1, 2, 3).waiting;
+    let mut cluster = Cluster::new(2, 1);
+    fill(&mut cluster, 0, 0, 40);
+    let mut bulk = fill(&mut cluster, 1, 2, 3).waiting;
     assert_eq!(bulk.len(), 3, "they wait");
-    let (_, mut urgent) = net.acquire(0, 0, Duration::from_millis(700));
-    net.run(Duration::from_secs(1));
+    let (_, mut urgent) = cluster.acquire(0, 0, Duration::from_millis(700));
+    cluster.run(Duration::from_secs(1));
     let refusal = urgent.try_recv().expect("decided").expect_err("refused");
     assert_eq!(refusal.kind, RefusalKind::Deadline);
-    for (request, decided) in &mut bulk {
-        let refusal = decided.try_recv().expect("decided").expect_err("refused");
+    for (request, decision) in &mut bulk {
+        let refusal = decision.try_recv().expect("decided").expect_err("refused");
         assert_eq!(refusal.kind, RefusalKind::Shed, "{request}");
     }
 }
 
+/// Placement rules, and the replicas that may serve requests under them.
 struct Placement {
     allowed: &'static [&'static str],
-    emptied: &'static [&'static str],
-    /// The replicas that six requests reach.
+    drained: &'static [&'static str],
+    /// The replicas that serve six requests.
     reached: &'static [&'static str],
 }
 
-/// An organisation is bound to regions, or a zone is emptied: its requests reach no other replica, though
-/// that one is nearer and free.
+/// An organisation is restricted to some regions, or a zone is drained: its requests must not be
+/// sent to another replica, even if that one is nearer and has free slots.
 #[parameterized(
-    bound_away = { Placement { allowed: &["s"], emptied: &[], reached: &["s-0"] } },
-    bound_home = { Placement { allowed: &["r"], emptied: &[], reached: &["r-0"] } },
-    home_emptied = { Placement { allowed: &[], emptied: &["z"], reached: &["s-0"] } },
+    bound_away = { Placement { allowed: &["s"], drained: &[], reached: &["s-0"] } },
+    bound_home = { Placement { allowed: &["r"], drained: &[], reached: &["r-0"] } },
+    home_emptied = { Placement { allowed: &[], drained: &["z"], reached: &["s-0"] } },
 )]
 fn requests_reach_the_replicas_that_may_serve_them(case: Placement) {
-    let mut net = Net::new(2, 1);
-    net.publish_placement(2, case.allowed, case.emptied);
-    net.run(TICK * 30);
+    let mut cluster = Cluster::new(2, 1);
+    cluster.publish_placement(2, case.allowed, case.drained);
+    cluster.run(TICK * 30);
     let mut reached = Vec::new();
     for n in 0..6 {
-        let (_, mut decided) = net.acquire(n % 2, 0, Duration::from_mins(5));
-        net.run(TICK * 4);
-        reached.extend(granted(&mut decided).map(|r| r.to_string()));
+        let (_, mut decision) = cluster.acquire(n % 2, 0, Duration::from_mins(5));
+        cluster.run(TICK * 4);
+        reached.extend(granted(&mut decision).map(|r| r.to_string()));
     }
     reached.sort_unstable();
     reached.dedup();
     assert_eq!(reached, case.reached);
 }
 
-/// No region that an organisation may use has a replica, or its only zone is emptied: the request is
-/// refused and not sent elsewhere.
+/// The organisation's allowed regions have no replica, or only one in a drained zone: the request
+/// must be refused, not sent to a replica of another region.
 #[parameterized(
-    no_replica_there = { Placement { allowed: &["elsewhere"], emptied: &[], reached: &[] } },
-    emptied_there = { Placement { allowed: &["s"], emptied: &["y"], reached: &[] } },
+    no_replica_there = { Placement { allowed: &["elsewhere"], drained: &[], reached: &[] } },
+    emptied_there = { Placement { allowed: &["s"], drained: &["y"], reached: &[] } },
 )]
 fn a_request_that_no_replica_may_serve_is_refused(case: Placement) {
-    let mut net = Net::new(2, 1);
-    net.publish_placement(2, case.allowed, case.emptied);
-    net.run(TICK * 30);
-    let (_, mut decided) = net.acquire(0, 0, Duration::from_mins(5));
-    net.run(TICK * 4);
-    let refusal = decided
+    let mut cluster = Cluster::new(2, 1);
+    cluster.publish_placement(2, case.allowed, case.drained);
+    cluster.run(TICK * 30);
+    let (_, mut decision) = cluster.acquire(0, 0, Duration::from_mins(5));
+    cluster.run(TICK * 4);
+    let refusal = decision
         .try_recv()
         .expect("a decision")
         .expect_err("refused");
