--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -10,11 +10,11 @@
 //! waiting requests.
 
 mod digests;
-mod owned;
-mod placing;
+mod owned_replicas;
 mod pools;
-mod refusing;
+mod refusals;
 mod replicas;
+mod reservations;
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -45,7 +45,7 @@
 use crate::watcher::Watched;
 
 use digests::DigestClock;
-use owned::OwnedReplica;
+use owned_replicas::OwnedReplica;
 use pools::Pool;
 use replicas::Replicas;
 
