--- a/src/scheduler/pools.rs
+++ b/src/scheduler/pools.rs
@@ -21,7 +21,9 @@
 #[derive(Debug)]
 pub(super) struct Pool {
     pub(super) service: ServiceId,
+    /// This instance's state as a member of the level.
     pub(super) level_member: LevelMember,
+    /// Computes the retry delay of refused callers.
     pub(super) retry_after: RetryAfter,
     /// The owner's state, if this instance owns the level.
     level_owner: Option<LevelOwner>,
--- a/src/scheduler/replicas.rs
+++ b/src/scheduler/replicas.rs
@@ -34,11 +34,13 @@
     pub(super) generation: Option<String>,
     pub(super) zone: ZoneId,
     pub(super) region: RegionId,
+    /// `IP:port`.
     pub(super) address: String,
     /// Whether the replica accepts requests: listed as live, not leaving and in no drained zone.
     pub(super) live: bool,
     /// The instance that has the queue of reservations of this replica.
     pub(super) owner: InstanceId,
+    /// The last digest received from the owner.
     pub(super) digest: Option<ReplicaDigest>,
     /// When the last digest was received.
     pub(super) digest_received_at: Option<Instant>,
@@ -60,7 +62,7 @@
 
     /// Returns the replica with this name.
     pub(super) fn get(&self, upstream: &UpstreamId) -> Option<&Replica> {
-        self.position(upstream).ok().map(|index| &self.rows[index])
+        self.find(upstream).ok().map(|index| &self.rows[index])
     }
 
     /// Returns the instance that owns a replica.
@@ -185,7 +187,7 @@
 
     /// Records that a prompt with these prefixes is sent to a replica.
     pub(super) fn record_prefixes(&mut self, upstream: &UpstreamId, prefixes: &[PrefixHash]) {
-        if let Ok(index) = self.position(upstream) {
+        if let Ok(index) = self.find(upstream) {
             self.rows[index].prefixes.on_grant(prefixes);
         }
     }
@@ -193,7 +195,7 @@
     /// Stores received digests; unknown replicas are skipped.
     pub(super) fn on_digests(&mut self, now: Instant, rows: &DigestRows) {
         for row in rows {
-            if let Ok(index) = self.position(&row.upstream) {
+            if let Ok(index) = self.find(&row.upstream) {
                 self.rows[index].digest = Some(row.digest);
                 self.rows[index].digest_received_at = Some(now);
             }
@@ -230,7 +232,7 @@
     }
 
     /// Index of a replica, or where to insert it.
-    fn position(&self, upstream: &UpstreamId) -> Result<usize, usize> {
+    fn find(&self, upstream: &UpstreamId) -> Result<usize, usize> {
         self.rows.binary_search_by(|r| r.upstream.cmp(upstream))
     }
 }
--- a/src/slots.rs
+++ b/src/slots.rs
@@ -42,20 +42,25 @@
 /// Input of the slots service.
 #[derive(Debug)]
 enum Message {
+    /// A request asks for a slot; the grant or refusal is sent through `decision`.
     Acquire {
         meta: Arc<Meta>,
         slot_request: SlotRequest,
         decision: DecisionSender,
     },
+    /// The caller of a request no longer waits for a slot.
     Cancel(RequestId),
+    /// The first token of a response came, `first_token` after dispatch.
     Started {
         request: RequestId,
         first_token: Duration,
     },
+    /// A granted request ended, or its grant was dropped unused.
     Finished {
         request: RequestId,
         outcome: RequestOutcome,
     },
+    /// A message of another instance.
     Peer {
         from: InstanceId,
         message: PeerMessage,
@@ -68,12 +73,14 @@
         upstream: UpstreamId,
         event: CacheEvent,
     },
+    /// Asks for the scheduler's state.
     Dump(oneshot::Sender<Value>),
 }
 
 /// Handle of the slots service; all clones send to the same task.
 #[derive(Debug, Clone)]
 pub struct Slots {
+    /// All other messages; bounded.
     tx: mpsc::Sender<Message>,
     /// Cancelled and finished requests, which must not be lost when the mailbox is full.
     ended_tx: mpsc::UnboundedSender<Message>,
@@ -88,6 +95,7 @@
     pub address: String,
     request: RequestId,
     claimed_at: Instant,
+    /// Reported when the grant is dropped.
     outcome: RequestOutcome,
     slots: Slots,
 }
