--- a/src/scheduler/owned_replicas.rs
+++ b/src/scheduler/owned_replicas.rs
@@ -102,21 +102,22 @@
         let is_owned = |upstream: &UpstreamId, scheduler: &Self| {
             scheduler.replicas.owner(upstream) == Some(&scheduler.identity.instance)
         };
-        let lost: Vec<UpstreamId> = self
+        let moved_away: Vec<UpstreamId> = self
             .owned
             .iter()
-            .map(|o| o.queue.upstream().clone())
+            .map(|replica| replica.queue.upstream().clone())
             .filter(|upstream| !is_owned(upstream, self))
             .collect();
-        self.owned.retain(|o| !lost.contains(o.queue.upstream()));
-        let owned: Vec<UpstreamId> = self
+        self.owned
+            .retain(|replica| !moved_away.contains(replica.queue.upstream()));
+        let owned_upstreams: Vec<UpstreamId> = self
             .replicas
             .rows()
             .iter()
             .filter(|r| r.owner == self.identity.instance)
             .map(|r| r.upstream.clone())
             .collect();
-        for upstream in owned {
+        for upstream in owned_upstreams {
             self.refresh_owned_replica(now, &upstream);
         }
     }
@@ -199,6 +200,6 @@
     /// Index of an owned replica, or where to insert it.
     fn find_owned(&self, upstream: &UpstreamId) -> Result<usize, usize> {
         self.owned
-            .binary_search_by(|o| o.queue.upstream().cmp(upstream))
+            .binary_search_by(|replica| replica.queue.upstream().cmp(upstream))
     }
 }
