--- a/crates/entry/src/peers/peer.rs
+++ b/crates/entry/src/peers/peer.rs
@@ -35,11 +35,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Nearness {
     /// In the same availability zone.
-    Zone,
+    SameZone,
     /// In another zone of the region, or its zone is not known from itself yet.
-    Region,
+    SameRegion,
     /// In another region.
-    Far,
+    OtherRegion,
 }
 
 impl Peer {
@@ -52,15 +52,15 @@
     /// Its distance from an instance of this zone and region.
     pub fn nearness(&self, zone: NameHash, region: NameHash) -> Nearness {
         if self.last_digest_at.is_none() {
-            return Nearness::Region;
+            return Nearness::SameRegion;
         }
         if self.digest.zone == zone {
-            return Nearness::Zone;
+            return Nearness::SameZone;
         }
         if self.digest.region == region {
-            return Nearness::Region;
+            return Nearness::SameRegion;
         }
-        Nearness::Far
+        Nearness::OtherRegion
     }
 
     /// Adds its load to the remote load, in place of the load that was counted before.
--- a/crates/entry/tests/limits.rs
+++ b/crates/entry/tests/limits.rs
@@ -460,7 +460,7 @@
                 .iter()
                 .any(|p| p.address == address(contact));
             if contact != i && !is_known {
-                groups[Nearness::Region as usize].push(contact);
+                groups[Nearness::SameRegion as usize].push(contact);
             }
         }
         groups
--- a/crates/entry/tests/peers.rs
+++ b/crates/entry/tests/peers.rs
@@ -172,9 +172,9 @@
     assert_eq!(peers.on_digest(now, address(1), digest(1)).greet.len(), 0);
     peers.record_greeting(now, address(7));
     assert_eq!(peers.on_digest(now, address(7), digest(1)).greet.len(), 0);
-    assert_eq!(peers.all()[0].nearness(1, 1), Nearness::Zone);
-    assert_eq!(peers.all()[0].nearness(2, 1), Nearness::Region);
-    assert_eq!(peers.all()[0].nearness(2, 2), Nearness::Far);
+    assert_eq!(peers.all()[0].nearness(1, 1), Nearness::SameZone);
+    assert_eq!(peers.all()[0].nearness(2, 1), Nearness::SameRegion);
+    assert_eq!(peers.all()[0].nearness(2, 2), Nearness::OtherRegion);
 }
 
 /// An instance of another zone has this one as a contact. It is greeted once; digests of the other
