--- a/crates/entry/src/node.rs
+++ b/crates/entry/src/node.rs
@@ -33,7 +33,7 @@
 use slots::SlotResult;
 pub use slots::{SlotError, SlotGuard};
 
-/// Age of the last store response from which an instance no longer counts as a reader of the store.
+/// Maximum age of the last store response of an instance that counts as a reader of the store.
 /// A watch waits for four seconds at most, so a healthy reader stays below this.
 const STORE_RESPONSE_MAX_AGE: Duration = Duration::from_millis(5500);
 
@@ -104,7 +104,7 @@
     pub process_state: watch::Sender<ProcessState>,
     /// Version of the table in force, for tasks that wait for a change.
     pub version_tx: watch::Sender<u64>,
-    /// Time at which the last responses end, once shutdown has begun.
+    /// Time at which a process that shuts down sends its last responses; set when shutdown begins.
     pub response_deadline: Cell<Option<Instant>>,
     /// Number of requests being answered.
     pub active_requests: Cell<usize>,
@@ -126,6 +126,7 @@
     services: RefCell<Vec<(NameHash, ServiceId)>>,
     /// Requests that wait for a concurrency slot.
     slot_waiters: RefCell<Vec<(JobId, oneshot::Sender<SlotResult>)>>,
+    /// Id of the next request.
     next_job_id: Cell<JobId>,
 }
 
@@ -196,7 +197,7 @@
         Rc::clone(&self.cfg.borrow())
     }
 
-    /// Applies those of the newer settings that can change while the process runs.
+    /// Applies the reloadable fields of `newer`; the other fields keep their values.
     pub fn apply_settings(&self, newer: &Settings) {
         let mut cfg = Settings::clone(&self.settings());
         cfg.apply_reloadable(newer);
@@ -224,7 +225,8 @@
         *self.process_state.borrow()
     }
 
-    /// Completes when the time for the last responses has come; never before shutdown has begun.
+    /// Completes when a process that shuts down has just enough time left to respond; never before
+    /// shutdown has begun.
     pub async fn response_deadline_reached(&self) {
         let mut state_rx = self.process_state.subscribe();
         loop {
