--- a/crates/entry/src/node/slots.rs
+++ b/crates/entry/src/node/slots.rs
@@ -70,7 +70,7 @@
         dispatch.on_events(Instant::now(), &self.upstream, events, gap);
     }
 
-    /// Whether the replica has sent nothing for too long to all requests of this instance.
+    /// Whether no request of this instance at the replica has received anything for too long.
     pub fn is_replica_stalled(&self) -> bool {
         self.node
             .dispatch
