--- a/crates/entry/src/node/replicas.rs
+++ b/crates/entry/src/node/replicas.rs
@@ -23,7 +23,7 @@
 /// Round-trip time between regions.
 const REGION_RTT: Duration = Duration::from_millis(60);
 
-/// Cost of the bytes of a request that cross zones or regions, expressed as time: users pay for
+/// Cost of the bytes of a request that crosses zones of a region, expressed as time: users pay for
 /// them by volume.
 const ZONE_TRANSFER_COST: Duration = Duration::from_millis(30);
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Replaces the published replicas: those that may get requests, or still finish some.
+    /// Replaces the published replicas, including those that only finish requests in progress.
     pub fn set_replicas(&self, published: Vec<PublishedReplica>) {
         let mut targets = Vec::with_capacity(published.len());
         for replica in published {
@@ -106,7 +106,7 @@
         Some(names[index].1.clone())
     }
 
-    /// Sets the load that the other instances have at a replica.
+    /// Passes the total load that the other instances have at a replica to the dispatcher.
     pub fn set_remote_load(&self, name: NameHash, sum: TotalLoad) {
         if let Some(id) = self.replica_by_name_hash(name) {
             let prompt = sum.prompt as f64;
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Sets the requests that wait at the other instances of the zone: instance, service and most
-    /// urgent class.
+    /// Passes the requests that wait at the other instances of the zone to the dispatcher: instance,
+    /// service and most urgent class.
     pub fn set_competitors<I>(&self, waiting: I)
     where
         I: Iterator<Item = (Ipv4Addr, NameHash, PriorityClass)>,
@@ -174,9 +174,9 @@
     /// End of a replica's cold period: as published, or, if later, one cold period after its zone
     /// came back from being drained.
     fn cold_until(&self, published: &PublishedReplica, cold: Option<ColdStart>) -> Option<Instant> {
-        let refilled = self.drained_zones.borrow().restored_at(&published.zone);
-        let cold_after_refill = refilled.zip(cold).map(|(at, cold)| at + cold.duration);
-        published.cold_until.max(cold_after_refill)
+        let restored_at = self.drained_zones.borrow().restored_at(&published.zone);
+        let cold_after_restore = restored_at.zip(cold).map(|(at, cold)| at + cold.duration);
+        published.cold_until.max(cold_after_restore)
     }
 
     /// The region of a zone; an empty region, which no list of regions contains, if the settings
