--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -38,8 +38,8 @@
 /// today. An instance that starts behind a partition then spends only its own share.
 const ASSUMED_INSTANCES: usize = 64;
 
-/// An estimate of the difference between two clocks is logged again if it is better by this, in
-/// milliseconds: the log lines that are ordered by it lie some milliseconds apart.
+/// An estimate of the difference between two clocks is logged again if it is better, that is larger,
+/// by this many milliseconds: the log lines that are ordered by it lie some milliseconds apart.
 const CLOCK_GAIN_TO_LOG_MS: i64 = 20;
 
 /// An estimate that is worse by this, in milliseconds, is logged as well: messages are delayed by
@@ -83,6 +83,7 @@
     leaving: Vec<LeavingPeer>,
     /// Sum of the load that live instances report, by replica.
     remote_load: RemoteLoad,
+    /// When this instance started.
     started: Instant,
     /// When an instance of any zone was last added.
     last_added: Instant,
@@ -258,7 +259,7 @@
             return DigestEffects::default();
         };
         let silent = self.drop_silent(now);
-        let home = self.zones[0].0;
+        let own_zone = self.zones[0].0;
         let peer = &mut self.others[index];
         let same_incarnation = peer.digest.incarnation == digest.incarnation;
         if same_incarnation && peer.last_digest_at.is_some() && digest.seq < peer.digest.seq {
@@ -276,7 +277,7 @@
         let recently_greeted = peer
             .last_greeting_at
             .is_some_and(|at| now.saturating_duration_since(at) < GREETING_COOLDOWN);
-        if is_new && !recently_greeted && (peer.digest.zone == home || peer.digest.greeting) {
+        if is_new && !recently_greeted && (peer.digest.zone == own_zone || peer.digest.greeting) {
             greet.push(from);
         }
         DigestEffects {
@@ -286,6 +287,7 @@
         }
     }
 
+    /// Whether this incarnation of an instance has announced its shutdown.
     fn has_left(&self, address: Ipv4Addr, incarnation: u64) -> bool {
         let same = |peer: &LeavingPeer| peer.address == address && peer.incarnation == incarnation;
         self.leaving.iter().any(same)
--- a/crates/entry/src/peers/digest.rs
+++ b/crates/entry/src/peers/digest.rs
@@ -43,7 +43,7 @@
     /// Sequence number within the incarnation: digests that take different paths may arrive out of
     /// order.
     pub seq: u32,
-    /// Directory revision up to which it has all entries.
+    /// Directory revision up to which the instance has all entries.
     pub upto: Revision,
     /// Name hash of its availability zone.
     pub zone: NameHash,
@@ -53,7 +53,7 @@
     pub store_age_ms: Option<u32>,
     /// Whether it is shutting down.
     pub leaving: bool,
-    /// Replicas to which its connections failed recently.
+    /// Name hashes of the replicas to which its connections failed recently.
     pub unreachable: Vec<NameHash>,
     /// Its load at replicas; a replica without an entry has none.
     pub loads: Vec<ReplicaLoad>,
--- a/crates/entry/src/peers/discovery.rs
+++ b/crates/entry/src/peers/discovery.rs
@@ -14,7 +14,8 @@
 /// Discovery of the fleet is complete once no instance was added for this long.
 const DISCOVERY_QUIET_PERIOD: Duration = Duration::from_millis(300);
 
-/// Minimum time for discovery of the own zone, whose instances learn of each other at once.
+/// Minimum time from the first digest for discovery of the own zone, whose instances send each other
+/// greetings at once.
 const MIN_ZONE_DISCOVERY: Duration = Duration::from_millis(300);
 
 /// Discovery of the own zone is complete once no instance was added to it for this long.
@@ -45,9 +46,9 @@
 
     /// Time from which this instance accrues credit, once discovery of its zone is complete.
     ///
-    /// If all have just started, nobody has accrued any yet. An instance that was isolated for
-    /// long, or got its member list from one that has its share already, must not claim what others
-    /// had meanwhile.
+    /// If all instances have just started, none has accrued credit yet, and the time since the start
+    /// counts. An instance that was isolated for long, or got its member list from one that has its
+    /// share already, must not accrue credit for a time for which the others have accrued it.
     fn accrual_start(&self, now: Instant) -> Instant {
         let first_digest_at = self.connected_since.unwrap_or(now);
         let isolated_for = first_digest_at.saturating_duration_since(self.started);
@@ -57,8 +58,8 @@
         self.started
     }
 
-    /// The zones of the deployment with their live members; the size of a zone is the larger of the
-    /// known and the reported one.
+    /// The zones of the deployment with their live members. The size of a zone is the number of its
+    /// known instances, or the largest size that a live member reports, if that is larger.
     fn zone_views(&self, now: Instant) -> Vec<Zone> {
         let zone = |(name, distance): &(NameHash, Distance)| Zone {
             name: *name,
@@ -102,7 +103,7 @@
     /// Whether discovery of the own zone is complete: this instance has found the others there, and
     /// each of them knows at least as many instances of the zone as are live here.
     ///
-    /// Otherwise each instance of a fleet that starts would take a share as if there were few. An
+    /// Otherwise each instance of a fleet that starts would claim the credit share of a small fleet. An
     /// instance that receives no digest may be partitioned from a fleet that holds its share
     /// already; after the time in which the others would have removed it, it counts as the only
     /// one.
--- a/crates/entry/src/peers/peer.rs
+++ b/crates/entry/src/peers/peer.rs
@@ -13,8 +13,8 @@
 pub struct Peer {
     /// Its address, which identifies it.
     pub address: Ipv4Addr,
-    /// When its last digest arrived, directly or through a relay; `None` while it is only known by
-    /// name.
+    /// When its last digest arrived, directly or through a relay; `None` while only its address
+    /// is known, from another instance.
     pub last_digest_at: Option<Instant>,
     /// When it was added.
     pub added_at: Instant,
@@ -36,7 +36,7 @@
 pub enum Nearness {
     /// In the same availability zone.
     SameZone,
-    /// In another zone of the region, or its zone is not known from itself yet.
+    /// In another zone of the region, or no digest with its location has arrived yet.
     SameRegion,
     /// In another region.
     OtherRegion,
@@ -74,11 +74,13 @@
         self.counted = true;
     }
 
+    /// Removes its load from the remote load.
     pub(super) fn uncount_load(&mut self, remote_load: &mut RemoteLoad) {
         self.count_load(remote_load, &[]);
         self.counted = false;
     }
 
+    /// Whether it has been silent for so long that it is removed.
     pub(super) fn is_gone(&self, now: Instant) -> bool {
         let last = self.last_digest_at.unwrap_or(self.added_at);
         now.saturating_duration_since(last) >= FORGET_TIMEOUT
