--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -41,7 +41,7 @@
 /// [`fanout::MAX_FULL_MESH`] instances, each of which has to receive them.
 const NEAR_ZONE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Interval of messages to a zone of another region; longer in the same way.
+/// Interval of messages to a zone of another region; longer for large zones in the same way.
 const FAR_ZONE_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Interval of messages while nothing changes.
@@ -49,7 +49,7 @@
 
 /// Interval of messages to the configured contacts until discovery of the zone is complete: after
 /// all instances were killed, they start some tenths of a second apart, and no organisation has
-/// credit before.
+/// credit until then.
 const CONTACT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Interval of messages that include the speed of the replicas, which changes slowly.
@@ -301,7 +301,7 @@
         if collected.is_empty() {
             return;
         }
-        // Alternates between two relays, so that a dead one does not swallow all messages.
+        // Alternates between two relays, so that a dead one does not lose all messages.
         let turn = self.seq as usize;
         let alternate =
             |relays: &[InstanceAddress]| relays.get(turn % relays.len().clamp(1, 2)).copied();
--- a/crates/entry/src/receiver.rs
+++ b/crates/entry/src/receiver.rs
@@ -46,8 +46,8 @@
     }
 }
 
-/// Applies a digest that came from the instance itself, and queues it for those to whom this relay
-/// forwards it.
+/// Applies a digest that came from the instance itself, and queues it for the instances to which
+/// `scope` asks this relay to forward it.
 fn on_direct_digest(node: &Rc<Node>, from: Ipv4Addr, digest: Digest, scope: ForwardScope) {
     match scope {
         ForwardScope::Nobody => {}
