--- a/crates/entry/src/directory.rs
+++ b/crates/entry/src/directory.rs
@@ -42,8 +42,8 @@
 /// replica writes its entry again within two seconds of the store's return.
 const LAPSED_REPLICA_GRACE: Duration = Duration::from_millis(2300);
 
-/// Time after a failed call in which a lapsed entry may be caused by the store and not by its
-/// replica.
+/// Time after a failed call in which an entry may have lapsed because of the store, while its
+/// replica is alive.
 const STORE_FAILURE_WINDOW: Duration = Duration::from_secs(4);
 
 /// Pause after a watch that returned changes: the changes made meanwhile come with one call instead
@@ -66,7 +66,7 @@
 /// Minimum interval of directory requests to peers.
 const MIN_PEER_REQUEST_INTERVAL: Duration = Duration::from_millis(30);
 
-/// A directory entry as parsed last. An entry of another kind has neither replica nor zone.
+/// Result of the last parse of a directory entry; only a replica or a drained zone sets its field.
 #[derive(Debug)]
 struct ReadEntry {
     key: String,
@@ -297,7 +297,7 @@
         }
         any_lapsed |= reader.entries.iter().any(|r| r.in_use_until.is_some());
     }
-    // Before the replicas, which are usable only outside of drained zones.
+    // Set before the replicas, which are usable only outside of drained zones.
     let drained_zones = node.directory_reader.borrow().drained_zones();
     node.set_drained_zones(now, drained_zones);
     let replicas = node.directory_reader.borrow_mut().replicas(now);
@@ -395,13 +395,13 @@
 }
 
 impl ReadEntry {
-    /// Applies the parsed entry.
+    /// Parses the value of the entry and applies it.
     fn apply_value(&mut self, node: &Node, value: &[u8], previous: Option<&PublishedReplica>) {
         let key = &self.key;
         match node.directory_client.parse_entry(key, value) {
             ParsedEntry::Table(table) => node.set_table(table),
             ParsedEntry::Replica(replica) => {
-                // A cold replica publishes its remaining cold time again and again.
+                // A cold replica publishes its remaining cold time periodically.
                 if previous.is_none_or(|p| !p.differs_only_in_cold_until(&replica)) {
                     log_replica(node, &replica);
                 }
