--- a/crates/entry/src/table.rs
+++ b/crates/entry/src/table.rs
@@ -93,7 +93,7 @@
     pub limit: Option<Limit>,
     /// Whether the limit is in tokens per second; otherwise in requests per second.
     pub limit_in_tokens: bool,
-    /// Tokens charged for a request that names no number.
+    /// Tokens charged for a request that does not state its number of tokens.
     pub default_tokens: u32,
     /// Regions in which its requests may be served.
     pub regions: Regions,
@@ -128,10 +128,15 @@
     pub version: Version,
     /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
+    /// Sorted by host and prefix.
     routes: Vec<Rc<Route>>,
+    /// Sorted by name.
     services: Vec<Service>,
+    /// Keys with the organisations that hold them, sorted by key.
     keys: Vec<(String, Rc<Organisation>)>,
+    /// Sorted by name hash.
     organisations_by_hash: Vec<(NameHash, Rc<Organisation>)>,
+    /// Whether requests need a key, except on public routes.
     requires_key: bool,
 }
 
