--- a/crates/entry/src/relay.rs
+++ b/crates/entry/src/relay.rs
@@ -168,9 +168,13 @@
 
 /// How the relay of one attempt ended.
 enum AttemptEnd {
+    /// The replica ended the response, not inside of an event.
     Complete,
+    /// The replica ended it inside of an event, the connection broke, or the stream stalled.
     Broken,
+    /// The caller disconnected.
     CallerGone,
+    /// The route's timeout or the end of a shutdown was reached.
     Expired(Expiry),
 }
 
@@ -179,7 +183,7 @@
     node: Rc<Node>,
     ctx: RequestContext,
     tx: mpsc::Sender<Bytes>,
-    /// Tells the caller's end that the stream is complete.
+    /// Shared with [`RelayedStream`]; set once the stream is complete.
     complete: Rc<Cell<bool>>,
     scanner: EventScanner,
     /// Start of an event whose end has not arrived yet, if the stream is resumable.
