--- a/crates/decisions/src/slots/events.rs
+++ b/crates/decisions/src/slots/events.rs
@@ -90,7 +90,7 @@
         if granted.is_some_and(|slot| !slot.is_running() && slot.holder == *from)
             && let Some(slot) = self.used_slots.remove(request)
         {
-            self.refund(&slot, Work::default());
+            self.settle_charge(&slot, Work::default());
         }
     }
 
@@ -170,7 +170,7 @@
         }
         let in_use = self.used_slots.len();
         if let Some(slot) = self.used_slots.remove(request) {
-            self.refund(&slot, outcome.work);
+            self.settle_charge(&slot, outcome.work);
             if let SlotState::AwaitingFirstToken {
                 dispatched_at,
                 late_at,
@@ -198,7 +198,7 @@
             return;
         }
         for slot in self.used_slots.on_renew(from, &running) {
-            self.refund(&slot, slot.work);
+            self.settle_charge(&slot, slot.work);
         }
         for request in running {
             let slot = self.used_slots.get_mut(&request);
@@ -217,7 +217,7 @@
     /// Frees all slots of a holder.
     pub(super) fn free_slots_of(&mut self, holder: &InstanceId) {
         for slot in self.used_slots.remove_if(|slot| slot.holder == *holder) {
-            self.refund(&slot, Work::default());
+            self.settle_charge(&slot, Work::default());
         }
     }
 
@@ -241,7 +241,7 @@
             SlotState::AwaitingFirstToken { .. } | SlotState::Streaming { .. } => false,
         });
         for slot in &lapsed {
-            self.refund(slot, Work::default());
+            self.settle_charge(slot, Work::default());
             let why = Rejection::Lapsed;
             messages.push(self.rejection(&slot.holder, &slot.request, why, Duration::ZERO));
         }
--- a/crates/decisions/src/slots/feedback.rs
+++ b/crates/decisions/src/slots/feedback.rs
@@ -63,6 +63,7 @@
     pub(super) health: Health,
     /// Usual pace of the replica's hardware generation.
     pub(super) usual_pace: Option<Pace>,
+    /// Estimates the pace from first tokens and the times between tokens.
     meter: PaceEstimator,
     /// When the last first token or complete response arrived.
     last_progress: Option<Instant>,
--- a/crates/decisions/src/slots/queue.rs
+++ b/crates/decisions/src/slots/queue.rs
@@ -333,7 +333,7 @@
     }
 
     /// Corrects the charge of a freed slot to the work that was really done.
-    pub(super) fn refund(&mut self, slot: &UsedSlot, actual: Work) {
+    pub(super) fn settle_charge(&mut self, slot: &UsedSlot, actual: Work) {
         if let Some(charge) = &slot.charge {
             self.own_grants = self.own_grants.saturating_sub(1);
             self.waiting.settle(charge, actual);
@@ -353,6 +353,7 @@
         }
     }
 
+    /// Messages that reject the reservations of all `entries`.
     pub(super) fn reject_all(
         &self,
         now: Instant,
@@ -365,6 +366,7 @@
             .collect()
     }
 
+    /// The message that rejects a reservation, with the expected wait.
     pub(super) fn reject(
         &self,
         now: Instant,
