--- a/crates/decisions/src/credit/account.rs
+++ b/crates/decisions/src/credit/account.rs
@@ -14,9 +14,10 @@
 /// Time constant over which the usage of an organisation is averaged.
 const USAGE_SMOOTHING: Duration = Duration::from_secs(1);
 
-/// Collections start when the free credit covers less than [`COLLECT_BELOW`] of the current usage,
-/// and fetch enough for [`COLLECT_AHEAD`] of it.
+/// A collection fetches enough credit for this much time of the current usage.
 const COLLECT_AHEAD: Duration = Duration::from_millis(400);
+
+/// A collection starts when the free credit covers less than this much time of the current usage.
 const COLLECT_BELOW: Duration = Duration::from_millis(150);
 
 /// A coordinator keeps credit for this much of its own zone's usage when another coordinator
@@ -40,7 +41,9 @@
     reserved_part: f64,
     /// Whether the request is cheap enough to be served before all others.
     cheap: bool,
+    /// When the request was queued here.
     queued: Instant,
+    /// Time from which it is denied unless there is enough credit.
     deadline: Instant,
 }
 
--- a/crates/decisions/src/credit/ledger.rs
+++ b/crates/decisions/src/credit/ledger.rs
@@ -35,6 +35,7 @@
     number: MessageNumber,
     organisation: NameHash,
     charge: Charge,
+    /// When the request was made.
     asked_first: Instant,
     /// Send times of its messages, in order.
     sent: Vec<Instant>,
@@ -66,8 +67,10 @@
 struct Answered {
     member: InstanceAddress,
     number: MessageNumber,
+    /// Highest `tries` of the messages received for the request.
     tries: u32,
     verdict: Verdict,
+    /// When the verdict was first sent.
     at: Instant,
 }
 
@@ -77,17 +80,25 @@
 /// [`Ledger::take_verdicts`].
 #[derive(Debug, Clone)]
 pub struct Ledger {
+    /// Address of this instance.
     own: InstanceAddress,
+    /// Span over which the operator counts usage.
     span: Duration,
+    /// How far usage may exceed a limit within the span.
     tolerance: Tolerance,
     fleet: FleetView,
     running_time: RunningTime,
     /// When this instance first knew another one.
     others_known_since: Option<Instant>,
+    /// Sorted by organisation.
     accounts: Vec<Account>,
+    /// Requests of this instance that wait for a remote coordinator.
     pending: Vec<Pending>,
+    /// Verdicts sent to other instances, kept for at least [`GRANT_VALIDITY`].
     answered: Vec<Answered>,
+    /// Coordinators that did not answer, and until when they are not chosen.
     suspects: Vec<(InstanceAddress, Instant)>,
+    /// Number of the last request or collection.
     last_number: MessageNumber,
     messages: Vec<(InstanceAddress, Message)>,
     verdicts: Vec<(MessageNumber, Verdict)>,
