--- a/crates/decisions/src/limits/member.rs
+++ b/crates/decisions/src/limits/member.rs
@@ -12,7 +12,7 @@
 };
 use crate::values::Organisation;
 
-/// Most organisations that an instance tracks. Deployments are designed for 7,100.
+/// Maximum number of organisations that an instance tracks. Deployments are designed for 7,100.
 pub const MAX_ORGANISATIONS: usize = 10_000;
 
 /// Time constant over which demand is smoothed; as long as the interval of the asks that report it.
@@ -45,19 +45,25 @@
     organisation: OrganisationId,
     /// Fleet-wide limit, from the table.
     limit: Quota,
+    /// Quota of the last lease, valid until `leased_until`.
     leased: Option<Quota>,
     leased_until: Instant,
+    /// Bucket of requests.
     requests: Bucket,
+    /// Bucket of tokens.
     tokens: Bucket,
+    /// Number of admitted requests that have not ended.
     running: u32,
     /// Requests refused since the last ask because too many run.
     refused_over_running: u32,
-    /// Smoothed requests per second and tokens per second.
+    /// Smoothed demand in requests per second.
     demand_requests: f64,
+    /// Smoothed demand in tokens per second.
     demand_tokens: f64,
     /// When the demand and the buckets were last updated.
     updated: Instant,
     last_ask: Option<Instant>,
+    /// Number of the last ask.
     ask_number: Sequence,
     /// Whether a request arrived or the limit changed since the last ask.
     active: bool,
--- a/crates/decisions/src/limits/owner.rs
+++ b/crates/decisions/src/limits/owner.rs
@@ -7,14 +7,16 @@
 use crate::id::{InstanceId, OrganisationId};
 use crate::limits::{Demand, QUOTA_LEASE, Quota, ToLimitMember, ToLimitOwner};
 
-/// Most instances of a zone that can hold a quota. Zones are designed for 66 instances.
+/// Maximum number of instances of a zone that can hold a quota. Zones are designed for 66 instances.
 const MAX_HOLDERS: usize = 1_000;
 
 /// The quota and demand of one instance.
 #[derive(Debug)]
 struct Holder {
     instance: InstanceId,
+    /// Demand that it reported last.
     demand: Demand,
+    /// Quota leased to it, or that it held when it first asked.
     quota: Quota,
     leased_until: Instant,
 }
@@ -24,6 +26,7 @@
 pub struct LimitOwner {
     /// The share of the zone.
     share: Quota,
+    /// Sorted by instance.
     holders: Vec<Holder>,
     /// Number of listed instances of the zone.
     listed: u32,
