--- a/crates/decisions/src/fairness/tier.rs
+++ b/crates/decisions/src/fairness/tier.rs
@@ -80,11 +80,13 @@
     pub(super) rank: Rank,
     /// Sum of the work of the waiting entries.
     pub(super) work: Work,
+    /// Number of waiting entries.
     pub(super) len: usize,
     /// Costs of recent arrivals.
     pub(super) recent_costs: CostHistogram,
     /// Largest virtual start time of a granted entry.
     virtual_now: VirtualTime,
+    /// Sorted by organisation.
     organisations: Vec<OrganisationQueue>,
     /// Organisations with short entries, in order of service.
     short_turns: Vec<Turn>,
