--- a/crates/decisions/src/holder.rs
+++ b/crates/decisions/src/holder.rs
@@ -92,7 +92,7 @@
 #[derive(Debug, Clone)]
 struct Fallback {
     upstream: UpstreamId,
-    /// Number of slots.
+    /// Number of slots that this instance may use by itself.
     share: u32,
 }
 
--- a/crates/decisions/src/shedding.rs
+++ b/crates/decisions/src/shedding.rs
@@ -5,11 +5,11 @@
 //! another instance still queues and serves a lower tier of the same pool.
 //!
 //! A pool (the replicas of one service in one availability zone) has a *level*: the lowest tier
-//! that is still admitted. The owner of the pool maintains it in a [`LevelOwner`]; every instance
-//! of the zone follows it in a [`LevelMember`]. A tier may be refused only after every reachable
-//! instance has acknowledged that it admits no lower one. The level is lowered the same way, so at
-//! no time does one instance admit a tier that is lower than a tier which another instance still
-//! refuses.
+//! that is still admitted. A raised level refuses more tiers. The owner of the pool maintains the
+//! level in a [`LevelOwner`]; every instance of the zone follows it in a [`LevelMember`]. A tier may
+//! be refused only after every reachable instance has acknowledged that it admits no lower one. The
+//! level is lowered the same way, so at no time does one instance admit a tier that is lower than a
+//! tier which another instance still refuses.
 
 use std::time::Duration;
 
@@ -50,7 +50,7 @@
 /// Shortest interval between two reports of an instance that it refuses at the level.
 pub const PRESSURE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Most requests that may wait at one instance for one pool.
+/// Maximum number of requests that may wait at one instance for one pool.
 pub const MAX_WAITING: usize = 10_000;
 
 /// Message from an instance to the owner of a pool's level.
