--- a/crates/entry/src/gossip/local_state.rs
+++ b/crates/entry/src/gossip/local_state.rs
@@ -12,10 +12,15 @@
 /// State whose changes are sent to the others at once.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(super) struct LocalState {
+    /// Load of this instance at replicas; a replica without an entry has none.
     pub(super) loads: Vec<ReplicaLoad>,
+    /// The most urgent class of the waiting requests, by the name hash of the service.
     pub(super) waiting: Vec<(NameHash, PriorityClass)>,
+    /// Directory revision up to which this instance has all entries.
     pub(super) upto: u64,
+    /// Number of known instances of the own zone, including this one and the silent ones.
     pub(super) zone_size: u16,
+    /// Whether this instance closes its connections to shut down.
     pub(super) leaving: bool,
 }
 
@@ -67,7 +72,7 @@
 }
 
 /// Measured time per generation step of replicas, in microseconds.
-pub(super) fn local_step_times(node: &Node) -> Vec<(u32, u32)> {
+pub(super) fn local_step_times(node: &Node) -> Vec<(NameHash, u32)> {
     node.dispatch
         .borrow()
         .own_load()
@@ -75,7 +80,7 @@
         .collect()
 }
 
-/// The live instances by zone, sorted by the zone's name hash.
+/// The other live instances by zone, sorted by the zone's name hash.
 pub(super) fn live_members(node: &Node) -> Vec<(NameHash, Vec<Ipv4Addr>)> {
     let now = Instant::now();
     let peers = node.peers.borrow();
