--- a/crates/decisions/src/slots/feedback.rs
+++ b/crates/decisions/src/slots/feedback.rs
@@ -144,7 +144,7 @@
 
     /// Records that a request ended without its first token, which was late.
     ///
-    /// The caller may give up earlier than the token counts as overdue; otherwise one request after
+    /// The caller may disconnect before the token counts as overdue. Without this, one request after
     /// the other would go to a stalled replica unnoticed.
     pub(super) fn on_end_without_first_token(
         &mut self,
