--- a/crates/entry/src/node/slots.rs
+++ b/crates/entry/src/node/slots.rs
@@ -25,6 +25,7 @@
 struct WaitGuard {
     node: Rc<Node>,
     job: JobId,
+    /// Receives the slot, or the error when the wait has timed out.
     rx: oneshot::Receiver<SlotResult>,
 }
 
