--- a/crates/decisions/src/slots/feedback.rs
+++ b/crates/decisions/src/slots/feedback.rs
@@ -63,6 +63,7 @@
     pub(super) health: Health,
     /// Usual pace of the replica's hardware generation.
     pub(super) usual_pace: Option<Pace>,
+    /// Estimates the pace from first tokens and the times between tokens.
     meter: PaceEstimator,
     /// When the last first token or complete response arrived.
     last_progress: Option<Instant>,
@@ -143,7 +144,7 @@
 
     /// Records that a request ended without its first token, which was late.
     ///
-    /// The caller may give up earlier than the token counts as overdue; otherwise one request after
+    /// The caller may disconnect before the token counts as overdue. Without this, one request after
     /// the other would go to a stalled replica unnoticed.
     pub(super) fn on_end_without_first_token(
         &mut self,
--- a/crates/entry/src/node/slots.rs
+++ b/crates/entry/src/node/slots.rs
@@ -25,6 +25,7 @@
 struct WaitGuard {
     node: Rc<Node>,
     job: JobId,
+    /// Receives the slot, or the error when the wait has timed out.
     rx: oneshot::Receiver<SlotResult>,
 }
 
@@ -70,7 +71,7 @@
         dispatch.on_events(Instant::now(), &self.upstream, events, gap);
     }
 
-    /// Whether the replica has sent nothing for too long to all requests of this instance.
+    /// Whether no request of this instance at the replica has received anything for too long.
     pub fn is_replica_stalled(&self) -> bool {
         self.node
             .dispatch
--- a/crates/entry/src/peers/peer.rs
+++ b/crates/entry/src/peers/peer.rs
@@ -13,8 +13,8 @@
 pub struct Peer {
     /// Its address, which identifies it.
     pub address: Ipv4Addr,
-    /// When its last digest arrived, directly or through a relay; `None` while it is only known by
-    /// name.
+    /// When its last digest arrived, directly or through a relay; `None` while only its address
+    /// is known, from another instance.
     pub last_digest_at: Option<Instant>,
     /// When it was added.
     pub added_at: Instant,
@@ -35,11 +35,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Nearness {
     /// In the same availability zone.
-    Zone,
-    /// In another zone of the region, or its zone is not known from itself yet.
-    Region,
+    SameZone,
+    /// In another zone of the region, or no digest with its location has arrived yet.
+    SameRegion,
     /// In another region.
-    Far,
+    OtherRegion,
 }
 
 impl Peer {
@@ -52,15 +52,15 @@
     /// Its distance from an instance of this zone and region.
     pub fn nearness(&self, zone: NameHash, region: NameHash) -> Nearness {
         if self.last_digest_at.is_none() {
-            return Nearness::Region;
+            return Nearness::SameRegion;
         }
         if self.digest.zone == zone {
-            return Nearness::Zone;
+            return Nearness::SameZone;
         }
         if self.digest.region == region {
-            return Nearness::Region;
+            return Nearness::SameRegion;
         }
-        Nearness::Far
+        Nearness::OtherRegion
     }
 
     /// Adds its load to the remote load, in place of the load that was counted before.
@@ -74,11 +74,13 @@
         self.counted = true;
     }
 
+    /// Removes its load from the remote load.
     pub(super) fn uncount_load(&mut self, remote_load: &mut RemoteLoad) {
         self.count_load(remote_load, &[]);
         self.counted = false;
     }
 
+    /// Whether it has been silent for so long that it is removed.
     pub(super) fn is_gone(&self, now: Instant) -> bool {
         let last = self.last_digest_at.unwrap_or(self.added_at);
         now.saturating_duration_since(last) >= FORGET_TIMEOUT
