--- a/crates/decisions/src/dispatch.rs
+++ b/crates/decisions/src/dispatch.rs
@@ -142,7 +142,8 @@
         highest
     }
 
-    /// Stores the batch step time that a peer measured at a replica, if none was measured here.
+    /// Stores the batch step time, in milliseconds, that a peer measured at a replica, if none was
+    /// measured here.
     pub fn on_peer_step_time(&mut self, upstream: &UpstreamId, step_ms: f64) {
         if let Some(u) = self.find(upstream) {
             u.latency.on_peer_step_ms(step_ms);
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Requests running at each replica, beside its slots.
+    /// Number of requests running at each replica, and its number of slots.
     pub fn replica_usage(&self) -> impl Iterator<Item = ReplicaUsage<'_>> {
         self.upstreams.iter().map(|u| ReplicaUsage {
             upstream: &u.replica.id,
@@ -193,8 +194,8 @@
         counts
     }
 
-    /// For each replica: requests of this instance, their pending prompt tokens and the measured
-    /// step time in ms.
+    /// For each replica: number of requests of this instance that run there, the prompt tokens of
+    /// these that it has yet to process, and its step time in milliseconds, if known.
     pub fn own_load(&self) -> impl Iterator<Item = (&UpstreamId, u32, f64, Option<f64>)> {
         self.upstreams.iter().map(|u| {
             let pending_prompt_tokens = u.running.iter().map(|r| r.pending_prompt_tokens).sum();
@@ -295,11 +296,11 @@
     }
 
     /// Whether some replica of a service would finish the response within `time_left` of its
-    /// dispatch.
+    /// dispatch; also `true` if the service has no usable replica.
     ///
     /// Load pattern: long streams that arrive shortly before an instance shuts down. If it accepted
     /// them, they would hold a slot until they are cut off, though another instance could serve
-    /// them to the end. Without any usable replica of the service the answer is `true`.
+    /// them to the end.
     pub fn can_finish_within(
         &self,
         time_left: Duration,
@@ -387,7 +388,7 @@
         }
     }
 
-    /// Records events of a stream that arrived `gap` after the previous ones.
+    /// Records `events` of a stream that arrived together, `gap` after the previous event.
     pub fn on_events(&mut self, now: Instant, upstream: &UpstreamId, events: u32, gap: Duration) {
         if let Some(u) = self.find(upstream) {
             u.last_response_at = Some(now);
@@ -434,6 +435,7 @@
             .is_ok_and(|i| self.upstreams[i].is_unresponsive(now))
     }
 
+    /// Records a request as running at the replica with this index and returns its assignment.
     fn start(
         &mut self,
         now: Instant,
--- a/crates/decisions/src/dispatch/choice.rs
+++ b/crates/decisions/src/dispatch/choice.rs
@@ -14,7 +14,7 @@
 use crate::id::{ServiceId, UpstreamId};
 
 /// Cost of a new connection, expressed as time. Connections are billed one by one, and sixty
-/// instances that spread requests evenly over a hundred replicas open one for every second request.
+/// instances that spread requests evenly over a hundred replicas open one for every other request.
 /// It is small against the 100 ms and more of a request, so that it only breaks ties.
 const CONNECTION_COST_MS: f64 = 5.0;
 
@@ -27,8 +27,8 @@
 const FAR_CANDIDATES_PER_REQUEST: u64 = 3;
 
 impl Dispatcher {
-    /// Indices of the replicas that can accept another request now. If there are none, which is the
-    /// usual case while requests wait, no other check is made.
+    /// Indices of the replicas that can accept another request now. While requests wait, there are
+    /// usually none, and the requests need not be checked one by one.
     pub(super) fn accepting_replicas(&mut self, now: Instant) -> Vec<usize> {
         let upstreams = self.upstreams.iter_mut().enumerate();
         upstreams
