--- a/crates/decisions/src/dispatch/latency.rs
+++ b/crates/decisions/src/dispatch/latency.rs
@@ -12,6 +12,18 @@
 /// Step time assumed without measurements, between those of the users' fast and slow engines.
 const DEFAULT_STEP_MS: f64 = 9.0;
 
+/// Number of new gaps after which the median is updated, once there are that many.
+const MEDIAN_INTERVAL_GAPS: usize = 5;
+
+/// Shortest step time that is presumed.
+const MIN_STEP_MS: f64 = 0.5;
+
+/// Processing time of a request presumed for a plain service without measurements.
+const DEFAULT_SERVICE_MS: f64 = 50.0;
+
+/// Weight of a new sample in the moving average of a plain service's processing time.
+const SERVICE_TIME_GAIN: f64 = 0.1;
+
 /// Time in which the recorded failure share falls by half.
 const FAILURE_HALF_LIFE_S: f64 = 4.0;
 
@@ -51,9 +63,9 @@
         }
     }
 
-    /// Milliseconds that a plain service takes for a request; 50 without measurements.
+    /// Milliseconds that a plain service takes for a request; a default if nothing was measured.
     pub fn service_ms(&self) -> f64 {
-        self.service_ms.unwrap_or(50.0)
+        self.service_ms.unwrap_or(DEFAULT_SERVICE_MS)
     }
 
     /// Records the time per token between two events of a stream.
@@ -65,10 +77,12 @@
             self.gaps_ms[self.next_index] = gap_ms;
         }
         self.next_index = (self.next_index + 1) % MEDIAN_WINDOW_GAPS;
-        if self.next_index.is_multiple_of(5) || self.gaps_ms.len() < 5 {
+        if self.next_index.is_multiple_of(MEDIAN_INTERVAL_GAPS)
+            || self.gaps_ms.len() < MEDIAN_INTERVAL_GAPS
+        {
             let mut sorted = self.gaps_ms.clone();
             sorted.sort_by(f64::total_cmp);
-            self.step_ms = Some(sorted[sorted.len() / 2].max(0.5));
+            self.step_ms = Some(sorted[sorted.len() / 2].max(MIN_STEP_MS));
         }
     }
 
@@ -76,7 +90,7 @@
     pub fn on_completed(&mut self, elapsed: Duration) {
         let ms = elapsed.as_secs_f64() * 1000.0;
         let mean_ms = self.service_ms.unwrap_or(ms);
-        self.service_ms = Some(mean_ms + (ms - mean_ms) * 0.1);
+        self.service_ms = Some(mean_ms + (ms - mean_ms) * SERVICE_TIME_GAIN);
     }
 
     /// Records whether a request failed.
