--- a/crates/decisions/src/dispatch/upstream.rs
+++ b/crates/decisions/src/dispatch/upstream.rs
@@ -17,13 +17,22 @@
 /// 4,096.
 const MAX_PROMPT_TOKENS_BETWEEN_EVENTS: f64 = 8_192.0;
 
-/// Waiting time in milliseconds that a failure share of 1 is worth.
+/// Cost in milliseconds of a failure share that exceeds the lowest of the service by 1.
 const FAILURE_PENALTY_MS: f64 = 2_500.0;
 
 /// Cost in milliseconds of each running stream that a new prompt is likely to stall beyond its
 /// longest acceptable gap.
 const STALL_PENALTY_PER_STREAM_MS: f64 = 400.0;
 
+/// Share of the longest acceptable gap from which the expected gap counts as a stall.
+const STALL_GAP_SHARE: f64 = 0.8;
+
+/// Ratio of the expected gap to the longest acceptable one above which the cost grows no further.
+const MAX_STALL_GAP_RATIO: f64 = 3.0;
+
+/// Shortest response, in tokens, presumed when the wait for a slot is estimated.
+const MIN_QUEUED_OUTPUT_TOKENS: f64 = 60.0;
+
 /// Factor by which a response may be longer than expected: the estimates are right on average and
 /// usually off by half in either direction.
 const OUTPUT_LENGTH_MARGIN: f64 = 1.5;
@@ -200,8 +209,7 @@
         limit.is_none_or(|limit| self.cold_gate.admits(now, limit.per_instance_limit()))
     }
 
-    /// Whether one request may be sent despite the backoff, for want of a replica that accepts
-    /// work.
+    /// Whether a request may be sent despite the backoff if no replica accepts work.
     pub(super) fn is_last_resort(&self, now: Instant) -> bool {
         let rested = self
             .last_connect_failure_at
@@ -368,15 +376,19 @@
         Duration::from_secs_f64(self.queue_wait_ms(job) * QUEUE_WAIT_MARGIN / 1e3)
     }
 
-    /// Milliseconds until a slot is expected to be free for the request; 0 if one is free now.
+    /// Milliseconds until a slot is expected to be free for the request; 0 if one is free now. The
+    /// running responses are presumed to be as long as the request's own.
     fn queue_wait_ms(&self, job: &Job) -> f64 {
         let excess_requests = (self.running_total() + 1).saturating_sub(self.replica.slots);
-        let ms_per_request = job.expected_output_tokens.max(60.0) * self.latency.step_ms()
+        let ms_per_request = job.expected_output_tokens.max(MIN_QUEUED_OUTPUT_TOKENS)
+            * self.latency.step_ms()
             / f64::from(self.replica.slots.max(1));
         f64::from(excess_requests) * ms_per_request
     }
 
-    /// Cost of the streams that processing the prompt delays beyond their longest acceptable gap.
+    /// Cost in milliseconds of the gap that processing the prompt causes in the running streams; 0
+    /// below [`STALL_GAP_SHARE`]. The longest acceptable gap of the request is presumed to apply to
+    /// all of them.
     fn stall_penalty_ms(&self, job: &Job, prompt_cost: &PromptCost) -> f64 {
         let own_tokens = job.prompt_tokens.min(MAX_PROMPT_TOKENS_BETWEEN_EVENTS);
         let pending_tokens = self.pending_prompt_tokens();
@@ -384,11 +396,11 @@
         let slowdown = PromptCost::attention_slowdown(job.prompt_tokens.max(pending_tokens));
         let gap_ms = tokens / prompt_cost.tokens_per_step * slowdown * self.latency.step_ms();
         let max_gap_ms = job.max_event_gap.as_secs_f64() * 1000.0;
-        if max_gap_ms <= 0.0 || gap_ms < max_gap_ms * 0.8 {
+        if max_gap_ms <= 0.0 || gap_ms < max_gap_ms * STALL_GAP_SHARE {
             return 0.0;
         }
         let streams = f64::from(self.running_total());
-        let excess = (gap_ms / max_gap_ms).min(3.0);
+        let excess = (gap_ms / max_gap_ms).min(MAX_STALL_GAP_RATIO);
         STALL_PENALTY_PER_STREAM_MS * streams * excess
     }
 }
