--- a/crates/decisions/src/dispatch/priority.rs
+++ b/crates/decisions/src/dispatch/priority.rs
@@ -33,8 +33,8 @@
 const LOCAL_ORDER_PERIOD_MS: u64 = 1000;
 
 /// Milliseconds of each period in which it does so: under load, a fifth of the lower-priority
-/// requests compete for slots at any moment. The users require four tenths of each kind of request
-/// to be served; on their heaviest days the least served kind gets six.
+/// requests compete for slots at any moment. The users require that four tenths of each kind of
+/// request are served; on their heaviest days it is six tenths of the least served kind.
 const LOCAL_ORDER_MS: u64 = 200;
 
 /// Priority, the lowest first: rank of the organisation, then rank of the tier in half tiers with
--- a/crates/decisions/src/dispatch/size.rs
+++ b/crates/decisions/src/dispatch/size.rs
@@ -1,12 +1,12 @@
 //! Demotes requests by the engine time they take, relative to the mean request of their service.
 //!
 //! Load pattern: overload for ten seconds and longer, with requests whose lengths differ a
-//! hundredfold. In order of arrival, a report that holds a slot for three seconds makes ten short
-//! checks late or lost; in the opposite order, the checks delay the report by a fraction of a
-//! second. Among requests of the same organisation rank, a request is therefore demoted by half a
-//! tier for each doubling of its size. On the heaviest days of the opticians' load this alone
-//! reduced lost requests from 15 in 100 to 10 without losing more reports, and raised the share of
-//! each kind of request that was on time.
+//! hundredfold. In order of arrival, a long request that holds a slot for three seconds makes ten
+//! short ones late or lost; in the opposite order, the short ones delay the long one by a fraction
+//! of a second. Among requests of the same organisation rank, a request is therefore demoted by
+//! half a tier for each doubling of its size. On the heaviest days of the users at opticians, this
+//! alone reduced lost requests from 15 in 100 to 10 without losing more long ones, and raised the
+//! share of each kind of request that was on time.
 //!
 //! Size is measured in batch steps of the engine, estimated from the first events of responses: the
 //! number of prompt tokens processed in the time of a step differs more than twofold between
