--- a/crates/decisions/src/concurrency.rs
+++ b/crates/decisions/src/concurrency.rs
@@ -13,10 +13,12 @@
 use crate::pace::TRUSTED_SAMPLES;
 use crate::slots::LoadReport;
 
-/// Limit of a replica without history; it doubles with each round of good responses.
+/// Limit of a replica without history, in concurrent requests; it doubles with each round of good
+/// responses.
 pub const INITIAL_LIMIT: u32 = 4;
 
-/// Highest limit. Larger batches gain no throughput on the engines this was built for.
+/// Highest limit, in concurrent requests. Larger batches gain no throughput on the engines this was
+/// built for.
 pub const MAX_LIMIT: u32 = 256;
 
 /// Slowdown of first tokens relative to the best pace from which requests queue inside the engine.
@@ -34,10 +36,11 @@
 /// Time for which a load report limits the slots.
 pub const REPORT_VALIDITY: Duration = Duration::from_secs(5);
 
-/// Share by which the best pace rises towards a slower sample, so that it doesn't stay for ever.
+/// Share of the distance to a slower sample by which the best value rises, so that an outdated one
+/// doesn't stay for ever.
 const BEST_RISE_GAIN: f64 = 0.002;
 
-/// Share by which the best pace falls towards a faster sample.
+/// Share of the distance to a faster sample by which the best value falls.
 const BEST_FALL_GAIN: f64 = 0.1;
 
 /// Weight of a new sample in the recent slowdown; it covers about the last five samples.
@@ -53,6 +56,7 @@
 /// Best observed value of a latency, and the slowdown of recent samples relative to it.
 #[derive(Debug, Clone, Copy)]
 struct Slowdown {
+    /// Moving estimate of the best sample, in the unit of the samples.
     best: f64,
     /// Ratio of recent samples to `best`, as a moving average.
     recent: f64,
--- a/crates/decisions/src/health.rs
+++ b/crates/decisions/src/health.rs
@@ -1,9 +1,9 @@
 //! Health of a replica relative to others of its hardware generation, and the slots it may use.
 //!
 //! Load pattern: a replica that silently runs at a tenth of its speed or stalls. Its load report
-//! still looks idle, so choosing the least loaded replica would send it everything. Its own
-//! responses, and first tokens that don't arrive, reduce its slots here; later, single probe
-//! requests find out whether it has recovered.
+//! still looks idle, so choosing the least loaded replica would send it everything. Here, slow or
+//! broken responses and overdue first tokens reduce its slots; later, single probe requests find
+//! out whether it has recovered.
 //!
 //! An old generation is slow by design, so a replica is compared with the usual pace of its own
 //! generation.
@@ -12,13 +12,15 @@
 
 use tokio::time::Instant;
 
-/// Slowdown relative to the generation from which a replica is suspect.
+/// Average slowdown, as a ratio to the usual pace of the generation, from which a replica is
+/// suspect; also the largest slowdown of a response at which a probe or recovery doesn't fail.
 pub const SUSPECT_SLOWDOWN: f64 = 3.0;
 
-/// Slowdown relative to the generation from which a replica only receives probes.
+/// Average slowdown, as the same ratio, from which a replica only receives probes.
 pub const PROBE_SLOWDOWN: f64 = 6.0;
 
-/// Largest slowdown of a probe that counts as good.
+/// Largest slowdown at which a response counts as good, and largest average slowdown at which a
+/// suspect replica becomes healthy again.
 pub const GOOD_SLOWDOWN: f64 = 2.0;
 
 /// Consecutive errors after which a replica is suspect.
@@ -99,8 +101,8 @@
     /// Slots that may be in use out of `limit`, when `slots_in_use` are, and
     /// `slots_before_ejection` of these since before the replica was ejected.
     ///
-    /// The latter don't count against probes: long responses would otherwise keep out a replica
-    /// that has recovered for minutes.
+    /// The latter don't count against probes: long responses would otherwise keep a recovered
+    /// replica out of use for minutes.
     pub fn allowed_slots(
         &self,
         now: Instant,
@@ -133,9 +135,9 @@
         }
     }
 
-    /// Records a response or first token of a request dispatched at `dispatched_at`, by how many
-    /// times it was slower than usual for the generation, and the moving average of these
-    /// slowdowns.
+    /// Records a response or first token of a request dispatched at `dispatched_at`. `slowdown` is
+    /// its time divided by the usual time of the generation, `mean_slowdown` the moving average of
+    /// this ratio.
     pub fn on_answer(
         &mut self,
         now: Instant,
