--- a/crates/decisions/src/membership.rs
+++ b/crates/decisions/src/membership.rs
@@ -253,8 +253,8 @@
         self.superseded
     }
 
-    /// Names of the upstreams that are shutting down according to the list, themselves or a peer,
-    /// sorted.
+    /// Names of the upstreams that are shutting down, as reported by the list, the upstream itself
+    /// or a peer; sorted.
     pub fn leaving_upstreams(&self) -> &[UpstreamId] {
         self.upstreams.leaving()
     }
--- a/crates/decisions/src/membership/relay.rs
+++ b/crates/decisions/src/membership/relay.rs
@@ -227,7 +227,8 @@
             .collect()
     }
 
-    /// Sends a heartbeat to one instance that is considered dead although it is listed.
+    /// Returns a heartbeat to one instance that is considered dead although it is listed, in
+    /// rotation. Bridges also probe instances of other zones.
     pub(super) fn dead_peer_probe(&self) -> Option<Envelope> {
         let is_bridge = self.rank().is_some_and(|rank| rank < BRIDGES_PER_ZONE);
         let dead = self
@@ -248,7 +249,7 @@
         MembershipMessage::Heartbeat {
             own: self.own_claim(),
             answer,
-            // An answer only shows that its sender is alive.
+            // A reply carries no claims about others: it only shows that its sender is alive.
             seen: if answer {
                 self.next_claims()
             } else {
--- a/crates/decisions/src/membership/upstreams.rs
+++ b/crates/decisions/src/membership/upstreams.rs
@@ -36,7 +36,8 @@
     confirmed: bool,
     /// Time at which the report arrived.
     reported_at: Instant,
-    /// Version of the list at the time of the report, or from which on the upstream is live again.
+    /// Version of the list in force where the report originated; once the report has ended, the
+    /// lowest version from which a new report is accepted.
     seen_at: Version,
 }
 
