--- a/crates/decisions/src/drained_zones.rs
+++ b/crates/decisions/src/drained_zones.rs
@@ -65,8 +65,8 @@
         &self.drained
     }
 
-    /// Time at which the zone was last put back into use; caches of its replicas may be lost since
-    /// then.
+    /// Time at which the zone was last put back into use; what its replicas cached before may be
+    /// lost.
     pub fn restored_at(&self, zone: &str) -> Option<Instant> {
         let i = self.restored.binary_search_by(|(z, _)| (**z).cmp(zone));
         i.ok().map(|i| self.restored[i].1)
--- a/crates/decisions/src/prefixes.rs
+++ b/crates/decisions/src/prefixes.rs
@@ -96,7 +96,7 @@
             .count()
     }
 
-    /// Work left of `work` if the cached part of `prefixes` need not be processed again.
+    /// Returns `work` without the prefill of the part of the prompt that is probably cached.
     ///
     /// The prefixes end at regular distances in the prompt, so their cached share is that of the
     /// prompt.
--- a/crates/decisions/src/remote_load.rs
+++ b/crates/decisions/src/remote_load.rs
@@ -2,8 +2,8 @@
 //!
 //! Load pattern: sixty instances that send each other every change of their load, with more than a
 //! hundred replicas. Recomputing all totals for each message took seven tenths of an instance's CPU
-//! time, so that small machines fell behind with everything else, the operator's table included.
-//! Here a message only updates the totals of the replicas it changes.
+//! time, so that small machines fell behind with all other work, including updates of the
+//! operator's table. Here a message only updates the totals of the replicas it changes.
 
 use serde::{Deserialize, Serialize};
 
@@ -43,8 +43,8 @@
         Self::default()
     }
 
-    /// Replaces the load reported by one instance. Most entries are the same in consecutive
-    /// messages.
+    /// Replaces the `previous` load reported by one instance with its `current` one. Entries in
+    /// both, which are most of those in consecutive messages, are skipped.
     pub fn replace(&mut self, previous: &[ReplicaLoad], current: &[ReplicaLoad]) {
         for load in previous.iter().filter(|l| !current.contains(l)) {
             let total = self.total_mut(load.replica);
--- a/crates/decisions/src/routing.rs
+++ b/crates/decisions/src/routing.rs
@@ -47,8 +47,8 @@
 /// Number of replicas chosen by cost; a third one may be added for the longest cached prefix.
 const REPLICAS_BY_COST: usize = 2;
 
-/// Costs that differ by less than this count as equal. The order among equals is random, so that
-/// instances with the same digests don't all choose the same replica.
+/// Costs within the same interval of this length count as equal. The order among equals is random,
+/// so that instances with the same digests don't all choose the same replica.
 pub const EQUAL_COST_TOLERANCE: Duration = Duration::from_millis(5);
 
 /// Age from which a digest no longer says anything about the wait.
@@ -115,8 +115,8 @@
                 .service_time(Work::new(prefill, request.work.decode))
     }
 
-    /// The same with uncached prefill weighted by [`PREFILL_WEIGHT`], for its effect on other
-    /// requests.
+    /// Time to completion with uncached prefill weighted by [`PREFILL_WEIGHT`], for its effect on
+    /// other requests.
     fn weighted_cost(&self, request: &RouteRequest) -> Duration {
         let prefill = request.work.prefill.saturating_sub(self.cached_tokens);
         let prefill = prefill.saturating_mul(PREFILL_WEIGHT);
@@ -140,7 +140,7 @@
 pub struct Choice {
     /// At most [`MAX_RESERVATIONS`] replicas.
     pub upstreams: Vec<UpstreamId>,
-    /// Expected wait at the first replica.
+    /// Expected wait at the first replica, including the network round trip.
     pub wait: Duration,
     /// Whether the replicas are in another zone than the request.
     pub remote: bool,
