--- a/crates/decisions/src/remote_load.rs
+++ b/crates/decisions/src/remote_load.rs
@@ -26,7 +26,7 @@
     /// Number of requests that run there.
     pub running: u32,
     /// Prompt tokens of these requests that the replica has yet to process.
-    pub prompt: u64,
+    pub pending_prompt_tokens: u64,
 }
 
 /// Total load by replica, and the replicas whose total changed since [`RemoteLoad::take_changed`].
@@ -49,12 +49,12 @@
         for load in previous.iter().filter(|l| !current.contains(l)) {
             let total = self.total_mut(load.replica);
             total.running -= u32::from(load.running);
-            total.prompt -= u64::from(load.prompt);
+            total.pending_prompt_tokens -= u64::from(load.prompt);
         }
         for load in current.iter().filter(|l| !previous.contains(l)) {
             let total = self.total_mut(load.replica);
             total.running += u32::from(load.running);
-            total.prompt += u64::from(load.prompt);
+            total.pending_prompt_tokens += u64::from(load.prompt);
         }
     }
 
--- a/crates/decisions/tests/remote_load.rs
+++ b/crates/decisions/tests/remote_load.rs
@@ -21,7 +21,7 @@
     let loads = reported.iter().flatten().filter(|l| l.replica == replica);
     loads.fold(TotalLoad::default(), |total, load| TotalLoad {
         running: total.running + u32::from(load.running),
-        prompt: total.prompt + u64::from(load.prompt),
+        pending_prompt_tokens: total.pending_prompt_tokens + u64::from(load.prompt),
     })
 }
 
--- a/crates/entry/src/node/replicas.rs
+++ b/crates/entry/src/node/replicas.rs
@@ -109,9 +109,9 @@
     /// Sets the load that the other instances have at a replica.
     pub fn set_remote_load(&self, name: NameHash, sum: TotalLoad) {
         if let Some(id) = self.replica_by_name_hash(name) {
-            let prompt = sum.prompt as f64;
+            let pending_prompt_tokens = sum.pending_prompt_tokens as f64;
             let mut dispatch = self.dispatch.borrow_mut();
-            dispatch.update_remote_load(&id, sum.running, prompt);
+            dispatch.update_remote_load(&id, sum.running, pending_prompt_tokens);
         }
     }
 
--- a/crates/entry/tests/peers.rs
+++ b/crates/entry/tests/peers.rs
@@ -40,7 +40,10 @@
     let mut peers = Peers::new(now, OWN, true).with_zones([(1, Distance::SameZone)]);
     peers.on_digest(now, address(1), digest(1));
     peers.on_digest(now, address(2), digest(1));
-    let load = |running, prompt| TotalLoad { running, prompt };
+    let load = |running, pending_prompt_tokens| TotalLoad {
+        running,
+        pending_prompt_tokens,
+    };
     assert_eq!(peers.load_at(4), load(6, 1000));
     let later = now + Duration::from_secs(3);
     peers.on_digest(later, address(2), digest(1));
