--- a/crates/entry/src/request/attempt.rs
+++ b/crates/entry/src/request/attempt.rs
@@ -21,16 +21,17 @@
 /// seventh of the shortest latency objective of the users' streams.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// If a connection ends this soon after the request was written, not counting the time to open it and
-/// to notice its end, its replica runs nothing. Such a replica fails each request at once, looks idle
-/// and attracts more requests. Usual first responses take 60 ms and more.
-const IMMEDIATE_FAILURE: Duration = Duration::from_millis(25);
+/// A connection that ends within this time after the attempt began, plus two round trips for opening it
+/// and noticing its end, belongs to a replica that runs nothing. Such a replica fails each request at
+/// once, looks idle and attracts more requests. Usual first responses take 60 ms and more.
+const IMMEDIATE_FAILURE_TIME: Duration = Duration::from_millis(25);
 
 /// Fraction of the latency objective after which a retryable request without a streamed response is
-/// sent to another replica: the rest is enough for a usual response.
+/// sent to another replica: the remaining time is enough for a usual response.
 const PLAIN_RETRY_FRACTION: f64 = 0.6;
 
-/// Least time left for which another attempt is made.
+/// A request that a replica may have run is sent again only if more than this time is left until its
+/// timeout.
 const MIN_RETRY_TIME: Duration = Duration::from_millis(100);
 
 /// What to do after one attempt.
@@ -56,7 +57,7 @@
             slot.release(Outcome::Unknown);
             return NextStep::Refuse(self.timeout_refusal());
         }
-        let immediate = IMMEDIATE_FAILURE + node.rtt(&target.published.zone) * 2;
+        let immediate_time = IMMEDIATE_FAILURE_TIME + node.rtt(&target.published.zone) * 2;
         let sent_at = Instant::now();
         let headers = self.forward_headers(node, target, None);
         self.tried.push(slot.upstream.clone());
@@ -72,7 +73,7 @@
         );
         let sent = tokio::select! {
             sent = sent => sent.map_err(|e| match e {
-                SendFailure::Broken if sent_at.elapsed() < immediate => SendFailure::Dropped,
+                SendFailure::Broken if sent_at.elapsed() < immediate_time => SendFailure::Dropped,
                 e => e,
             }),
             expiry = wait_for_expiry(node, &self.route, self.received) => {
@@ -97,10 +98,12 @@
         let sent_at = Instant::now();
         loop {
             tokio::time::sleep(STALL_CHECK_INTERVAL).await;
-            let plain = !self.route.kind.is_stream();
+            let is_plain_call = !self.route.kind.is_stream();
             let overdue =
                 sent_at.elapsed() > self.route.latency_objective.mul_f64(PLAIN_RETRY_FRACTION);
-            if (slot.is_replica_stalled() || (plain && overdue)) && self.try_consume_retry(node) {
+            if (slot.is_replica_stalled() || (is_plain_call && overdue))
+                && self.try_consume_retry(node)
+            {
                 return;
             }
         }
@@ -204,7 +207,8 @@
         NextStep::Respond(Box::new(response))
     }
 
-    /// Moves the context of this request into a relay.
+    /// Returns the context of this request for the relay that forwards its stream to the caller. The
+    /// metadata and the list of tried replicas are moved out of `self`.
     fn take_for_relay(&mut self) -> RequestContext {
         RequestContext {
             meta: std::mem::take(&mut self.meta),
@@ -222,8 +226,8 @@
         }
     }
 
-    /// Returns whether another replica may be tried after one that may have run the request, and
-    /// consumes one retry of the budget if so.
+    /// Consumes one retry of the budget if the request, which a replica may have run, may be sent to
+    /// another one. Returns whether it may.
     pub fn try_consume_retry(&self, node: &Node) -> bool {
         self.route.kind.is_retryable()
             && self.runs < self.route.max_attempts
