--- a/crates/entry/src/request/slot_request.rs
+++ b/crates/entry/src/request/slot_request.rs
@@ -64,7 +64,8 @@
         std::future::pending::<()>().await;
     }
 
-    /// Latest time for the complete response: the request's timeout or the process's last responses.
+    /// Latest time for the complete response: the request's timeout, or the time by which a process
+    /// that shuts down must have sent its last responses, whichever is earlier.
     fn response_deadline(&self, node: &Node) -> Instant {
         let deadline = Instant::now() + self.time_left(node);
         node.response_deadline
@@ -84,10 +85,13 @@
             self.route.timeout
         };
         let patience = patience.min(self.meta.timeout.unwrap_or(patience));
-        let own_rank = self.organisation.as_ref().and_then(|o| o.rank);
+        let organisation_rank = self.organisation.as_ref().and_then(|o| o.rank);
         Job {
             id: node.next_job_id(),
-            priority: (own_rank.unwrap_or(self.route.rank), self.route.rank),
+            priority: (
+                organisation_rank.unwrap_or(self.route.rank),
+                self.route.rank,
+            ),
             received_at: self.received,
             slo_deadline: self.received + objective,
             deadline: self.response_deadline(node),
@@ -117,7 +121,7 @@
         result
     }
 
-    /// Takes over the route and organisation from the table in force. Regions, service and remaining
+    /// Updates the route and organisation from the table in force. Regions, service and remaining
     /// time are checked only before the first send: a request that may have run is not refused as
     /// one that has not.
     fn apply_table(&mut self, node: &Node) -> Result<(), Refusal> {
@@ -140,7 +144,8 @@
         Ok(())
     }
 
-    /// Waits for a slot for the rest of a stream that broke off, under the table in force.
+    /// Waits for a slot for the rest of a stream that broke off, under the table in force and with the
+    /// highest priority. Returns `None` if none is assigned in time or its replica can't be used.
     pub async fn acquire_slot_for_resume(
         &mut self,
         node: &Rc<Node>,
@@ -157,8 +162,8 @@
         Some((slot, target))
     }
 
-    /// Applies the table in force. A stream whose route or API key was removed keeps the rules under
-    /// which it began.
+    /// Applies the table in force. A stream whose route or API key was removed keeps the route and
+    /// organisation that it had.
     fn refresh_route(&mut self, node: &Node) {
         let _ = self.apply_table(node);
     }
