--- a/crates/entry/src/request/refusals.rs
+++ b/crates/entry/src/request/refusals.rs
@@ -16,8 +16,8 @@
 use crate::refusal::{Refusal, RefusalKind, RunStatus};
 use crate::table::{Organisation, Route, allowed_regions};
 
-/// Retry delay in seconds after a refusal for lack of capacity: bursts last two to five seconds.
-/// Callers wait at most a third of the time that they have left.
+/// Retry delay in seconds after a refusal for lack of capacity: bursts last two to five seconds. Callers
+/// wait at most a third of the time that they have left.
 const RETRY_AFTER_S: std::ops::Range<f64> = 2.0..5.0;
 
 /// Refuses a request whose route and organisation have no allowed region in common.
@@ -59,7 +59,8 @@
     ))
 }
 
-/// Builds a refusal for a request that another instance, or this one shortly after, can serve.
+/// Builds a refusal for a request that the caller should retry shortly: another instance, or later
+/// this one, can serve it.
 pub(super) fn unavailable(reason: &str) -> Refusal {
     Refusal::new(RefusalKind::Unavailable)
         .with_message(reason)
@@ -96,7 +97,7 @@
             .with_retry_after(random_retry_delay())
     }
 
-    /// Builds the refusal of a request whose time has expired.
+    /// Builds the refusal of a request that has reached its timeout or the end of the process.
     pub(super) fn expiry_refusal(&self, node: &Node, expiry: Expiry) -> Refusal {
         match expiry {
             Expiry::RouteTimeout => self.timeout_refusal(),
