--- a/crates/entry/src/request.rs
+++ b/crates/entry/src/request.rs
@@ -61,7 +61,7 @@
     pub tried: Vec<UpstreamId>,
     /// Number of replicas that may have run the request.
     pub runs: u32,
-    /// Time from `received` to the assignment of the last slot.
+    /// Time from `received` to the latest assignment of a slot.
     pub waited: Duration,
     /// Credit that was charged to the organisation.
     pub charge: CreditGrant,
@@ -183,7 +183,8 @@
 }
 
 impl RequestContext {
-    /// Runs the request and logs it if the task is dropped before a response exists.
+    /// Runs the request. If the task is dropped before a response exists, the log shows that the caller
+    /// disconnected or that the end of the process cut the request off.
     async fn run(
         mut self,
         node: Rc<Node>,
@@ -241,7 +242,7 @@
         }
     }
 
-    /// Time until the caller's timeout or the route's, whichever is shorter. Time for which the
+    /// Time left until the caller's timeout or the route's, whichever is shorter. Time for which the
     /// machine was suspended counts as elapsed.
     pub fn time_left(&self, node: &Node) -> Duration {
         let suspended = node
