--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -63,8 +63,8 @@
 ///
 /// The load balancer keeps sending requests to a stopping instance where few instances of a zone are
 /// ready. A stream that starts shortly before the end would be cut off, while another instance can
-/// serve it completely. In the stage `Leaving` the estimate uses the measured speed of the replicas.
-/// From `Closing` on no response may be cut off, so even a slow replica must be able to complete it.
+/// serve it completely. The estimate uses the measured speed of the replicas. From the stage `Closing`
+/// on no response may be cut off, so even a slow replica must be able to complete it as well.
 pub fn completes_before_shutdown(node: &Node, service: &ServiceId, meta: &RequestMeta) -> bool {
     let Some(deadline) = node.response_deadline.get() else {
         return true;
@@ -189,7 +189,7 @@
     let reason = format!(
         "{request}, {stock:.0} of at most {max_stock:.0} available, {zone_size} known instances in the zone",
     );
-    limited(f64::from(wait_ms) / 1000.0, reason)
+    over_limit_refusal(f64::from(wait_ms) / 1000.0, reason)
 }
 
 /// Returns the cost of a request in the unit of its organisation's limit: tokens, or 1 per request.
@@ -204,9 +204,9 @@
     f64::from(tokens)
 }
 
-/// Refuses a request for which credit is expected after `wait_s` seconds. Random jitter on the retry
-/// delay keeps callers from retrying all at once.
-fn limited(wait_s: f64, reason: String) -> Refusal {
+/// Builds the refusal of a request for which credit is expected after `wait_s` seconds. The retry delay
+/// has random jitter so that callers do not retry all at once.
+fn over_limit_refusal(wait_s: f64, reason: String) -> Refusal {
     let retry_after_s = wait_s.clamp(0.2, 10.0) * rand::rng().random_range(1.0..1.3);
     Refusal::new(RefusalKind::Limited)
         .with_message(reason)
