--- a/crates/entry/src/shutdown.rs
+++ b/crates/entry/src/shutdown.rs
@@ -19,18 +19,18 @@
 
 /// Time from the stop signal to the close of idle connections. The load balancer needs two failed
 /// readiness checks, one second apart, to stop sending requests.
-const BALANCER_DETECTION: Duration = Duration::from_millis(2600);
+const BALANCER_DETECTION_TIME: Duration = Duration::from_millis(2600);
 
 /// Shortest time from the close of idle connections to that of the listener, for requests that the
 /// load balancer sent just before it detected the stop.
-const LAST_CONNECTIONS: Duration = Duration::from_millis(300);
+const LISTENER_CLOSE_DELAY: Duration = Duration::from_millis(300);
 
 /// The listener is closed at the latest this long before the process is killed, even if callers still
 /// connect.
 const SHUT_BEFORE_KILL: Duration = Duration::from_millis(750);
 
-/// Requests without a response this long before the kill are refused by the instance, which leaves
-/// time to write the refusals.
+/// The instance refuses requests that have no response this long before the kill, so that time
+/// remains to write the refusals.
 const LAST_RESPONSES_BEFORE_KILL: Duration = Duration::from_millis(650);
 
 /// The process ends at the latest this long before it is killed.
@@ -56,7 +56,7 @@
 #[derive(Debug)]
 pub struct Shutdown<S> {
     node: Rc<Node>,
-    /// Time of the stop signal.
+    /// Time at which the stop signal was received.
     started: Instant,
     /// Time from the stop signal to the kill, from the settings in force at the signal.
     grace: Duration,
@@ -82,7 +82,7 @@
 
     /// Waits until the load balancer has detected the stop, then closes idle connections.
     pub async fn close(self) -> Shutdown<Closing> {
-        let detected = self.started + BALANCER_DETECTION;
+        let detected = self.started + BALANCER_DETECTION_TIME;
         sleep_until(detected.min(self.before_kill(SHUT_BEFORE_KILL))).await;
         log_stage(&self.node, format_args!("event=closing"));
         self.enter(ProcessState::Closing)
@@ -96,7 +96,7 @@
     /// `accepting` is the task that accepts connections; it completes after the last one.
     pub async fn shut(self, accepting: JoinHandle<()>) -> Shutdown<Shut> {
         let latest = self.before_kill(SHUT_BEFORE_KILL);
-        sleep_until((Instant::now() + LAST_CONNECTIONS).min(latest)).await;
+        sleep_until((Instant::now() + LISTENER_CLOSE_DELAY).min(latest)).await;
         self.wait_for_callers(latest).await;
         let shutdown = self.enter(ProcessState::Shut);
         if let Err(e) = accepting.await {
@@ -146,7 +146,8 @@
     }
 }
 
-/// Logs the start of a stage with the numbers of active requests and open connections.
+/// Logs an event of the shutdown with the numbers of active requests, open connections and requests
+/// received since the start.
 fn log_stage(node: &Node, event: std::fmt::Arguments<'_>) {
     node.log.line(
         Priority::High,
