--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -165,7 +165,8 @@
     .await;
 }
 
-/// Returns the directory entries that changed after a revision; the query is that revision.
+/// Returns the directory entries that changed after the revision `after`, the query of the request; all
+/// entries if it is not a number.
 fn snapshot_response(node: &Node, after: &str) -> Response<Full<Bytes>> {
     let after: Revision = after.parse().unwrap_or(0);
     let directory = node.directory.borrow();
