--- a/crates/entry/src/lifecycle.rs
+++ b/crates/entry/src/lifecycle.rs
@@ -16,7 +16,7 @@
 use crate::shutdown::Shutdown;
 use crate::{directory, gossip, reload, server};
 
-/// Interval at which queued requests are checked for expiry and dispatched again.
+/// Interval at which queued requests are checked for expiry and free slots are assigned to them.
 const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Interval at which idle connections are closed and a suspension of the machine is detected.
@@ -122,7 +122,8 @@
     now.as_micros() as u64
 }
 
-/// Refuses queued requests whose wait has expired, and retries those whose replicas were in backoff.
+/// Refuses queued requests whose wait has expired, and assigns the slots that no event announces, such
+/// as those of a replica whose backoff has ended.
 async fn check_queue(node: Rc<Node>) {
     loop {
         if node.dispatch.borrow().waiting_count() == 0 {
