--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -42,7 +42,8 @@
     }
 }
 
-/// Largest number of replicas with metrics of their own; of a larger fleet the first by name.
+/// Largest number of replicas with metrics of their own; in a larger fleet the first ones by name have
+/// them.
 const MAX_REPLICAS: usize = 200;
 
 /// Metrics of one instance. Outcomes come from closed lists, which bounds the number of label values.
