--- a/crates/entry/src/refusal.rs
+++ b/crates/entry/src/refusal.rs
@@ -41,11 +41,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RunStatus {
-    /// The request was dispatched.
+    /// The request was dispatched to an upstream.
     Yes,
     /// The request was not dispatched and never will be.
     No,
-    /// The request may have been dispatched.
+    /// The request may have been dispatched to an upstream.
     Unknown,
 }
 
