--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -105,7 +105,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetrySettings {
-    /// Retries per request.
+    /// Retries allowed per request that is received in the window.
     pub ratio: f64,
     /// Window in seconds in which requests and retries are counted.
     pub window_s: f64,
