--- a/examples/capacity/zone.rs
+++ b/examples/capacity/zone.rs
@@ -10,7 +10,7 @@
 use http::Method;
 use kingcupfield::client::Client;
 use kingcupfield::instance::Instance;
-use kingcupfield::load::call::Prepared;
+use kingcupfield::load::call::PlannedCall;
 use kingcupfield::load::mix::{Job, Mix, Phase, Sender};
 use kingcupfield::load::{Arrival, Arrivals, Caller, Report, runner};
 use kingcupfield::settings::{LogSettings, Settings};
@@ -291,7 +291,7 @@
     let caller = Caller::new(addresses);
     let mix = mix(rate);
     let call = |arrival: &Arrival<'_>, at| {
-        let (caller, call) = (caller.clone(), Prepared::new(arrival, SEED));
+        let (caller, call) = (caller.clone(), PlannedCall::new(arrival, SEED));
         async move { caller.call(call, at).await }
     };
     let tally = runner::run(Arrivals::new(&mix, SEED), call, |_, _| {}).await;
--- a/src/bin/kingcup/load.rs
+++ b/src/bin/kingcup/load.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
-use kingcupfield::load::call::Prepared;
+use kingcupfield::load::call::PlannedCall;
 use kingcupfield::load::{Arrival, Arrivals, Caller, Mix, Report, plot, runner};
 use pico_args::Arguments;
 
@@ -77,7 +77,7 @@
     let bar = progress_bar(planned);
     let arrivals = Arrivals::new(&options.mix, seed);
     let call = |arrival: &Arrival<'_>, at| {
-        let (caller, call) = (caller.clone(), Prepared::new(arrival, seed));
+        let (caller, call) = (caller.clone(), PlannedCall::new(arrival, seed));
         async move { caller.call(call, at).await }
     };
     let tally = runner::run(arrivals, call, |sent, ended| {
--- a/src/load/call.rs
+++ b/src/load/call.rs
@@ -65,14 +65,14 @@
 
 /// A call ready to be sent: everything that a task needs without the plan.
 #[derive(Debug, Clone)]
-pub struct Prepared {
+pub struct PlannedCall {
     number: u64,
     job: Job,
     sender: Sender,
     seed: u64,
 }
 
-impl Prepared {
+impl PlannedCall {
     /// Takes a request out of the plan; prompts differ by `seed` and number.
     pub fn new(arrival: &super::Arrival<'_>, seed: u64) -> Self {
         Self {
@@ -138,7 +138,7 @@
     }
 
     /// Sends `call`, which was planned for `planned`.
-    pub async fn call(&self, call: Prepared, planned: Instant) -> CallResult {
+    pub async fn call(&self, call: PlannedCall, planned: Instant) -> CallResult {
         let deadline = planned + call.job.timeout() + GRACE;
         let body = match timeout_at(deadline, self.exchange(&call)).await {
             Ok(Ok(body)) => body,
@@ -160,7 +160,7 @@
         &self.addresses[number as usize % self.addresses.len()]
     }
 
-    async fn exchange(&self, call: &Prepared) -> Result<Body, ClientError> {
+    async fn exchange(&self, call: &PlannedCall) -> Result<Body, ClientError> {
         let address = self.address(call.number);
         let mut req = self.request(call);
         if call.job.non_idempotent {
@@ -192,7 +192,7 @@
         self.follow(address, rsp).await
     }
 
-    fn request(&self, call: &Prepared) -> Request<Full<Bytes>> {
+    fn request(&self, call: &PlannedCall) -> Request<Full<Bytes>> {
         let address = self.address(call.number);
         let uri = |path: &str| format!("http://{address}{path}");
         if let Some((method, path)) = call.job.call.as_deref().and_then(|c| c.split_once(' ')) {
@@ -209,7 +209,7 @@
         build(call, "POST", &uri("/v1/chat/completions"), body.to_string())
     }
 
-    fn key_request(&self, call: &Prepared) -> Request<Full<Bytes>> {
+    fn key_request(&self, call: &PlannedCall) -> Request<Full<Bytes>> {
         let address = self.address(call.number);
         let uri = format!("http://{address}/v1/idempotency-keys");
         build(call, "POST", &uri, String::new())
@@ -285,7 +285,7 @@
 }
 
 // An operator's word that fits no header leaves an empty request, which ends as unreachable.
-fn build(call: &Prepared, method: &str, uri: &str, body: String) -> Request<Full<Bytes>> {
+fn build(call: &PlannedCall, method: &str, uri: &str, body: String) -> Request<Full<Bytes>> {
     Request::builder()
         .method(method)
         .uri(uri)
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -7,7 +7,7 @@
 use axum::response::Response;
 use axum::routing::{get, post};
 use futures::StreamExt;
-use kingcupfield::load::call::Prepared;
+use kingcupfield::load::call::PlannedCall;
 use kingcupfield::load::mix::{Job, Mix, Phase, Sender};
 use kingcupfield::load::{Arrivals, CallResult, Caller, Ending, Report, Tally, plot, runner};
 use tokio::time::{Instant, sleep_until};
@@ -262,7 +262,7 @@
     let address = serve(case.status, case.body, case.broken).await;
     let mix = mix();
     let arrival = Arrivals::new(&mix, SEED).next().expect("an arrival");
-    let call = Prepared::new(&arrival, SEED);
+    let call = PlannedCall::new(&arrival, SEED);
     let result = Caller::new(vec![address]).call(call, Instant::now()).await;
     assert_eq!(result.ending, case.ending);
 }
@@ -274,7 +274,7 @@
     drop(listener);
     let mix = mix();
     let arrival = Arrivals::new(&mix, SEED).next().expect("an arrival");
-    let call = Prepared::new(&arrival, SEED);
+    let call = PlannedCall::new(&arrival, SEED);
     let result = Caller::new(vec![address]).call(call, Instant::now()).await;
     assert_eq!(result.ending, Ending::Unreachable);
 }
@@ -285,7 +285,7 @@
     let prompts: Vec<_> = Arrivals::new(&mix, SEED)
         .filter(|a| a.job.job == "draft")
         .take(2)
-        .map(|a| Prepared::new(&a, SEED).prompt())
+        .map(|a| PlannedCall::new(&a, SEED).prompt())
         .collect();
     let words = |i: usize| prompts[i].split(' ').collect::<Vec<_>>();
     let same = words(0)
