--- a/tests/processes/kill_instance.rs
+++ b/tests/processes/kill_instance.rs
@@ -9,15 +9,15 @@
 async fn a_killed_instance_loses_only_what_waited_on_it() {
     let mut fleet = Fleet::start(FleetConfig::seven()).await;
     let load = Load::start(&fleet, LoadConfig::new(11));
-    load.more_whole(100).await;
+    load.wait_for_complete(100).await;
     let killed = fleet.entries[0].addr;
     fleet.entries[0].process.kill();
     fleet.entries[0].process.ended().await;
-    load.more_whole(100).await;
-    load.take_out(killed);
+    load.wait_for_complete(100).await;
+    load.remove_address(killed);
     fleet.entries[0].state = None;
     fleet.publish_instances().await;
-    load.more_whole_in("north-sea", 100).await;
+    load.wait_for_complete_in_zone("north-sea", 100).await;
     let records = load.stop().await;
     check(&records, &fleet.runs().await);
 }
--- a/tests/processes/lost_answers.rs
+++ b/tests/processes/lost_answers.rs
@@ -39,7 +39,7 @@
     for service in fleet.services() {
         fleet.upstream_faults(service, &json!({})).await;
     }
-    load.more_whole(100).await;
+    load.wait_for_complete(100).await;
     let records = load.stop().await;
     check(&records, &fleet.runs().await);
 }
--- a/tests/processes/overload.rs
+++ b/tests/processes/overload.rs
@@ -12,7 +12,7 @@
         .collect();
     let whole = of_tier
         .iter()
-        .filter(|record| record.claims_whole())
+        .filter(|record| record.appears_complete())
         .count();
     whole as f64 / of_tier.len() as f64
 }
@@ -26,7 +26,7 @@
         .with_max_tokens(32)
         .with_timeout_ms(3_000);
     let load = Load::start(&fleet, load);
-    load.more_whole(400).await;
+    load.wait_for_complete(400).await;
     let records = load.stop().await;
     check(&records, &fleet.runs().await);
     let shares: Vec<f64> = (0..TIERS.len())
--- a/tests/processes/pairs.rs
+++ b/tests/processes/pairs.rs
@@ -14,12 +14,12 @@
     let mut fleet = Fleet::start(FleetConfig::seven()).await;
     fleet.platform_faults(&json!({"down": true})).await;
     let load = Load::start(&fleet, LoadConfig::new(41));
-    load.more_whole(100).await;
+    load.wait_for_complete(100).await;
     let (zone, killed) = (fleet.entries[0].zone, fleet.entries[0].addr);
     fleet.entries[0].process.kill();
     fleet.entries[0].process.ended().await;
-    load.take_out(killed);
-    load.more_whole_in(zone, 100).await;
+    load.remove_address(killed);
+    load.wait_for_complete_in_zone(zone, 100).await;
     let records = load.stop().await;
     check(&records, &fleet.runs().await);
 }
@@ -30,13 +30,13 @@
 async fn an_upstream_and_an_instance_die_together() {
     let mut fleet = Fleet::start(FleetConfig::seven()).await;
     let load = Load::start(&fleet, LoadConfig::new(42).with_max_tokens(48));
-    load.more_whole(100).await;
+    load.wait_for_complete(100).await;
     let (zone, killed) = (fleet.entries[1].zone, fleet.entries[1].addr);
     fleet.upstreams[1].relay.set(Link::Refusing);
     fleet.entries[1].process.kill();
     fleet.entries[1].process.ended().await;
-    load.take_out(killed);
-    load.more_whole_in(zone, 100).await;
+    load.remove_address(killed);
+    load.wait_for_complete_in_zone(zone, 100).await;
     let records = load.stop().await;
     check(&records, &fleet.runs().await);
 }
--- a/tests/processes/pause_instance.rs
+++ b/tests/processes/pause_instance.rs
@@ -17,12 +17,12 @@
 async fn a_paused_instance_breaks_no_promise_when_it_wakes() {
     let fleet = Fleet::start(FleetConfig::seven()).await;
     let load = Load::start(&fleet, LoadConfig::new(12));
-    load.more_whole(100).await;
+    load.wait_for_complete(100).await;
     let paused = &fleet.entries[0];
     paused.process.pause();
     sleep(PAUSE).await;
     paused.process.wake();
-    load.more_whole_in(paused.zone, 100).await;
+    load.wait_for_complete_in_zone(paused.zone, 100).await;
     let records = load.stop().await;
     check(&records, &fleet.runs().await);
 }
--- a/tests/processes/platform_faults.rs
+++ b/tests/processes/platform_faults.rs
@@ -14,7 +14,7 @@
     let fleet = Fleet::start(FleetConfig::seven()).await;
     fleet.platform_faults(&json!({"down": true})).await;
     let load = Load::start(&fleet, LoadConfig::new(14));
-    load.more_whole(400).await;
+    load.wait_for_complete(400).await;
     let records = load.stop().await;
     check(&records, &fleet.runs().await);
     check_none_cut(&records);
--- a/tests/processes/rolling_restart.rs
+++ b/tests/processes/rolling_restart.rs
@@ -17,7 +17,7 @@
     fleet.entries[0].process.terminate();
     let not_ready = async || !fleet.is_ready(&fleet.entries[0]).await;
     wait_for("the leaver not ready", not_ready).await;
-    load.follow(fleet);
+    load.update_addresses(fleet);
     let mut left = fleet.entries.remove(0);
     let status = left.process.ended().await;
     assert!(status.success(), "{name}: {status}");
@@ -28,10 +28,10 @@
 async fn a_rolling_restart_cuts_no_request() {
     let mut fleet = Fleet::start(FleetConfig::seven()).await;
     let load = Load::start(&fleet, LoadConfig::new(13));
-    load.more_whole(100).await;
+    load.wait_for_complete(100).await;
     for _ in 0..fleet.entries.len() {
         replace_first(&mut fleet, &load).await;
-        load.more_whole(20).await;
+        load.wait_for_complete(20).await;
     }
     let records = load.stop().await;
     check(&records, &fleet.runs().await);
--- a/tests/processes/stream_faults.rs
+++ b/tests/processes/stream_faults.rs
@@ -24,7 +24,7 @@
         fleet.upstream_faults(engine, &faults).await;
     }
     let load = Load::start(&fleet, LoadConfig::new(seed));
-    load.more_whole(200).await;
+    load.wait_for_complete(200).await;
     let records = load.stop().await;
     check(&records, &fleet.runs().await);
     check_none_cut(&records);
--- a/tests/processes/upstream_dies.rs
+++ b/tests/processes/upstream_dies.rs
@@ -10,12 +10,12 @@
 async fn a_dead_upstream_costs_only_the_streams_that_it_had() {
     let fleet = Fleet::start(FleetConfig::seven()).await;
     let load = Load::start(&fleet, LoadConfig::new(18).with_max_tokens(64));
-    load.more_whole(100).await;
+    load.wait_for_complete(100).await;
     let dead = &fleet.upstreams[0];
     dead.relay.set(Link::Refusing);
-    load.more_whole_in(dead.zone, 100).await;
+    load.wait_for_complete_in_zone(dead.zone, 100).await;
     let lost_at_once = failed(&load);
-    load.more_whole_in(dead.zone, 100).await;
+    load.wait_for_complete_in_zone(dead.zone, 100).await;
     let lost_later = failed(&load) - lost_at_once;
     assert!(
         lost_later <= lost_at_once.max(5),
@@ -28,6 +28,6 @@
 fn failed(load: &Load) -> usize {
     load.records()
         .iter()
-        .filter(|record| !record.claims_whole())
+        .filter(|record| !record.appears_complete())
         .count()
 }
--- a/tests/processes/upstream_leaving.rs
+++ b/tests/processes/upstream_leaving.rs
@@ -23,7 +23,7 @@
 async fn no_new_work(source: Source, seed: u64) {
     let mut fleet = Fleet::start(FleetConfig::seven()).await;
     let load = Load::start(&fleet, LoadConfig::new(seed));
-    load.more_whole(100).await;
+    load.wait_for_complete(100).await;
     let told_ms = epoch_ms();
     match source {
         Source::List => {
@@ -38,7 +38,7 @@
     }
     let leaving = fleet.upstreams[0].name.clone();
     sleep(NO_NEW_WORK_AFTER).await;
-    load.more_whole(200).await;
+    load.wait_for_complete(200).await;
     let records = load.stop().await;
     let runs = fleet.runs().await;
     let after_ms = told_ms + NO_NEW_WORK_AFTER.as_millis() as u64;
--- a/tests/processes/upstream_slows.rs
+++ b/tests/processes/upstream_slows.rs
@@ -11,14 +11,14 @@
 async fn a_slow_engine_gets_little_new_work() {
     let fleet = Fleet::start(FleetConfig::small()).await;
     let load = Load::start(&fleet, LoadConfig::new(19));
-    load.more_whole(200).await;
+    load.wait_for_complete(200).await;
     let slow = fleet.upstreams[0].name.clone();
     fleet
         .upstream_faults(&fleet.upstreams[0], &json!({"slowdown": 20.0}))
         .await;
-    load.more_whole(200).await;
+    load.wait_for_complete(200).await;
     let before = fleet.runs().await.len();
-    load.more_whole(300).await;
+    load.wait_for_complete(300).await;
     let records = load.stop().await;
     let runs = fleet.runs().await;
     let later: Vec<_> = runs.iter().filter(|ran| ran.service == MODEL).collect();
--- a/tests/support/checks.rs
+++ b/tests/support/checks.rs
@@ -31,7 +31,7 @@
 fn nothing_seen(records: &[Record], runs: &[Ran]) -> Vec<String> {
     let whole = records
         .iter()
-        .filter(|record| record.claims_whole())
+        .filter(|record| record.appears_complete())
         .count();
     let seen = whole > 0 && !runs.is_empty();
     let empty = (!seen).then(|| format!("{whole} whole answers, {} runs", runs.len()));
@@ -102,7 +102,7 @@
 }
 
 fn not_whole(records: &[Record]) -> Vec<String> {
-    let claimed = records.iter().filter(|record| record.claims_whole());
+    let claimed = records.iter().filter(|record| record.appears_complete());
     let replies = claimed.filter_map(|record| Some((record, record.reply.as_ref()?)));
     let wrong = replies.filter(|(record, reply)| match &record.requested {
         Requested::Chat { expected } => reply.text() != *expected || foreign_chunks(reply),
@@ -174,7 +174,7 @@
 pub fn check_none_cut(records: &[Record]) {
     let cut: Vec<String> = records
         .iter()
-        .filter(|record| !record.claims_whole())
+        .filter(|record| !record.appears_complete())
         .map(|record| match &record.reply {
             None => format!("no answer: {:?}", record.requested),
             Some(reply) => format!("{} {}", reply.status, reply.body),
--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -53,7 +53,7 @@
 
 impl Record {
     /// Whether the caller holds what it takes for its whole answer.
-    pub fn claims_whole(&self) -> bool {
+    pub fn appears_complete(&self) -> bool {
         self.reply
             .as_ref()
             .is_some_and(|reply| match self.requested {
@@ -143,12 +143,12 @@
     }
 
     /// Sends callers to the instances that are on the fleet's list now.
-    pub fn follow(&self, fleet: &Fleet) {
+    pub fn update_addresses(&self, fleet: &Fleet) {
         self.addresses.send_replace(addresses_of(fleet));
     }
 
     /// Takes an instance out of the balancer.
-    pub fn take_out(&self, addr: SocketAddr) {
+    pub fn remove_address(&self, addr: SocketAddr) {
         self.addresses
             .send_modify(|addresses| addresses.retain(|(_, entry)| *entry != addr));
     }
@@ -161,23 +161,23 @@
         let records = self.records.lock().expect("no caller panicked");
         records
             .iter()
-            .filter(|record| record.claims_whole())
+            .filter(|record| record.appears_complete())
             .count()
     }
 
     /// Waits until callers have `count` more whole answers than now.
-    pub async fn more_whole(&self, count: usize) {
+    pub async fn wait_for_complete(&self, count: usize) {
         let enough = self.whole() + count;
         wait_for("more whole answers", async || self.whole() >= enough).await;
     }
 
     /// Waits until callers of one zone have `count` more whole answers than now.
-    pub async fn more_whole_in(&self, zone: &str, count: usize) {
+    pub async fn wait_for_complete_in_zone(&self, zone: &str, count: usize) {
         let whole = || {
             let records = self.records.lock().expect("no caller panicked");
             records
                 .iter()
-                .filter(|record| record.zone == zone && record.claims_whole())
+                .filter(|record| record.zone == zone && record.appears_complete())
                 .count()
         };
         let enough = whole() + count;
