--- a/src/load/plot.rs
+++ b/src/load/plot.rs
@@ -1,4 +1,4 @@
-//! Goodput by tier over time as an SVG picture.
+//! SVG chart of goodput over time by tier.
 
 use std::path::Path;
 
@@ -7,21 +7,21 @@
 
 use super::report::{GroupReport, Report};
 
-const SIZE: (u32, u32) = (960, 480);
-const MARGIN: u32 = 12;
-const LABEL_WIDTH: u32 = 48;
-const LABEL_HEIGHT: u32 = 40;
-const LEGEND_LINE: i32 = 18;
+const SIZE_PX: (u32, u32) = (960, 480);
+const MARGIN_PX: u32 = 12;
+const Y_LABEL_WIDTH_PX: u32 = 48;
+const X_LABEL_HEIGHT_PX: u32 = 40;
+const LEGEND_LINE_PX: i32 = 18;
 
-/// Colours that differ for colour-blind readers too (Okabe and Ito).
-const COLOURS: [RGBColor; 4] = [
+/// Line colours, distinguishable with colour blindness (Okabe and Ito).
+const TIER_COLOURS: [RGBColor; 4] = [
     RGBColor(0, 114, 178),
     RGBColor(230, 159, 0),
     RGBColor(0, 158, 115),
     RGBColor(204, 121, 167),
 ];
 
-/// The picture can't be drawn or written.
+/// The chart can't be drawn or written to its file.
 #[derive(Debug, Error)]
 #[error("{path}: {reason}")]
 pub struct PlotError {
@@ -29,7 +29,7 @@
     reason: String,
 }
 
-/// Draws for each tier whole answers in time (strong) under arrivals (faint) by second.
+/// Draws, per tier and second of arrival, complete responses in time (strong) and arrivals (faint).
 pub fn plot(report: &Report, path: &Path) -> Result<(), PlotError> {
     draw(report, path).map_err(|e| PlotError {
         path: path.display().to_string(),
@@ -38,20 +38,20 @@
 }
 
 fn draw(report: &Report, path: &Path) -> Result<(), Box<dyn std::error::Error>> {
-    let root = SVGBackend::new(path, SIZE).into_drawing_area();
+    let root = SVGBackend::new(path, SIZE_PX).into_drawing_area();
     root.fill(&WHITE)?;
-    let seconds = report.tiers.iter().map(|t| t.seconds.len()).max();
-    let most = report.tiers.iter().flat_map(|t| &t.seconds).map(|s| s.sent);
-    let top = most.max().unwrap_or(0).max(1) as f64 * 1.1;
+    let duration_s = report.tiers.iter().map(|t| t.seconds.len()).max();
+    let max_sent = report.tiers.iter().flat_map(|t| &t.seconds).map(|s| s.sent);
+    let y_max = max_sent.max().unwrap_or(0).max(1) as f64 * 1.1;
     let mut chart = ChartBuilder::on(&root)
-        .margin(MARGIN)
+        .margin(MARGIN_PX)
         .caption(
             "Whole answers in time (strong) and arrivals (faint), by tier",
             ("sans-serif", 18),
         )
-        .x_label_area_size(LABEL_HEIGHT)
-        .y_label_area_size(LABEL_WIDTH)
-        .build_cartesian_2d(0.0..seconds.unwrap_or(0).max(1) as f64, 0.0..top)?;
+        .x_label_area_size(X_LABEL_HEIGHT_PX)
+        .y_label_area_size(Y_LABEL_WIDTH_PX)
+        .build_cartesian_2d(0.0..duration_s.unwrap_or(0).max(1) as f64, 0.0..y_max)?;
     chart
         .configure_mesh()
         .x_desc("second of arrival")
@@ -59,16 +59,22 @@
         .light_line_style(WHITE)
         .draw()?;
     for (i, tier) in report.tiers.iter().enumerate() {
-        let colour = COLOURS[i % COLOURS.len()];
-        chart.draw_series(LineSeries::new(steps(tier, |s| s.sent), colour.mix(0.35)))?;
+        let colour = TIER_COLOURS[i % TIER_COLOURS.len()];
+        chart.draw_series(LineSeries::new(
+            step_points(tier, |s| s.sent),
+            colour.mix(0.35),
+        ))?;
         chart
             .draw_series(LineSeries::new(
-                steps(tier, |s| s.good),
+                step_points(tier, |s| s.good),
                 colour.stroke_width(2),
             ))?
             .label(tier.name.clone())
             .legend(move |(x, y)| {
-                PathElement::new(vec![(x, y), (x + LEGEND_LINE, y)], colour.stroke_width(2))
+                PathElement::new(
+                    vec![(x, y), (x + LEGEND_LINE_PX, y)],
+                    colour.stroke_width(2),
+                )
             });
     }
     chart
@@ -81,8 +87,8 @@
     Ok(())
 }
 
-// A count holds for its whole second, so the line is drawn in steps.
-fn steps<V>(tier: &GroupReport, value: V) -> Vec<(f64, f64)>
+// A count applies to an entire second, so the line is drawn as steps.
+fn step_points<V>(tier: &GroupReport, value: V) -> Vec<(f64, f64)>
 where
     V: Fn(&super::report::SecondReport) -> u64,
 {
