--- a/tests/support/load.rs
+++ b/tests/support/load.rs
@@ -1,4 +1,4 @@
-//! A load of callers that runs while a test breaks things, and keeps what each was told.
+//! Concurrent callers that send requests while a test injects faults, and record every response.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -19,40 +19,42 @@
 use crate::fleet::{BOOKINGS, Fleet, MODEL, key_of};
 use crate::process::wait_for;
 
-/// Longest pause of a caller between two calls, in milliseconds.
+/// Upper bound of the random pause of a caller between two calls, in milliseconds.
 const MAX_THINK_MS: u64 = 40;
-/// Times that a caller sends a booking before it gives up.
+/// Number of times that a caller sends a booking whose outcome remains unknown.
 const BOOKING_ATTEMPTS: usize = 4;
 /// Pause before a booking is sent again.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Tiers, the highest first.
+/// Tiers, highest priority first.
 pub const TIERS: [&str; 3] = ["urgent", "normal", "bulk"];
 /// Organisations whose keys the callers use.
 const ORGANISATIONS: [&str; 2] = ["terminal-a", "terminal-b"];
 
-/// What a caller asked for.
+/// Request of a caller, with the data to check its response.
 #[derive(Debug, Clone)]
 pub enum Requested {
-    /// A completion with this text as its answer.
+    /// A completion that must return this text.
     Chat { expected: String },
     /// A booking under this idempotency key, with this body.
     Booking { key: String, body: String },
 }
 
-/// One call and what the caller was told.
+/// One call and the response that its caller received; times are milliseconds since the epoch.
 #[derive(Debug, Clone)]
 pub struct Record {
     pub requested: Requested,
+    /// Index into `TIERS`.
     pub tier: usize,
+    /// Availability zone of the instance that was called.
     pub zone: &'static str,
     pub sent_ms: u64,
     pub answered_ms: u64,
-    /// `None` when the connection failed before an answer began.
+    /// `None` if the connection failed before a response began.
     pub reply: Option<Reply>,
 }
 
 impl Record {
-    /// Whether the caller holds what it takes for its whole answer.
+    /// Whether the caller can't tell that its response is incomplete.
     pub fn appears_complete(&self) -> bool {
         self.reply
             .as_ref()
@@ -63,17 +65,20 @@
     }
 }
 
-/// Where the balancer sends callers.
+/// Availability zones and addresses of the instances that receive calls.
 pub type EntryAddresses = Vec<(&'static str, SocketAddr)>;
 
-/// How much is asked for.
+/// Configuration of the callers.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadConfig {
     pub seed: u64,
+    /// Number of concurrent callers.
     pub callers: usize,
+    /// Largest `max_tokens` of a completion.
     pub max_tokens: u64,
-    /// One call in this many is a booking.
+    /// One in this many calls, on average, is a booking.
     pub booking_every: u64,
+    /// Value of the `kingcup-timeout-ms` header.
     pub timeout_ms: u64,
 }
 
@@ -104,7 +109,7 @@
     }
 }
 
-/// Callers at work.
+/// Handle of the running callers; dropping it aborts them.
 #[derive(Debug)]
 pub struct Load {
     addresses: watch::Sender<EntryAddresses>,
@@ -114,9 +119,9 @@
 }
 
 impl Load {
-    /// Starts callers at all entry instances of `fleet`.
+    /// Starts callers that call all live entry instances of `fleet`.
     pub fn start(fleet: &Fleet, cfg: LoadConfig) -> Self {
-        let addresses = watch::Sender::new(addresses_of(fleet));
+        let addresses = watch::Sender::new(live_addresses(fleet));
         let stop = watch::Sender::new(false);
         let records = Arc::new(Mutex::new(Vec::new()));
         let tasks = (0..cfg.callers)
@@ -142,12 +147,12 @@
         }
     }
 
-    /// Sends callers to the instances that are on the fleet's list now.
+    /// Directs callers to the instances that are live in `fleet` now.
     pub fn update_addresses(&self, fleet: &Fleet) {
-        self.addresses.send_replace(addresses_of(fleet));
+        self.addresses.send_replace(live_addresses(fleet));
     }
 
-    /// Takes an instance out of the balancer.
+    /// Stops callers from calling the instance at `addr`.
     pub fn remove_address(&self, addr: SocketAddr) {
         self.addresses
             .send_modify(|addresses| addresses.retain(|(_, entry)| *entry != addr));
@@ -157,7 +162,7 @@
         self.records.lock().expect("no caller panicked").clone()
     }
 
-    fn whole(&self) -> usize {
+    fn complete_count(&self) -> usize {
         let records = self.records.lock().expect("no caller panicked");
         records
             .iter()
@@ -165,36 +170,42 @@
             .count()
     }
 
-    /// Waits until callers have `count` more whole answers than now.
+    /// Waits for `count` more complete responses.
     pub async fn wait_for_complete(&self, count: usize) {
-        let enough = self.whole() + count;
-        wait_for("more whole answers", async || self.whole() >= enough).await;
+        let target_count = self.complete_count() + count;
+        wait_for("more whole answers", async || {
+            self.complete_count() >= target_count
+        })
+        .await;
     }
 
-    /// Waits until callers of one zone have `count` more whole answers than now.
+    /// Waits for `count` more complete responses from instances of one availability zone.
     pub async fn wait_for_complete_in_zone(&self, zone: &str, count: usize) {
-        let whole = || {
+        let complete_count = || {
             let records = self.records.lock().expect("no caller panicked");
             records
                 .iter()
                 .filter(|record| record.zone == zone && record.appears_complete())
                 .count()
         };
-        let enough = whole() + count;
-        wait_for("more whole answers in a zone", async || whole() >= enough).await;
+        let target_count = complete_count() + count;
+        wait_for("more whole answers in a zone", async || {
+            complete_count() >= target_count
+        })
+        .await;
     }
 
-    /// Lets each caller end what it asked for, and returns all that they were told.
+    /// Waits until each caller has finished its current request, then returns all records.
     pub async fn stop(mut self) -> Vec<Record> {
         self.stop.send_replace(true);
         for task in self.tasks.drain(..) {
             task.await.expect("a caller that did not panic");
         }
         let records = self.records();
-        let booked = records.iter().filter(|record| {
+        let answered_bookings = records.iter().filter(|record| {
             matches!(record.requested, Requested::Booking { .. }) && record.reply.is_some()
         });
-        assert!(booked.count() > 0, "no booking was answered");
+        assert!(answered_bookings.count() > 0, "no booking was answered");
         records
     }
 }
@@ -207,15 +218,15 @@
     }
 }
 
-fn addresses_of(fleet: &Fleet) -> EntryAddresses {
-    let live = fleet
+fn live_addresses(fleet: &Fleet) -> EntryAddresses {
+    let live_entries = fleet
         .entries
         .iter()
         .filter(|entry| entry.state == Some("live"));
-    live.map(|entry| (entry.zone, entry.addr)).collect()
+    live_entries.map(|entry| (entry.zone, entry.addr)).collect()
 }
 
-/// One caller.
+/// One caller: sends calls one after the other until it is stopped.
 #[derive(Debug)]
 struct Worker {
     cfg: LoadConfig,
@@ -253,7 +264,7 @@
         self.send(Requested::Chat { expected }, call).await;
     }
 
-    /// Books once, sending the same key again while the outcome is open.
+    /// Sends one booking and retries it with the same key while its outcome is unknown.
     async fn book(&mut self, turn: u64) {
         let Some(key) = self.idempotency_key().await else {
             return;
@@ -267,8 +278,8 @@
                 key: key.clone(),
                 body: body.clone(),
             };
-            let settled = self.send(requested, call).await;
-            if settled {
+            let outcome_known = self.send(requested, call).await;
+            if outcome_known {
                 return;
             }
             sleep(RETRY_PAUSE).await;
@@ -276,7 +287,7 @@
     }
 
     async fn idempotency_key(&mut self) -> Option<String> {
-        let (_, addr) = self.entry();
+        let (_, addr) = self.choose_entry();
         let call = Call::new(Method::POST, "/v1/idempotency-keys")
             .with_json(&json!({}))
             .with_key(&key_of(self.organisation()));
@@ -284,17 +295,17 @@
         reply.json()["idempotency_key"].as_str().map(str::to_owned)
     }
 
-    /// Sends a call and records it; true when the caller knows the outcome.
+    /// Sends a call and records its response; returns whether the caller knows the outcome.
     async fn send(&mut self, requested: Requested, call: Call) -> bool {
         let tier = self.rng.random_range(0..TIERS.len());
-        let (zone, addr) = self.entry();
+        let (zone, addr) = self.choose_entry();
         let call = call
             .with_key(&key_of(self.organisation()))
             .with_header("kingcup-tier", TIERS[tier])
             .with_header("kingcup-timeout-ms", &self.cfg.timeout_ms.to_string());
         let sent_ms = epoch_ms();
         let reply = self.caller.call(addr, &call).await;
-        let settled = reply
+        let outcome_known = reply
             .as_ref()
             .is_some_and(|reply| reply.ended && reply.ran() != "unknown");
         let answered_ms = epoch_ms();
@@ -310,19 +321,19 @@
             .lock()
             .expect("no caller panicked")
             .push(record);
-        settled
+        outcome_known
     }
 
     fn organisation(&self) -> &'static str {
         ORGANISATIONS[self.number / 3 % ORGANISATIONS.len()]
     }
 
-    /// An instance of the caller's own zone, which the balancer keeps to while one is there.
-    fn entry(&mut self) -> (&'static str, SocketAddr) {
+    /// Chooses a random instance of the caller's zone, or of any zone if its own has none.
+    fn choose_entry(&mut self) -> (&'static str, SocketAddr) {
         let all = self.addresses.borrow().clone();
-        let mut near = all.clone();
-        near.retain(|(zone, _)| *zone == self.zone);
-        let addresses = if near.is_empty() { all } else { near };
+        let mut same_zone = all.clone();
+        same_zone.retain(|(zone, _)| *zone == self.zone);
+        let addresses = if same_zone.is_empty() { all } else { same_zone };
         addresses[self.rng.random_range(0..addresses.len())]
     }
 }
