--- a/src/load.rs
+++ b/src/load.rs
@@ -1,8 +1,9 @@
-//! The load tool: sends a seeded, open-loop plan of requests and tells what callers received.
+//! Open-loop load generator: sends a seeded schedule of requests and reports the responses.
 //!
-//! Arrivals do not wait for answers, and every time is counted from the planned arrival, not from
-//! when the tool got round to sending. A closed loop would send less the slower the system gets
-//! and would leave out exactly the worst waits (coordinated omission).
+//! Requests are sent on schedule without waiting for earlier responses, and every latency is
+//! measured from the scheduled arrival time, not from the actual send time. A closed loop would
+//! send fewer requests the slower the system gets and so omit the longest waits (coordinated
+//! omission).
 
 pub mod arrivals;
 pub mod call;
@@ -13,7 +14,7 @@
 pub mod tally;
 
 pub use arrivals::{Arrival, Arrivals};
-pub use call::{CallResult, Caller, Ending};
+pub use call::{CallOutcome, CallResult, Caller};
 pub use mix::{Mix, MixError};
 pub use report::Report;
 pub use tally::Tally;
--- a/src/load/call.rs
+++ b/src/load/call.rs
@@ -1,4 +1,4 @@
-//! One request of the plan over HTTP, and what its caller received.
+//! Sends one scheduled request over HTTP and classifies the response.
 
 use std::time::Duration;
 
@@ -16,54 +16,54 @@
 use super::mix::{Job, Sender};
 use crate::client::{Client, ClientError, read};
 
-/// After the deadline the caller listens this long for a refusal that is on its way.
-const GRACE: Duration = Duration::from_secs(5);
+/// Extra time after the call's timeout in which a refusal already in transit is still accepted.
+const REFUSAL_GRACE_PERIOD: Duration = Duration::from_secs(5);
 
-/// How a call ended, as its caller sees it.
+/// Outcome of a call as the caller observes it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Ending {
-    /// The whole answer to its own request came.
-    Whole,
-    /// An error body came; its kind, and `yes`, `no` or `unknown` for whether it ran.
+pub enum CallOutcome {
+    /// The complete response to this request arrived.
+    Complete,
+    /// An error response arrived.
     Refused {
-        /// `kind` of the error body, or the status without one.
+        /// `kind` of the error body, or the HTTP status if the body can't be parsed.
         kind: String,
-        /// `Kingcup-Ran`.
+        /// `Kingcup-Ran` header: `yes`, `no` or `unknown`, whether the request was executed.
         ran: String,
     },
-    /// A 200 that ended before `[DONE]`.
-    Short,
-    /// A chunk that belongs to another request.
-    Foreign,
-    /// No connection, nothing was sent.
+    /// The stream of a 200 response ended before `[DONE]`, or a key response had no valid body.
+    Truncated,
+    /// A chunk carries another request's ID or is not valid JSON.
+    WrongRequest,
+    /// No connection could be opened; nothing was sent.
     Unreachable,
-    /// The connection broke.
-    Broken,
-    /// Neither answer nor refusal.
-    Silent,
+    /// The connection broke or timed out before the response was complete.
+    ConnectionBroken,
+    /// No complete response or refusal arrived within the timeout and the grace period.
+    NoResponse,
 }
 
-/// What one caller received; all times count from the planned arrival.
+/// Result of one call; all durations are measured from the scheduled arrival time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallResult {
-    /// How it ended.
-    pub ending: Ending,
-    /// First token of a stream, or the head of a plain answer.
+    /// How the call ended.
+    pub outcome: CallOutcome,
+    /// Time to the first chunk of a stream, or to the headers of a plain service's response.
     pub first_token: Option<Duration>,
-    /// The end, whatever it was.
+    /// Time to the end of the call, whatever its outcome.
     pub total: Duration,
-    /// Chunks with a token.
+    /// Number of chunks received, excluding `[DONE]`; each is counted as one token.
     pub tokens: u64,
 }
 
-/// Sends calls to a list of addresses in turn, as the platform's balancer would.
+/// HTTP client that sends calls to its addresses in turn, like the platform's load balancer.
 #[derive(Debug, Clone)]
 pub struct Caller {
     client: Client,
     addresses: Vec<String>,
 }
 
-/// A call ready to be sent: everything that a task needs without the plan.
+/// A scheduled call with its own copy of the data, so that a spawned task can send it.
 #[derive(Debug, Clone)]
 pub struct PlannedCall {
     number: u64,
@@ -73,7 +73,7 @@
 }
 
 impl PlannedCall {
-    /// Takes a request out of the plan; prompts differ by `seed` and number.
+    /// Copies a request from the schedule; `seed` and the request's number make its prompt unique.
     pub fn new(arrival: &super::Arrival<'_>, seed: u64) -> Self {
         Self {
             number: arrival.number,
@@ -83,15 +83,15 @@
         }
     }
 
-    /// The prompt: first the words that its job and organisation share, then its own.
+    /// Builds the prompt: words shared by the job and organisation, then words unique to the call.
     pub fn prompt(&self) -> String {
-        let own = format!("{}-{}", self.seed, self.number);
-        let shared = format!("{}-{}", self.sender.organisation, self.job.job);
+        let unique_stem = format!("{}-{}", self.seed, self.number);
+        let shared_stem = format!("{}-{}", self.sender.organisation, self.job.job);
         let words = (0..self.job.prompt_words).map(|i| {
             let stem = if i < self.job.shared_words {
-                &shared
+                &shared_stem
             } else {
-                &own
+                &unique_stem
             };
             format!("{stem}-{i}")
         });
@@ -99,7 +99,7 @@
     }
 }
 
-/// The part of a chunk that tells whose it is.
+/// The field of a completion chunk that identifies its request.
 #[derive(Debug, Deserialize)]
 struct Chunk {
     #[serde(default)]
@@ -121,15 +121,15 @@
     idempotency_key: String,
 }
 
-/// What an answer's body turned out to be.
-struct Body {
-    ending: Ending,
+/// Outcome, timing and token count read from a response body.
+struct ReceivedBody {
+    outcome: CallOutcome,
     first_token: Option<Instant>,
     tokens: u64,
 }
 
 impl Caller {
-    /// Makes a caller of one or more addresses.
+    /// Creates a caller for the given instance addresses; at least one is required.
     pub fn new(addresses: Vec<String>) -> Self {
         Self {
             client: Client::new(),
@@ -137,41 +137,47 @@
         }
     }
 
-    /// Sends `call`, which was planned for `planned`.
-    pub async fn call(&self, call: PlannedCall, planned: Instant) -> CallResult {
-        let deadline = planned + call.job.timeout() + GRACE;
+    /// Sends `call` and reads its response; latencies are measured from `scheduled`.
+    pub async fn call(&self, call: PlannedCall, scheduled: Instant) -> CallResult {
+        let deadline = scheduled + call.job.timeout() + REFUSAL_GRACE_PERIOD;
         let body = match timeout_at(deadline, self.exchange(&call)).await {
             Ok(Ok(body)) => body,
-            Ok(Err(e)) => Body::without_token(match e {
-                ClientError::Connect { .. } | ClientError::Address { .. } => Ending::Unreachable,
-                ClientError::Broken { .. } | ClientError::Timeout { .. } => Ending::Broken,
+            Ok(Err(e)) => ReceivedBody::without_tokens(match e {
+                ClientError::Connect { .. } | ClientError::Address { .. } => {
+                    CallOutcome::Unreachable
+                }
+                ClientError::Broken { .. } | ClientError::Timeout { .. } => {
+                    CallOutcome::ConnectionBroken
+                }
             }),
-            Err(_) => Body::without_token(Ending::Silent),
+            Err(_) => ReceivedBody::without_tokens(CallOutcome::NoResponse),
         };
         CallResult {
-            ending: body.ending,
-            first_token: body.first_token.map(|at| at - planned),
-            total: planned.elapsed(),
+            outcome: body.outcome,
+            first_token: body.first_token.map(|at| at - scheduled),
+            total: scheduled.elapsed(),
             tokens: body.tokens,
         }
     }
 
-    fn address(&self, number: u64) -> &str {
+    // Address for the call with this number in the schedule.
+    fn address_for(&self, number: u64) -> &str {
         &self.addresses[number as usize % self.addresses.len()]
     }
 
-    async fn exchange(&self, call: &PlannedCall) -> Result<Body, ClientError> {
-        let address = self.address(call.number);
+    // Sends the call, after requesting an idempotency key if its job needs one.
+    async fn exchange(&self, call: &PlannedCall) -> Result<ReceivedBody, ClientError> {
+        let address = self.address_for(call.number);
         let mut req = self.request(call);
         if call.job.non_idempotent {
-            let issue = self.key_request(call);
-            let rsp = self.client.send(address, issue).await?;
+            let key_req = self.key_request(call);
+            let rsp = self.client.send(address, key_req).await?;
             if rsp.status() != StatusCode::OK && rsp.status() != StatusCode::CREATED {
-                return refused(address, rsp).await;
+                return read_refusal(address, rsp).await;
             }
-            let answer = read(address, rsp).await?;
-            let Ok(key) = serde_json::from_slice::<IssuedKey>(&answer.body) else {
-                return Ok(Body::without_token(Ending::Short));
+            let key_rsp = read(address, rsp).await?;
+            let Ok(key) = serde_json::from_slice::<IssuedKey>(&key_rsp.body) else {
+                return Ok(ReceivedBody::without_tokens(CallOutcome::Truncated));
             };
             if let Ok(value) = key.idempotency_key.parse() {
                 req.headers_mut().insert("idempotency-key", value);
@@ -179,26 +185,26 @@
         }
         let rsp = self.client.send(address, req).await?;
         if !rsp.status().is_success() {
-            return refused(address, rsp).await;
+            return read_refusal(address, rsp).await;
         }
         if call.job.call.is_some() {
-            let head = Instant::now();
-            return read(address, rsp).await.map(|_| Body {
-                ending: Ending::Whole,
-                first_token: Some(head),
+            let received_at = Instant::now();
+            return read(address, rsp).await.map(|_| ReceivedBody {
+                outcome: CallOutcome::Complete,
+                first_token: Some(received_at),
                 tokens: 0,
             });
         }
-        self.follow(address, rsp).await
+        self.read_stream(address, rsp).await
     }
 
     fn request(&self, call: &PlannedCall) -> Request<Full<Bytes>> {
-        let address = self.address(call.number);
+        let address = self.address_for(call.number);
         let uri = |path: &str| format!("http://{address}{path}");
         if let Some((method, path)) = call.job.call.as_deref().and_then(|c| c.split_once(' ')) {
             let uri = uri(&format!("/v1/services/{}{path}", call.job.service));
             let body = json!({"load": call.number, "seed": call.seed});
-            return build(call, method, &uri, body.to_string());
+            return build_request(call, method, &uri, body.to_string());
         }
         let body = json!({
             "model": call.job.service,
@@ -206,57 +212,61 @@
             "max_tokens": call.job.max_tokens,
             "messages": [{"role": "user", "content": call.prompt()}],
         });
-        build(call, "POST", &uri("/v1/chat/completions"), body.to_string())
+        build_request(call, "POST", &uri("/v1/chat/completions"), body.to_string())
     }
 
     fn key_request(&self, call: &PlannedCall) -> Request<Full<Bytes>> {
-        let address = self.address(call.number);
+        let address = self.address_for(call.number);
         let uri = format!("http://{address}/v1/idempotency-keys");
-        build(call, "POST", &uri, String::new())
+        build_request(call, "POST", &uri, String::new())
     }
 
-    async fn follow(&self, address: &str, rsp: Response<Incoming>) -> Result<Body, ClientError> {
-        let id = header(&rsp, "kingcup-request-id");
+    async fn read_stream(
+        &self,
+        address: &str,
+        rsp: Response<Incoming>,
+    ) -> Result<ReceivedBody, ClientError> {
+        let request_id = header_value(&rsp, "kingcup-request-id");
         let mut events = BodyDataStream::new(rsp.into_body()).eventsource();
-        let mut followed = Followed::new(id);
+        let mut reader = StreamReader::new(request_id);
         while let Some(event) = events.next().await {
             let event = event.map_err(|e| ClientError::Broken {
                 address: address.to_owned(),
                 reason: e.to_string(),
             })?;
-            followed.push(&event.data);
+            reader.push(&event.data);
         }
-        Ok(followed.finish())
+        Ok(reader.finish())
     }
 }
 
-impl Body {
-    fn without_token(ending: Ending) -> Self {
+impl ReceivedBody {
+    fn without_tokens(outcome: CallOutcome) -> Self {
         Self {
-            ending,
+            outcome,
             first_token: None,
             tokens: 0,
         }
     }
 }
 
-/// A stream as far as it was read.
-struct Followed {
-    id: String,
+/// State of a completion stream while its events are read.
+struct StreamReader {
+    request_id: String,
     first_token: Option<Instant>,
     tokens: u64,
     done: bool,
-    foreign: bool,
+    wrong_request: bool,
 }
 
-impl Followed {
-    fn new(id: String) -> Self {
+impl StreamReader {
+    fn new(request_id: String) -> Self {
         Self {
-            id,
+            request_id,
             first_token: None,
             tokens: 0,
             done: false,
-            foreign: false,
+            wrong_request: false,
         }
     }
 
@@ -268,15 +278,15 @@
         self.first_token.get_or_insert_with(Instant::now);
         self.tokens += 1;
         let chunk: Option<Chunk> = serde_json::from_str(data).ok();
-        self.foreign |= chunk.is_none_or(|c| c.id != self.id);
+        self.wrong_request |= chunk.is_none_or(|c| c.id != self.request_id);
     }
 
-    fn finish(self) -> Body {
-        Body {
-            ending: match (self.foreign, self.done) {
-                (true, _) => Ending::Foreign,
-                (false, true) => Ending::Whole,
-                (false, false) => Ending::Short,
+    fn finish(self) -> ReceivedBody {
+        ReceivedBody {
+            outcome: match (self.wrong_request, self.done) {
+                (true, _) => CallOutcome::WrongRequest,
+                (false, true) => CallOutcome::Complete,
+                (false, false) => CallOutcome::Truncated,
             },
             first_token: self.first_token,
             tokens: self.tokens,
@@ -284,8 +294,14 @@
     }
 }
 
-// An operator's word that fits no header leaves an empty request, which ends as unreachable.
-fn build(call: &PlannedCall, method: &str, uri: &str, body: String) -> Request<Full<Bytes>> {
+// A value from the mix file that isn't valid in a header or URI results in an empty request, which
+// is counted as unreachable.
+fn build_request(
+    call: &PlannedCall,
+    method: &str,
+    uri: &str,
+    body: String,
+) -> Request<Full<Bytes>> {
     Request::builder()
         .method(method)
         .uri(uri)
@@ -297,17 +313,20 @@
         .unwrap_or_default()
 }
 
-fn header<B>(rsp: &Response<B>, name: &str) -> String {
+fn header_value<B>(rsp: &Response<B>, name: &str) -> String {
     let value = rsp.headers().get(name).and_then(|v| v.to_str().ok());
     value.unwrap_or_default().to_owned()
 }
 
-async fn refused(address: &str, rsp: Response<Incoming>) -> Result<Body, ClientError> {
+async fn read_refusal(address: &str, rsp: Response<Incoming>) -> Result<ReceivedBody, ClientError> {
     let status = rsp.status();
-    let ran = header(&rsp, "kingcup-ran");
+    let ran = header_value(&rsp, "kingcup-ran");
     let kind = read(address, rsp)
-        .map_ok(|answer| serde_json::from_slice::<ErrorBody>(&answer.body))
+        .map_ok(|rsp| serde_json::from_slice::<ErrorBody>(&rsp.body))
         .await?
         .map_or_else(|_| status.as_u16().to_string(), |body| body.error.kind);
-    Ok(Body::without_token(Ending::Refused { kind, ran }))
+    Ok(ReceivedBody::without_tokens(CallOutcome::Refused {
+        kind,
+        ran,
+    }))
 }
--- a/src/load/report.rs
+++ b/src/load/report.rs
@@ -1,4 +1,4 @@
-//! The report of a run, for people and for programs.
+//! Report of a run, as text and as JSON.
 
 use std::fmt::{self, Write};
 
@@ -7,116 +7,117 @@
 use tabled::builder::Builder;
 use tabled::settings::{Alignment, Style, object::Columns};
 
-use super::call::Ending;
-use super::tally::{Group, Second, Tally};
+use super::call::CallOutcome;
+use super::tally::{Group, SecondCounts, Tally};
 
-/// Percentiles in milliseconds.
+/// Percentiles of a duration, in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize)]
 pub struct Percentiles {
-    /// Median.
+    /// 50th percentile (median).
     pub p50_ms: f64,
-    /// 95 in 100.
+    /// 95th percentile.
     pub p95_ms: f64,
-    /// 99 in 100.
+    /// 99th percentile.
     pub p99_ms: f64,
-    /// 999 in 1,000.
+    /// 99.9th percentile.
     pub p999_ms: f64,
-    /// The longest.
+    /// Maximum.
     pub max_ms: f64,
 }
 
-/// Calls refused for one reason.
+/// Number of calls refused with one error kind and execution status.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Refusals {
-    /// `kind` of the error body.
+    /// `kind` of the error body, or the HTTP status if the body can't be parsed.
     pub kind: String,
-    /// What `Kingcup-Ran` said.
+    /// `Kingcup-Ran` header: `yes`, `no` or `unknown`, whether the request was executed.
     pub ran: String,
-    /// How many.
+    /// Number of calls.
     pub count: u64,
 }
 
-/// What the callers of one tier or job received.
+/// Results of the calls of one tier or one job.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct GroupReport {
-    /// Tier or job.
+    /// Name of the tier or the job.
     pub name: String,
-    /// Calls that arrived.
+    /// Scheduled calls, including those not sent.
     pub sent: u64,
-    /// Whole answers in time.
+    /// Complete responses within the caller's timeout.
     pub good: u64,
-    /// Whole answers in time, of all that arrived.
+    /// Share of scheduled calls with a complete response within the timeout, from 0 to 1.
     pub goodput: f64,
-    /// Whole answers after the caller's patience.
+    /// Complete responses after the caller's timeout.
     pub late: u64,
-    /// Refusals by kind.
+    /// Refusals by error kind and execution status.
     pub refused: Vec<Refusals>,
-    /// Answers that ended before their end.
+    /// Responses that ended before they were complete.
     pub short: u64,
-    /// Answers with a part of another request.
+    /// Streams with a chunk of another request or with a chunk that is not valid JSON.
     pub foreign: u64,
-    /// Calls without a connection.
+    /// Calls for which no connection could be opened.
     pub unreachable: u64,
-    /// Calls whose connection broke.
+    /// Calls whose connection broke or timed out.
     pub broken: u64,
-    /// Calls without answer or refusal.
+    /// Calls without a complete response or refusal until their timeout and grace period ended.
     pub silent: u64,
-    /// Arrival to first token of whole answers.
+    /// Time from scheduled arrival to first token of complete responses.
     pub first_token: Percentiles,
-    /// Arrival to the end of whole answers.
+    /// Time from scheduled arrival to the end of complete responses.
     pub whole: Percentiles,
-    /// Arrivals and whole answers in time for each second.
+    /// Counts for each second of scheduled arrival.
     pub seconds: Vec<SecondReport>,
 }
 
-/// One second of a tier or job.
+/// Counts of the calls of a tier or job that were scheduled in one second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct SecondReport {
-    /// Calls that arrived in it.
+    /// Scheduled calls, including those not sent.
     pub sent: u64,
-    /// Of them, whole answers in time.
+    /// Of these, complete responses within the caller's timeout.
     pub good: u64,
 }
 
 /// The report of a run.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Report {
-    /// Seed of the plan.
+    /// Seed of the schedule.
     pub seed: u64,
-    /// From the first arrival to the last end.
+    /// Duration in seconds, from the start of the run to the end of its last call.
     pub seconds: f64,
-    /// Calls that the tool had no room to send; with any the report shows the tool's limit.
+    /// Calls not sent because too many were in flight; if above 0, the results are limited by the
+    /// load generator.
     pub lost_by_tool: u64,
-    /// How late the tool itself sent; it is part of every other time.
+    /// Delay between scheduled arrival and sending; included in every other latency.
     pub send_lag: Percentiles,
-    /// By tier.
+    /// Results by tier.
     pub tiers: Vec<GroupReport>,
-    /// By job.
+    /// Results by job.
     pub jobs: Vec<GroupReport>,
 }
 
 impl Report {
-    /// Makes the report of `tally`.
+    /// Creates the report of a run from its counts and its seed.
     pub fn new(tally: &Tally, seed: u64) -> Self {
         Self {
             seed,
-            seconds: tally.length.as_secs_f64(),
-            lost_by_tool: tally.lost,
+            seconds: tally.duration.as_secs_f64(),
+            lost_by_tool: tally.not_sent,
             send_lag: percentiles(&tally.send_lag),
             tiers: tally.tiers.iter().map(group_report).collect(),
             jobs: tally.jobs.iter().map(group_report).collect(),
         }
     }
 
-    /// The report as aligned text.
+    /// Formats the report as text with aligned tables.
     pub fn text(&self) -> String {
         let mut text = String::new();
-        // Writing to a string can't fail.
-        self.write(&mut text).ok();
+        // Writing to a `String` can't fail.
+        self.write_text(&mut text).ok();
         text
     }
 
-    fn write(&self, f: &mut String) -> fmt::Result {
+    fn write_text(&self, f: &mut String) -> fmt::Result {
         let Self { seed, seconds, .. } = self;
         let lag = self.send_lag.p99_ms;
         writeln!(f, "seed {seed}, {seconds:.1} s")?;
@@ -147,19 +148,19 @@
 }
 
 fn group_report(group: &Group) -> GroupReport {
-    let count = |wanted: &Ending| {
-        let found = group.endings.iter().find(|e| e.ending == *wanted);
-        found.map_or(0, |e| e.count)
+    let count_of = |outcome: &CallOutcome| {
+        let matching = group.outcomes.iter().find(|c| c.outcome == *outcome);
+        matching.map_or(0, |c| c.count)
     };
-    let refused = group.endings.iter().filter_map(|e| match &e.ending {
-        Ending::Refused { kind, ran } => Some(Refusals {
+    let refused = group.outcomes.iter().filter_map(|c| match &c.outcome {
+        CallOutcome::Refused { kind, ran } => Some(Refusals {
             kind: kind.clone(),
             ran: ran.clone(),
-            count: e.count,
+            count: c.count,
         }),
         _ => None,
     });
-    let second = |s: &Second| SecondReport {
+    let second = |s: &SecondCounts| SecondReport {
         sent: s.sent,
         good: s.good,
     };
@@ -170,11 +171,11 @@
         goodput: group.good as f64 / group.sent.max(1) as f64,
         late: group.late,
         refused: refused.collect(),
-        short: count(&Ending::Short),
-        foreign: count(&Ending::Foreign),
-        unreachable: count(&Ending::Unreachable),
-        broken: count(&Ending::Broken),
-        silent: count(&Ending::Silent),
+        short: count_of(&CallOutcome::Truncated),
+        foreign: count_of(&CallOutcome::WrongRequest),
+        unreachable: count_of(&CallOutcome::Unreachable),
+        broken: count_of(&CallOutcome::ConnectionBroken),
+        silent: count_of(&CallOutcome::NoResponse),
         first_token: percentiles(&group.first_token),
         whole: percentiles(&group.whole),
         seconds: group.seconds.iter().map(second).collect(),
@@ -183,17 +184,18 @@
 
 fn percentiles(histogram: &Histogram<u64>) -> Percentiles {
     let ms = |micros: u64| micros as f64 / 1000.0;
-    let at = |quantile| ms(histogram.value_at_quantile(quantile));
+    let quantile_ms = |quantile| ms(histogram.value_at_quantile(quantile));
     Percentiles {
-        p50_ms: at(0.5),
-        p95_ms: at(0.95),
-        p99_ms: at(0.99),
-        p999_ms: at(0.999),
+        p50_ms: quantile_ms(0.5),
+        p95_ms: quantile_ms(0.95),
+        p99_ms: quantile_ms(0.99),
+        p999_ms: quantile_ms(0.999),
         max_ms: ms(histogram.max()),
     }
 }
 
-const HEADINGS: [&str; 10] = [
+// Column headings after the first, which is `tier` or `job`.
+const COLUMN_HEADINGS: [&str; 10] = [
     "sent",
     "in time",
     "goodput",
@@ -206,9 +208,9 @@
     "whole p99",
 ];
 
-fn group_table(what: &str, groups: &[GroupReport]) -> String {
+fn group_table(group_by: &str, groups: &[GroupReport]) -> String {
     let mut builder = Builder::default();
-    builder.push_record(std::iter::once(what).chain(HEADINGS));
+    builder.push_record(std::iter::once(group_by).chain(COLUMN_HEADINGS));
     for group in groups {
         let refused: u64 = group.refused.iter().map(|r| r.count).sum();
         let failed = group.short + group.foreign + group.unreachable + group.broken + group.silent;
--- a/src/load/runner.rs
+++ b/src/load/runner.rs
@@ -1,4 +1,4 @@
-//! Sends the plan at its times, whatever the answers do.
+//! Runs the schedule as an open loop: calls start at their times, however slow responses are.
 
 use std::time::Duration;
 
@@ -9,15 +9,16 @@
 use super::tally::Tally;
 use super::{Arrival, Arrivals};
 
-/// Calls in flight beyond this are not sent but counted as lost by the tool.
+/// Maximum number of calls in flight; further calls are counted as not sent.
 ///
-/// Sixteen thousand waiting streams take about a gigabyte here; a system that leaves more waiting
-/// has failed already, and the tool must not exhaust its own machine to show it.
+/// Sixteen thousand waiting streams use about a gigabyte of memory in the load generator. A system
+/// with more waiting calls has already failed, and the load generator must not exhaust the memory
+/// of its own machine.
 pub const MAX_IN_FLIGHT: usize = 16_384;
 
-/// Runs every arrival through `call`, which gets the arrival's planned time, and counts.
+/// Passes every arrival and its scheduled time to `call` at that time and counts the results.
 ///
-/// `progress` hears the number of calls sent and ended after each.
+/// `progress` is called with the numbers of scheduled and ended calls after each start and end.
 pub async fn run<'a, C, F, P>(arrivals: Arrivals<'a>, mut call: C, mut progress: P) -> Tally
 where
     C: FnMut(&Arrival<'a>, Instant) -> F,
@@ -26,38 +27,40 @@
 {
     let start = Instant::now();
     let mut tally = Tally::new();
-    let mut running = JoinSet::new();
+    let mut in_flight = JoinSet::new();
     for arrival in arrivals {
-        let planned = start + arrival.at;
-        wait(planned, &mut running, &mut tally).await;
-        tally.sent(&arrival, planned.elapsed());
-        if running.len() >= MAX_IN_FLIGHT {
-            tally.not_sent(&arrival);
+        let scheduled = start + arrival.at;
+        wait_until(scheduled, &mut in_flight, &mut tally).await;
+        tally.record_arrival(&arrival, scheduled.elapsed());
+        if in_flight.len() >= MAX_IN_FLIGHT {
+            tally.record_dropped(&arrival);
             continue;
         }
-        let (slot, future) = (tally.slot(&arrival), call(&arrival, planned));
-        running.spawn(async move { (slot, future.await) });
+        let (key, future) = (tally.count_key(&arrival), call(&arrival, scheduled));
+        in_flight.spawn(async move { (key, future.await) });
         progress(tally.total_sent(), tally.total_ended());
     }
-    while let Some(ended) = running.join_next().await {
-        if let Ok((slot, result)) = ended {
-            tally.ended(slot, &result);
+    while let Some(joined) = in_flight.join_next().await {
+        if let Ok((key, result)) = joined {
+            tally.record_end(key, &result);
         }
         progress(tally.total_sent(), tally.total_ended());
     }
-    tally.with_length(start.elapsed().max(Duration::from_millis(1)))
+    tally.with_duration(start.elapsed().max(Duration::from_millis(1)))
 }
 
-type Running = JoinSet<(super::tally::Slot, CallResult)>;
+// Calls in flight, each with the counters for its result.
+type InFlightCalls = JoinSet<(super::tally::CountKey, CallResult)>;
 
-async fn wait(planned: Instant, running: &mut Running, tally: &mut Tally) {
+// Waits until `scheduled` and counts the calls that end in the meantime.
+async fn wait_until(scheduled: Instant, in_flight: &mut InFlightCalls, tally: &mut Tally) {
     loop {
         tokio::select! {
             biased;
-            () = sleep_until(planned) => return,
-            Some(ended) = running.join_next() => {
-                if let Ok((slot, result)) = ended {
-                    tally.ended(slot, &result);
+            () = sleep_until(scheduled) => return,
+            Some(joined) = in_flight.join_next() => {
+                if let Ok((key, result)) = joined {
+                    tally.record_end(key, &result);
                 }
             }
         }
--- a/src/load/tally.rs
+++ b/src/load/tally.rs
@@ -1,4 +1,4 @@
-//! Counts what callers received, by tier, by job and by second of arrival.
+//! Counts call outcomes and latencies by tier, by job and by second of arrival.
 
 use std::time::Duration;
 
@@ -6,38 +6,38 @@
 use kingcupfield_decisions::id::TierId;
 
 use super::Arrival;
-use super::call::{CallResult, Ending};
+use super::call::{CallOutcome, CallResult};
 
-/// Times above this are counted as this; no caller waits longer.
-const LONGEST: Duration = Duration::from_mins(15);
+/// Longest duration a histogram can hold; longer ones are recorded as this. No caller waits longer.
+const MAX_RECORDED_TIME: Duration = Duration::from_mins(15);
 
-/// Three digits: a p99 of 1 s is told to 1 ms.
-const DIGITS: u8 = 3;
+/// Significant decimal digits of recorded durations: with three, a p99 of 1 s is exact to 1 ms.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Where a call's result belongs.
+/// Indexes of the counters to which a call's result is added, and the call's timeout.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Slot {
+pub struct CountKey {
     tier: usize,
     job: usize,
     second: usize,
     timeout: Duration,
 }
 
-/// Calls that arrived in one second.
+/// Counts of the calls scheduled in one second of the run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Second {
-    /// Calls that arrived.
+pub struct SecondCounts {
+    /// Scheduled calls, including those not sent.
     pub sent: u64,
-    /// Of them, whole answers in time.
+    /// Of these, complete responses within the timeout.
     pub good: u64,
 }
 
-/// Number of calls that ended in one way.
+/// Number of calls with one outcome.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct EndingCount {
-    /// The way.
-    pub ending: Ending,
-    /// The number.
+pub struct OutcomeCount {
+    /// Outcome that is counted.
+    pub outcome: CallOutcome,
+    /// Number of calls.
     pub count: u64,
 }
 
@@ -46,112 +46,113 @@
 pub struct Group {
     /// Name of the tier or the job.
     pub name: String,
-    /// Calls that arrived.
+    /// Scheduled calls, including those not sent.
     pub sent: u64,
-    /// Whole answers within the caller's patience.
+    /// Complete responses within the caller's timeout.
     pub good: u64,
-    /// Whole answers after it.
+    /// Complete responses after the caller's timeout.
     pub late: u64,
-    /// Calls by ending, sorted.
-    pub endings: Vec<EndingCount>,
-    /// Arrival to first token, in microseconds, of whole answers.
+    /// Number of calls by outcome, sorted by outcome.
+    pub outcomes: Vec<OutcomeCount>,
+    /// Scheduled arrival to first token of complete responses, in microseconds.
     pub first_token: Histogram<u64>,
-    /// Arrival to the end, in microseconds, of whole answers.
+    /// Scheduled arrival to end of complete responses, in microseconds.
     pub whole: Histogram<u64>,
-    /// By second of arrival.
-    pub seconds: Vec<Second>,
+    /// Counts by second of scheduled arrival, from the start of the run.
+    pub seconds: Vec<SecondCounts>,
 }
 
-/// Everything counted in a run.
+/// All counts of a run.
 #[derive(Debug, Clone)]
 pub struct Tally {
-    /// By tier, in order of first arrival.
+    /// Counts by tier, in order of first arrival.
     pub tiers: Vec<Group>,
-    /// By job, in order of first arrival.
+    /// Counts by job, in order of first arrival.
     pub jobs: Vec<Group>,
-    /// How late the tool itself sent, in microseconds. It is part of every other time.
+    /// Delay from scheduled arrival to sending, in microseconds; included in every other latency.
     pub send_lag: Histogram<u64>,
-    /// Calls that the tool had no room to send.
-    pub lost: u64,
-    /// From the first arrival to the last end.
-    pub length: Duration,
+    /// Calls that were not sent because too many were in flight.
+    pub not_sent: u64,
+    /// Time from the start of the run to the end of its last call.
+    pub duration: Duration,
+    // Calls that ended, including those not sent.
     ended: u64,
 }
 
 impl Tally {
-    /// Makes an empty tally.
+    /// Creates an empty tally.
     pub fn new() -> Self {
         Self {
             tiers: Vec::new(),
             jobs: Vec::new(),
-            send_lag: histogram(),
-            lost: 0,
-            length: Duration::ZERO,
+            send_lag: new_histogram(),
+            not_sent: 0,
+            duration: Duration::ZERO,
             ended: 0,
         }
     }
 
-    /// Sets how long the run took.
-    pub fn with_length(mut self, length: Duration) -> Self {
-        self.length = length;
+    /// Sets the duration of the run.
+    pub fn with_duration(mut self, duration: Duration) -> Self {
+        self.duration = duration;
         self
     }
 
-    /// Counts an arrival that is sent `lag` after its planned time.
-    pub fn sent(&mut self, arrival: &Arrival<'_>, lag: Duration) {
-        let slot = self.slot(arrival);
-        record(&mut self.send_lag, lag);
-        for group in [&mut self.tiers[slot.tier], &mut self.jobs[slot.job]] {
+    /// Counts an arrival that is handled `lag` after its scheduled time.
+    pub fn record_arrival(&mut self, arrival: &Arrival<'_>, lag: Duration) {
+        let key = self.count_key(arrival);
+        record_time(&mut self.send_lag, lag);
+        for group in [&mut self.tiers[key.tier], &mut self.jobs[key.job]] {
             group.sent += 1;
-            group.second(slot.second).sent += 1;
+            group.second_mut(key.second).sent += 1;
         }
     }
 
-    /// Counts an arrival that the tool can't send.
-    pub fn not_sent(&mut self, _arrival: &Arrival<'_>) {
-        self.lost += 1;
+    /// Counts an arrival that is not sent because too many calls are in flight.
+    pub fn record_dropped(&mut self, _arrival: &Arrival<'_>) {
+        self.not_sent += 1;
         self.ended += 1;
     }
 
-    /// Where the result of `arrival` belongs.
-    pub fn slot(&mut self, arrival: &Arrival<'_>) -> Slot {
-        Slot {
-            tier: find_or_add(&mut self.tiers, &arrival.job.tier),
-            job: find_or_add(&mut self.jobs, &TierId::from(arrival.job.job.as_str())),
+    /// Returns the counters for the result of `arrival`, adding its tier and job if new.
+    pub fn count_key(&mut self, arrival: &Arrival<'_>) -> CountKey {
+        CountKey {
+            tier: find_or_add_group(&mut self.tiers, &arrival.job.tier),
+            job: find_or_add_group(&mut self.jobs, &TierId::from(arrival.job.job.as_str())),
             second: arrival.at.as_secs() as usize,
             timeout: arrival.job.timeout(),
         }
     }
 
-    /// Counts the end of a call.
-    pub fn ended(&mut self, slot: Slot, result: &CallResult) {
+    /// Counts the outcome of a call and records its latencies if the response is complete.
+    pub fn record_end(&mut self, key: CountKey, result: &CallResult) {
         self.ended += 1;
-        let whole = result.ending == Ending::Whole;
-        let good = whole && result.total <= slot.timeout;
-        for group in [&mut self.tiers[slot.tier], &mut self.jobs[slot.job]] {
-            group.count(&result.ending);
-            if !whole {
+        let complete = result.outcome == CallOutcome::Complete;
+        let good = complete && result.total <= key.timeout;
+        for group in [&mut self.tiers[key.tier], &mut self.jobs[key.job]] {
+            group.count_outcome(&result.outcome);
+            if !complete {
                 continue;
             }
-            record(&mut group.whole, result.total);
-            if let Some(first) = result.first_token {
-                record(&mut group.first_token, first);
+            record_time(&mut group.whole, result.total);
+            if let Some(first_token) = result.first_token {
+                record_time(&mut group.first_token, first_token);
             }
             if good {
                 group.good += 1;
-                group.second(slot.second).good += 1;
+                group.second_mut(key.second).good += 1;
             } else {
                 group.late += 1;
             }
         }
     }
 
-    /// Calls that arrived.
+    /// Number of scheduled calls so far, including those not sent.
     pub fn total_sent(&self) -> u64 {
         self.tiers.iter().map(|t| t.sent).sum()
     }
 
-    /// Calls that ended.
+    /// Number of calls that ended, including those not sent.
     pub fn total_ended(&self) -> u64 {
         self.ended
     }
@@ -170,27 +171,28 @@
             sent: 0,
             good: 0,
             late: 0,
-            endings: Vec::new(),
-            first_token: histogram(),
-            whole: histogram(),
+            outcomes: Vec::new(),
+            first_token: new_histogram(),
+            whole: new_histogram(),
             seconds: Vec::new(),
         }
     }
 
-    fn second(&mut self, second: usize) -> &mut Second {
-        if self.seconds.len() <= second {
-            self.seconds.resize(second + 1, Second::default());
+    // Counters of one second of the run; the list is extended up to it if needed.
+    fn second_mut(&mut self, index: usize) -> &mut SecondCounts {
+        if self.seconds.len() <= index {
+            self.seconds.resize(index + 1, SecondCounts::default());
         }
-        &mut self.seconds[second]
+        &mut self.seconds[index]
     }
 
-    fn count(&mut self, ending: &Ending) {
-        match self.endings.binary_search_by(|e| e.ending.cmp(ending)) {
-            Ok(i) => self.endings[i].count += 1,
-            Err(i) => self.endings.insert(
+    fn count_outcome(&mut self, outcome: &CallOutcome) {
+        match self.outcomes.binary_search_by(|c| c.outcome.cmp(outcome)) {
+            Ok(i) => self.outcomes[i].count += 1,
+            Err(i) => self.outcomes.insert(
                 i,
-                EndingCount {
-                    ending: ending.clone(),
+                OutcomeCount {
+                    outcome: outcome.clone(),
                     count: 1,
                 },
             ),
@@ -198,7 +200,7 @@
     }
 }
 
-fn find_or_add(groups: &mut Vec<Group>, name: &str) -> usize {
+fn find_or_add_group(groups: &mut Vec<Group>, name: &str) -> usize {
     groups
         .iter()
         .position(|g| g.name == name)
@@ -208,10 +210,11 @@
         })
 }
 
-fn histogram() -> Histogram<u64> {
-    Histogram::new_with_max(LONGEST.as_micros() as u64, DIGITS).expect("constant bounds are valid")
+fn new_histogram() -> Histogram<u64> {
+    Histogram::new_with_max(MAX_RECORDED_TIME.as_micros() as u64, SIGNIFICANT_DIGITS)
+        .expect("constant bounds are valid")
 }
 
-fn record(histogram: &mut Histogram<u64>, time: Duration) {
+fn record_time(histogram: &mut Histogram<u64>, time: Duration) {
     histogram.saturating_record(time.as_micros() as u64);
 }
--- a/tests/load.rs
+++ b/tests/load.rs
@@ -1,4 +1,4 @@
-//! The load tool: its plan, its open loop, what it counts and how it reads answers.
+//! Tests of the load generator: schedule, open loop, counting and reading of responses.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use futures::StreamExt;
 use kingcupfield::load::call::PlannedCall;
 use kingcupfield::load::mix::{Job, Mix, Phase, Sender};
-use kingcupfield::load::{Arrivals, CallResult, Caller, Ending, Report, Tally, plot, runner};
+use kingcupfield::load::{Arrivals, CallOutcome, CallResult, Caller, Report, Tally, plot, runner};
 use tokio::time::{Instant, sleep_until};
 use yare::parameterized;
 
@@ -51,11 +51,11 @@
     }
 }
 
-fn whole(planned: Instant) -> CallResult {
+fn complete(scheduled: Instant) -> CallResult {
     CallResult {
-        ending: Ending::Whole,
-        first_token: Some(planned.elapsed()),
-        total: planned.elapsed(),
+        outcome: CallOutcome::Complete,
+        first_token: Some(scheduled.elapsed()),
+        total: scheduled.elapsed(),
         tokens: 4,
     }
 }
@@ -63,51 +63,53 @@
 #[test]
 fn one_seed_gives_one_plan_with_the_rates_and_weights_of_the_mix() {
     let mix = mix();
-    let plan: Vec<_> = Arrivals::new(&mix, SEED).collect();
+    let schedule: Vec<_> = Arrivals::new(&mix, SEED).collect();
     assert!(
-        plan.iter()
+        schedule
+            .iter()
             .eq(Arrivals::new(&mix, SEED).collect::<Vec<_>>().iter())
     );
     assert!(
-        plan.iter()
+        schedule
+            .iter()
             .ne(Arrivals::new(&mix, SEED + 1).collect::<Vec<_>>().iter())
     );
-    assert!(plan.is_sorted_by_key(|a| a.at));
+    assert!(schedule.is_sorted_by_key(|a| a.at));
 
-    let before = plan
+    let before = schedule
         .iter()
         .filter(|a| a.at < Duration::from_secs(2))
         .count();
-    let drafts = plan.iter().filter(|a| a.job.job == "draft").count();
-    // Four standard deviations of a Poisson and of a binomial count.
+    let drafts = schedule.iter().filter(|a| a.job.job == "draft").count();
+    // Bounds at four standard deviations of the Poisson and the binomial count.
     assert!((144..=256).contains(&before), "{before} of 200");
     assert!(
-        (320..=480).contains(&(plan.len() - before)),
+        (320..=480).contains(&(schedule.len() - before)),
         "{} of 400",
-        plan.len() - before
+        schedule.len() - before
     );
     assert!(
-        drafts.abs_diff(plan.len() * 3 / 4) <= 43,
+        drafts.abs_diff(schedule.len() * 3 / 4) <= 43,
         "{drafts} of {}",
-        plan.len()
+        schedule.len()
     );
 }
 
-// The server stands still for a second and then answers everything at once. Callers who came in
-// that second waited up to a second each; a closed loop would have sent one request and recorded
-// one slow answer.
+// Guards against coordinated omission: the server stalls for one second and then responds to all
+// waiting requests at once. Callers that arrive during the stall wait up to a second each; a closed
+// loop would send one request and record one slow response.
 #[tokio::test(start_paused = true)]
 async fn waits_behind_a_standstill_are_all_recorded() {
     let mix = mix().with_phase(100.0, Duration::from_secs(3));
     let start = Instant::now();
     let stall = start + Duration::from_secs(1)..start + Duration::from_secs(2);
-    let call = |_: &_, planned: Instant| {
+    let call = |_: &_, scheduled: Instant| {
         let stall = stall.clone();
         async move {
             if stall.contains(&Instant::now()) {
                 sleep_until(stall.end).await;
             }
-            whole(planned)
+            complete(scheduled)
         }
     };
     let tally = runner::run(Arrivals::new(&mix, SEED), call, |_, _| {}).await;
@@ -119,7 +121,7 @@
     let late: u64 = report.tiers.iter().map(|t| t.late).sum();
     let good: u64 = report.tiers.iter().map(|t| t.good).sum();
     assert_eq!(late + good, Arrivals::new(&mix, SEED).count() as u64);
-    // Half of the standstill is longer than the patience of 500 ms.
+    // Calls that arrive in the first half of the stall wait longer than the timeout of 500 ms.
     assert!(
         late > in_stall / 3 && late < in_stall,
         "{late} of {in_stall}"
@@ -139,8 +141,8 @@
     );
 }
 
-struct Counted {
-    ending: Ending,
+struct CountCase {
+    outcome: CallOutcome,
     total_ms: u64,
     good: u64,
     late: u64,
@@ -150,34 +152,43 @@
 
 #[parameterized(
     in_time = {
-        Counted { ending: Ending::Whole, total_ms: 500, good: 1, late: 0, refused: 0, foreign: 0 }
+        CountCase {
+            outcome: CallOutcome::Complete,
+            total_ms: 500, good: 1, late: 0, refused: 0, foreign: 0,
+        }
     },
     too_late = {
-        Counted { ending: Ending::Whole, total_ms: 501, good: 0, late: 1, refused: 0, foreign: 0 }
+        CountCase {
+            outcome: CallOutcome::Complete,
+            total_ms: 501, good: 0, late: 1, refused: 0, foreign: 0,
+        }
     },
     refused = {
-        Counted {
-            ending: Ending::Refused { kind: "shed".to_owned(), ran: "no".to_owned() },
+        CountCase {
+            outcome: CallOutcome::Refused { kind: "shed".to_owned(), ran: "no".to_owned() },
             total_ms: 1, good: 0, late: 0, refused: 1, foreign: 0,
         }
     },
     foreign = {
-        Counted { ending: Ending::Foreign, total_ms: 1, good: 0, late: 0, refused: 0, foreign: 1 }
+        CountCase {
+            outcome: CallOutcome::WrongRequest,
+            total_ms: 1, good: 0, late: 0, refused: 0, foreign: 1,
+        }
     },
 )]
-fn an_ending_is_counted_for_what_the_caller_got(case: Counted) {
+fn an_ending_is_counted_for_what_the_caller_got(case: CountCase) {
     let mix = mix();
     let arrival = Arrivals::new(&mix, SEED).next().expect("an arrival");
     let mut tally = Tally::new();
-    tally.sent(&arrival, Duration::ZERO);
-    let slot = tally.slot(&arrival);
+    tally.record_arrival(&arrival, Duration::ZERO);
+    let key = tally.count_key(&arrival);
     let result = CallResult {
-        ending: case.ending,
+        outcome: case.outcome,
         first_token: None,
         total: Duration::from_millis(case.total_ms),
         tokens: 0,
     };
-    tally.ended(slot, &result);
+    tally.record_end(key, &result);
     let report = Report::new(&tally, SEED);
     let tier = &report.tiers[0];
     assert_eq!((tier.sent, tier.good, tier.late), (1, case.good, case.late));
@@ -186,14 +197,16 @@
     assert_eq!(tier.seconds[0].good, case.good);
 }
 
-/// A server that answers every completion with `body` under the id `r-1`.
+/// Starts a server that responds to every completion with `body` and the request ID `r-1`.
+///
+/// With `broken` the connection breaks after the body. Returns the server's address.
 async fn serve(status: u16, body: &'static str, broken: bool) -> String {
-    let answer = move || async move {
+    let respond = move || async move {
         let mut parts = vec![Ok(body)];
         if broken {
             parts.push(Err(std::io::Error::other("cut")));
         }
-        // A part on its own makes the head go out before the break.
+        // Yielding before each part sends the response headers before the connection breaks.
         let parts = futures::stream::iter(parts).then(|part| async {
             tokio::task::yield_now().await;
             part
@@ -206,7 +219,7 @@
             .expect("a response")
     };
     let router = Router::new()
-        .route("/v1/chat/completions", post(answer))
+        .route("/v1/chat/completions", post(respond))
         .route("/healthz", get(|| async { "ok" }));
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
@@ -216,55 +229,61 @@
     address
 }
 
-struct Answered {
+struct ResponseCase {
     status: u16,
     body: &'static str,
     broken: bool,
-    ending: Ending,
+    outcome: CallOutcome,
 }
 
-impl Answered {
-    fn new(status: u16, body: &'static str, ending: Ending) -> Self {
+impl ResponseCase {
+    fn new(status: u16, body: &'static str, outcome: CallOutcome) -> Self {
         Self {
             status,
             body,
             broken: false,
-            ending,
+            outcome,
         }
     }
 }
 
-fn refused(kind: &str) -> Ending {
-    Ending::Refused {
+fn refused(kind: &str) -> CallOutcome {
+    CallOutcome::Refused {
         kind: kind.to_owned(),
         ran: "no".to_owned(),
     }
 }
 
 #[parameterized(
-    whole = { Answered::new(200, "data: {\"id\":\"r-1\"}\n\ndata: [DONE]\n\n", Ending::Whole) },
-    short = { Answered::new(200, "data: {\"id\":\"r-1\"}\n\n", Ending::Short) },
+    whole = {
+        ResponseCase::new(200, "data: {\"id\":\"r-1\"}\n\ndata: [DONE]\n\n", CallOutcome::Complete)
+    },
+    short = { ResponseCase::new(200, "data: {\"id\":\"r-1\"}\n\n", CallOutcome::Truncated) },
     foreign = {
-        Answered::new(200, "data: {\"id\":\"r-2\"}\n\ndata: [DONE]\n\n", Ending::Foreign)
+        ResponseCase::new(
+            200,
+            "data: {\"id\":\"r-2\"}\n\ndata: [DONE]\n\n",
+            CallOutcome::WrongRequest,
+        )
     },
-    no_json = { Answered::new(200, "data: {\n\ndata: [DONE]\n\n", Ending::Foreign) },
-    refusal = { Answered::new(503, "{\"error\":{\"kind\":\"shed\"}}", refused("shed")) },
-    bare_status = { Answered::new(500, "oops", refused("500")) },
+    no_json = { ResponseCase::new(200, "data: {\n\ndata: [DONE]\n\n", CallOutcome::WrongRequest) },
+    refusal = { ResponseCase::new(503, "{\"error\":{\"kind\":\"shed\"}}", refused("shed")) },
+    bare_status = { ResponseCase::new(500, "oops", refused("500")) },
     cut = {
-        Answered {
+        ResponseCase {
             broken: true,
-            ..Answered::new(200, "data: {\"id\":\"r-1\"}\n\n", Ending::Broken)
+            ..ResponseCase::new(200, "data: {\"id\":\"r-1\"}\n\n", CallOutcome::ConnectionBroken)
         }
     },
 )]
 #[test_macro(tokio::test)]
-async fn an_answer_is_read_to_its_end(case: Answered) {
+async fn an_answer_is_read_to_its_end(case: ResponseCase) {
     let address = serve(case.status, case.body, case.broken).await;
     let mix = mix();
     let arrival = Arrivals::new(&mix, SEED).next().expect("an arrival");
     let call = PlannedCall::new(&arrival, SEED);
     let result = Caller::new(vec![address]).call(call, Instant::now()).await;
-    assert_eq!(result.ending, case.ending);
+    assert_eq!(result.outcome, case.outcome);
 }
 
 #[tokio::test]
@@ -276,7 +295,7 @@
     let arrival = Arrivals::new(&mix, SEED).next().expect("an arrival");
     let call = PlannedCall::new(&arrival, SEED);
     let result = Caller::new(vec![address]).call(call, Instant::now()).await;
-    assert_eq!(result.ending, Ending::Unreachable);
+    assert_eq!(result.outcome, CallOutcome::Unreachable);
 }
 
 #[test]
@@ -301,7 +320,7 @@
     let mix = mix();
     let mut tally = Tally::new();
     for arrival in Arrivals::new(&mix, SEED) {
-        tally.sent(&arrival, Duration::ZERO);
+        tally.record_arrival(&arrival, Duration::ZERO);
     }
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join("load.svg");
     plot::plot(&Report::new(&tally, SEED), &path).expect("the picture is drawn");
