--- a/src/load/runner.rs
+++ b/src/load/runner.rs
@@ -18,7 +18,8 @@
 
 /// Passes every arrival and its scheduled time to `call` at that time and counts the results.
 ///
-/// `progress` is called with the numbers of scheduled and ended calls after each start and end.
+/// `progress` is called with the numbers of scheduled and ended calls after each start, and after
+/// each end once all calls have started.
 pub async fn run<'a, C, F, P>(arrivals: Arrivals<'a>, mut call: C, mut progress: P) -> Tally
 where
     C: FnMut(&Arrival<'a>, Instant) -> F,
@@ -38,13 +39,13 @@
         }
         let (key, future) = (tally.count_key(&arrival), call(&arrival, scheduled));
         in_flight.spawn(async move { (key, future.await) });
-        progress(tally.total_sent(), tally.total_ended());
+        progress(tally.total_scheduled(), tally.total_ended());
     }
     while let Some(joined) = in_flight.join_next().await {
         if let Ok((key, result)) = joined {
             tally.record_end(key, &result);
         }
-        progress(tally.total_sent(), tally.total_ended());
+        progress(tally.total_scheduled(), tally.total_ended());
     }
     tally.with_duration(start.elapsed().max(Duration::from_millis(1)))
 }
--- a/src/load/tally.rs
+++ b/src/load/tally.rs
@@ -148,7 +148,7 @@
     }
 
     /// Number of scheduled calls so far, including those not sent.
-    pub fn total_sent(&self) -> u64 {
+    pub fn total_scheduled(&self) -> u64 {
         self.tiers.iter().map(|t| t.sent).sum()
     }
 
