--- a/src/bin/kingcup/operate.rs
+++ b/src/bin/kingcup/operate.rs
@@ -7,7 +7,7 @@
 use http::Method;
 use kingcupfield::client::{Answer, Client};
 use kingcupfield::explain::{self, Explanation};
-use kingcupfield::logbook::{Coverage, LogError, Logbook, Story};
+use kingcupfield::logbook::{Coverage, LogError, Logbook, RequestTimeline};
 use kingcupfield::status::{self, Status};
 use pico_args::Arguments;
 use serde_json::Value;
@@ -32,7 +32,7 @@
     crate::runtime()?.block_on(async {
         let client = Client::new();
         loop {
-            let status = status::ask(&client, &addresses).await;
+            let status = status::fetch(&client, &addresses).await;
             if watch && form == Form::People && stdout().is_terminal() {
                 output::text(CLEAR)?;
             }
@@ -120,25 +120,27 @@
         logs.push(log);
     }
     args::finish(args)?;
-    let book = Logbook::read(&logs)?;
+    let logbook = Logbook::read(&logs)?;
     let Some(request) = request else {
         let path = ids.unwrap_or_default();
         let text = std::fs::read_to_string(&path).map_err(|reason| LogError { path, reason })?;
         return output::print(
             form,
-            &book.coverage(text.split_whitespace()),
+            &logbook.coverage(text.split_whitespace()),
             Coverage::text,
         );
     };
-    let story = book.story(&request).ok_or(CliError::NotLogged(request))?;
-    output::print(form, &story, Story::text)
+    let timeline = logbook
+        .timeline(&request)
+        .ok_or(CliError::NotLogged(request))?;
+    output::print(form, &timeline, RequestTimeline::text)
 }
 
 async fn find(request: &str, addresses: &[String]) -> Result<Explanation, CliError> {
     let client = Client::new();
     let mut failed = None;
     for address in addresses {
-        match explain::ask(&client, address, request).await {
+        match explain::fetch(&client, address, request).await {
             Ok(Some(explanation)) => return Ok(explanation),
             Ok(None) => {}
             Err(e) => failed = Some(e),
--- a/src/bin/kingcupd/app.rs
+++ b/src/bin/kingcupd/app.rs
@@ -66,7 +66,7 @@
 }
 
 async fn serve_until_left(cfg: &Settings) -> Result<()> {
-    logging::start(&cfg.log)?;
+    logging::init(&cfg.log)?;
     let mut term = signal(SignalKind::terminate()).map_err(|e| Error::io("SIGTERM", e))?;
     let mut int = signal(SignalKind::interrupt()).map_err(|e| Error::io("SIGINT", e))?;
     let instance = Instance::start(cfg).await?;
--- a/src/completion.rs
+++ b/src/completion.rs
@@ -284,7 +284,7 @@
         if let Err(e) = upstream.cancel(&id).await {
             log::debug!(
                 "event=cancel_failed request={id} reason={}",
-                crate::logging::value(e)
+                crate::logging::quote_value(e)
             );
         }
         let wasted = self
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -43,7 +43,7 @@
 }
 
 /// Asks one admin address; `None` when its instance does not remember the request.
-pub async fn ask(
+pub async fn fetch(
     client: &Client,
     address: &str,
     request: &str,
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 use crate::caller::same_hash;
-use crate::logging::value;
+use crate::logging::quote_value;
 use crate::metrics::Metrics;
 
 /// A key hash with the position of its organisation in the table.
@@ -180,8 +180,8 @@
     }
 
     fn refused(&self, name: &str, rejected: &Rejected) {
-        self.metrics.values_refused.with_label_values(&[name]).inc();
-        let reason = value(rejected);
+        self.metrics.refused_values.with_label_values(&[name]).inc();
+        let reason = quote_value(rejected);
         if rejected.is_alarm() {
             log::error!("event=value_refused name={name} reason={reason}");
         } else {
--- a/src/instance.rs
+++ b/src/instance.rs
@@ -14,7 +14,7 @@
 use crate::gateway;
 use crate::issue;
 use crate::kernel::Kernel;
-use crate::logging::value;
+use crate::logging::quote_value;
 use crate::peer_server::PeerServer;
 use crate::peers::{PeerToken, Peers};
 use crate::server::Server;
@@ -164,7 +164,7 @@
     async fn run(mut self) -> Result<()> {
         tokio::select! {
             e = self.kernel.died() => {
-                log::error!("event=service_died reason={}", crate::logging::value(&e));
+                log::error!("event=service_died reason={}", crate::logging::quote_value(&e));
                 return Err(e);
             }
             _ = self.drain.wait_for(|drain| *drain) => {}
@@ -204,7 +204,10 @@
                     fleet.on_peer(value);
                 }
             }
-            Err(e) => log::debug!("event=contact_failed contact={contact} reason={}", value(e)),
+            Err(e) => log::debug!(
+                "event=contact_failed contact={contact} reason={}",
+                quote_value(e)
+            ),
         }
         sleep(GREET_EVERY).await;
     }
--- a/src/issue.rs
+++ b/src/issue.rs
@@ -11,7 +11,7 @@
 use crate::error::{Refusal, RefusalKind};
 use crate::keyed::ask_witness;
 use crate::keys::Legacy;
-use crate::logging::value;
+use crate::logging::quote_value;
 use crate::shared::Shared;
 
 /// How long another instance may take; it answers from memory.
@@ -74,7 +74,7 @@
         }
         Err(reason) => log::warn!(
             "event=keys_hand_over_lost successor={successor} reason={}",
-            value(reason)
+            quote_value(reason)
         ),
     }
 }
--- a/src/logbook.rs
+++ b/src/logbook.rs
@@ -108,7 +108,7 @@
 
 /// The life of one request as the logs tell it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Story {
+pub struct RequestTimeline {
     /// The request.
     pub request: String,
     /// Its events in order.
@@ -134,7 +134,7 @@
 
 impl Logbook {
     /// Takes the texts of logs, an instance's each, with a name for those that lack a `start` line.
-    pub fn of<'a, I>(texts: I) -> Self
+    pub fn from_texts<'a, I>(texts: I) -> Self
     where
         I: IntoIterator<Item = (&'a str, &'a str)>,
     {
@@ -169,7 +169,7 @@
     }
 
     /// The life of a request; `None` if no line names it.
-    pub fn story(&self, request: &str) -> Option<Story> {
+    pub fn timeline(&self, request: &str) -> Option<RequestTimeline> {
         let mut found: Vec<(i64, &Book, &Line)> = Vec::new();
         for book in &self.books {
             let lines = book.lines.iter().filter(|l| l.get("id") == Some(request));
@@ -187,7 +187,7 @@
             }
         }
         let cause = found.iter().rev().find_map(|(_, _, line)| cause(line));
-        Some(Story {
+        Some(RequestTimeline {
             request: request.to_owned(),
             steps: found.iter().map(|f| step(first, f)).collect(),
             clocks,
@@ -315,7 +315,7 @@
     })
 }
 
-impl Story {
+impl RequestTimeline {
     /// The life in words, one line a step.
     pub fn text(&self) -> String {
         let mut text = format!("request {}\n", self.request);
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -18,7 +18,7 @@
 const DAEMON: &str = "kingcupd";
 
 /// Starts the logger of this process; a second start in one process is an error.
-pub fn start(cfg: &LogSettings) -> Result<()> {
+pub fn init(cfg: &LogSettings) -> Result<()> {
     let appender = ConsoleAppender::builder()
         .target(Target::Stderr)
         .encoder(Box::new(PatternEncoder::new(PATTERN)))
@@ -44,7 +44,7 @@
 }
 
 /// Quotes a value that holds spaces, quotes or control characters, so that a line stays one line.
-pub fn value<V>(v: V) -> String
+pub fn quote_value<V>(v: V) -> String
 where
     V: std::fmt::Display,
 {
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -19,17 +19,17 @@
     /// Requests by tier and outcome.
     pub requests: IntCounterVec,
     /// Time from receipt to the first token or the head of a plain answer, by tier.
-    pub first_token: HistogramVec,
+    pub time_to_first_token: HistogramVec,
     /// Time from receipt to dispatch, by tier.
-    pub queue: HistogramVec,
+    pub queue_time: HistogramVec,
     /// Requests that hold a place in this instance.
-    pub held: IntGauge,
+    pub held_requests: IntGauge,
     /// Prompt tokens whose prefill was wasted, by reason.
     pub wasted_prefill: IntCounterVec,
     /// Chunks that were dropped, by what was wrong with them.
-    pub bad_chunks: IntCounterVec,
+    pub dropped_chunks: IntCounterVec,
     /// Streams resumed at their offset.
-    pub resumed: IntCounter,
+    pub resumed_streams: IntCounter,
     /// Messages to other instances, by direction and kind.
     pub peer_messages: IntCounterVec,
     /// Bytes of messages with other instances, by direction.
@@ -37,7 +37,7 @@
     /// Calls to the platform, by result.
     pub platform_calls: IntCounterVec,
     /// Published values refused, by name.
-    pub values_refused: IntCounterVec,
+    pub refused_values: IntCounterVec,
 }
 
 impl Metrics {
@@ -51,19 +51,19 @@
                 "Requests by tier and outcome.",
                 &["tier", "outcome"],
             ),
-            first_token: histograms(
+            time_to_first_token: histograms(
                 &registry,
                 "kingcup_first_token_seconds",
                 "From receipt to the first token.",
                 &["tier"],
             ),
-            queue: histograms(
+            queue_time: histograms(
                 &registry,
                 "kingcup_queue_seconds",
                 "From receipt to dispatch.",
                 &["tier"],
             ),
-            held: gauge(
+            held_requests: gauge(
                 &registry,
                 "kingcup_held_requests",
                 "Requests held by this instance.",
@@ -74,13 +74,13 @@
                 "Prompt tokens prefilled in vain.",
                 &["reason"],
             ),
-            bad_chunks: counters(
+            dropped_chunks: counters(
                 &registry,
                 "kingcup_bad_chunks_total",
                 "Chunks dropped.",
                 &["reason"],
             ),
-            resumed: counter(
+            resumed_streams: counter(
                 &registry,
                 "kingcup_resumed_streams_total",
                 "Streams resumed at their offset.",
@@ -103,7 +103,7 @@
                 "Calls to the platform.",
                 &["result"],
             ),
-            values_refused: counters(
+            refused_values: counters(
                 &registry,
                 "kingcup_values_refused_total",
                 "Published values refused.",
--- a/src/peer_server.rs
+++ b/src/peer_server.rs
@@ -19,7 +19,7 @@
 use crate::issue::issue_here;
 use crate::keyed_run;
 use crate::keys::KeysError;
-use crate::logging::value;
+use crate::logging::quote_value;
 use crate::message::{Announcement, DELIVER, Envelope, PROTOCOL, VALUES};
 use crate::peers::{MESSAGE_LIMIT, PeerToken};
 use crate::shared::Shared;
@@ -215,7 +215,7 @@
 fn refused(method: &str, reason: String) -> ErrorObjectOwned {
     log::warn!(
         "event=peer_message_refused method={method} reason={}",
-        value(&reason)
+        quote_value(&reason)
     );
     ErrorObjectOwned::owned(INVALID_PARAMS_CODE, reason, None::<()>)
 }
--- a/src/peers.rs
+++ b/src/peers.rs
@@ -26,7 +26,7 @@
 
 use crate::error::{Error, Result};
 use crate::fleet::Fleet;
-use crate::logging::value;
+use crate::logging::quote_value;
 use crate::message::{Announcement, DELIVER, Envelope, PROTOCOL, PeerMessage, VALUES};
 use crate::metrics::Metrics;
 
@@ -238,7 +238,7 @@
                 log::debug!(
                     "event=peer_unreachable peer={} reason={}",
                     self.to,
-                    value(e)
+                    quote_value(e)
                 );
                 None
             }
@@ -274,7 +274,11 @@
                 }
             }
             if let Err(e) = self.deliver(client, queued).await {
-                log::debug!("event=delivery_failed peer={} reason={}", self.to, value(e));
+                log::debug!(
+                    "event=delivery_failed peer={} reason={}",
+                    self.to,
+                    quote_value(e)
+                );
                 return;
             }
         }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -21,7 +21,7 @@
 
 use crate::connector::Connector;
 use crate::fleet::Fleet;
-use crate::logging::value;
+use crate::logging::quote_value;
 use crate::members::{Members, View};
 use crate::metrics::Metrics;
 
@@ -177,7 +177,7 @@
                 log::debug!(
                     "event=platform_failed name={} reason={}",
                     self.name.as_str(),
-                    value(reason)
+                    quote_value(reason)
                 );
                 "failed"
             }
--- a/src/record.rs
+++ b/src/record.rs
@@ -175,12 +175,18 @@
     }
 
     /// Adds a step.
-    pub fn add(&self, request: &RequestId, step: Step) {
+    pub fn add_step(&self, request: &RequestId, step: Step) {
         self.with(request, |r| r.push(step));
     }
 
     /// Adds a step and sets where the request stands.
-    pub fn turn(&self, request: &RequestId, step: Step, outcome: Outcome, ran: RunStatus) {
+    pub fn add_step_with_outcome(
+        &self,
+        request: &RequestId,
+        step: Step,
+        outcome: Outcome,
+        ran: RunStatus,
+    ) {
         self.with(request, |r| {
             r.push(step);
             r.outcome = outcome;
--- a/src/request.rs
+++ b/src/request.rs
@@ -147,7 +147,7 @@
 
     /// Adds a step to the record.
     pub fn note(&self, step: Step) {
-        self.records.add(&self.meta.request, step);
+        self.records.add_step(&self.meta.request, step);
     }
 
     fn into_state<N>(self, state: N) -> Request<N> {
@@ -172,7 +172,7 @@
             message: refusal.message.clone(),
         };
         self.records
-            .turn(&self.meta.request, step, Outcome::Refused, refusal.ran);
+            .add_step_with_outcome(&self.meta.request, step, Outcome::Refused, refusal.ran);
         self.count(refusal.kind.error_response().name);
         self.into_state(Refused { refusal })
     }
@@ -212,10 +212,14 @@
         let step = Step::Dispatched {
             upstream: upstream.clone(),
         };
-        self.records
-            .turn(&self.meta.request, step, Outcome::Running, RunStatus::Yes);
+        self.records.add_step_with_outcome(
+            &self.meta.request,
+            step,
+            Outcome::Running,
+            RunStatus::Yes,
+        );
         Metrics::observe(
-            &self.metrics.queue,
+            &self.metrics.queue_time,
             &self.meta.tier,
             self.meta.received.elapsed(),
         );
@@ -232,7 +236,7 @@
 
     /// The caller went away while it waited.
     pub fn cancelled(self) {
-        self.records.turn(
+        self.records.add_step_with_outcome(
             &self.meta.request,
             Step::CallerGone,
             Outcome::Cancelled,
@@ -250,8 +254,12 @@
             upstream,
             reason: proof.reason,
         };
-        self.records
-            .turn(&self.meta.request, step, Outcome::Waiting, RunStatus::No);
+        self.records.add_step_with_outcome(
+            &self.meta.request,
+            step,
+            Outcome::Waiting,
+            RunStatus::No,
+        );
         self.into_state(Waiting)
     }
 
@@ -259,7 +267,7 @@
     pub fn first_token(&self) {
         self.note(Step::FirstToken);
         Metrics::observe(
-            &self.metrics.first_token,
+            &self.metrics.time_to_first_token,
             &self.meta.tier,
             self.meta.received.elapsed(),
         );
@@ -268,7 +276,7 @@
     /// The whole answer went to the caller.
     pub fn answered(self) -> Request<Answered> {
         let late = Instant::now() > self.meta.deadline;
-        self.records.turn(
+        self.records.add_step_with_outcome(
             &self.meta.request,
             Step::Answered,
             Outcome::Answered,
@@ -286,15 +294,19 @@
         let step = Step::Broke {
             reason: reason.into(),
         };
-        self.records
-            .turn(&self.meta.request, step, Outcome::Broken, RunStatus::Yes);
+        self.records.add_step_with_outcome(
+            &self.meta.request,
+            step,
+            Outcome::Broken,
+            RunStatus::Yes,
+        );
         self.count("broken");
         self.into_state(Answered)
     }
 
     /// The deadline passed while it ran.
     pub fn late(self) -> Request<Answered> {
-        self.records.turn(
+        self.records.add_step_with_outcome(
             &self.meta.request,
             Step::DeadlinePassed,
             Outcome::Late,
@@ -306,7 +318,7 @@
 
     /// The caller went away while it ran.
     pub fn cancelled(self) -> Request<Answered> {
-        self.records.turn(
+        self.records.add_step_with_outcome(
             &self.meta.request,
             Step::CallerGone,
             Outcome::Cancelled,
--- a/src/scheduler.rs
+++ b/src/scheduler.rs
@@ -429,7 +429,7 @@
             .on_served(now);
         self.replicas
             .record_prefixes(upstream, &waiter.slot_request.prefixes);
-        self.records.add(
+        self.records.add_step(
             request,
             Step::Granted {
                 upstream: upstream.clone(),
@@ -503,7 +503,7 @@
                 upstream: upstream.clone(),
                 why: format!("{why:?}"),
             };
-            self.records.add(request, step);
+            self.records.add_step(request, step);
         }
     }
 
--- a/src/scheduler/reservations.rs
+++ b/src/scheduler/reservations.rs
@@ -144,7 +144,7 @@
         let upstreams = self.choose_upstreams(now, &meta, &slot_request, &candidates, work);
         for upstream in &upstreams {
             let upstream = upstream.clone();
-            self.records.add(request, Step::Reserved { upstream });
+            self.records.add_step(request, Step::Reserved { upstream });
         }
         let reservation = Reservation {
             request: request.clone(),
--- a/src/server.rs
+++ b/src/server.rs
@@ -86,7 +86,10 @@
             match self.listener.accept().await {
                 Ok((socket, _)) => spawn(socket, router.clone(), stop.clone(), permit),
                 Err(e) => {
-                    log::warn!("event=accept_failed reason={}", crate::logging::value(e));
+                    log::warn!(
+                        "event=accept_failed reason={}",
+                        crate::logging::quote_value(e)
+                    );
                     sleep(ACCEPT_PAUSE).await;
                 }
             }
@@ -104,7 +107,7 @@
         stop: &watch::Receiver<bool>,
     ) {
         if let Err(e) = self.try_accept_queued(router, permits, stop).await {
-            log::warn!("event=queue_cut reason={}", crate::logging::value(e));
+            log::warn!("event=queue_cut reason={}", crate::logging::quote_value(e));
         }
     }
 
@@ -170,7 +173,7 @@
     if let Err(e) = ended {
         log::debug!(
             "event=connection_failed reason={}",
-            crate::logging::value(e)
+            crate::logging::quote_value(e)
         );
     }
 }
--- a/src/status.rs
+++ b/src/status.rs
@@ -125,8 +125,8 @@
 }
 
 /// Asks all `addresses` at once.
-pub async fn ask(client: &Client, addresses: &[String]) -> Status {
-    let asked = addresses.iter().map(|a| ask_one(client, a));
+pub async fn fetch(client: &Client, addresses: &[String]) -> Status {
+    let asked = addresses.iter().map(|a| fetch_one(client, a));
     let mut status = Status::default();
     for (address, answer) in addresses.iter().zip(join_all(asked).await) {
         match answer {
@@ -142,7 +142,7 @@
     status
 }
 
-async fn ask_one(client: &Client, address: &str) -> Result<InstanceStatus, ClientError> {
+async fn fetch_one(client: &Client, address: &str) -> Result<InstanceStatus, ClientError> {
     let ready = client.ask(Method::GET, address, "/readyz").await?;
     let dump = client.ask(Method::GET, address, "/dump").await?;
     let metrics = client.ask(Method::GET, address, "/metrics").await?;
--- a/src/stream.rs
+++ b/src/stream.rs
@@ -145,7 +145,7 @@
             let from = self.checker.next();
             match self.upstream.resume(&self.request, from).await {
                 Ok(rsp) if rsp.status() == StatusCode::OK => {
-                    self.metrics.resumed.inc();
+                    self.metrics.resumed_streams.inc();
                     self.resumed_from = Some(from);
                     self.events = Some(events(rsp.into_body()));
                     return Ok(());
@@ -172,7 +172,10 @@
     }
 
     fn bad_chunk(&self, reason: &str) {
-        self.metrics.bad_chunks.with_label_values(&[reason]).inc();
+        self.metrics
+            .dropped_chunks
+            .with_label_values(&[reason])
+            .inc();
     }
 
     fn reject(&mut self, reason: &str) {
--- a/tests/logbook.rs
+++ b/tests/logbook.rs
@@ -24,14 +24,14 @@
 ";
 
 fn book() -> Logbook {
-    Logbook::of([("first", FIRST), ("second", SECOND)])
+    Logbook::from_texts([("first", FIRST), ("second", SECOND)])
 }
 
 /// A request's lines stand in two logs whose clocks differ by half a second. Sorted by the time that
 /// they bear, the refusal would come long after the failed send that it stands before.
 #[test]
 fn lines_are_ordered_by_one_clock() {
-    let story = book().story("a").expect("its lines");
+    let story = book().timeline("a").expect("its lines");
     let order: Vec<(i64, &str)> = story
         .steps
         .iter()
@@ -62,8 +62,8 @@
 fn an_unknown_clock_is_told() {
     let first = FIRST.replace("event=peer_clock", "event=other");
     let second = SECOND.replace("event=peer_clock", "event=other");
-    let book = Logbook::of([("first", first.as_str()), ("second", second.as_str())]);
-    let text = book.story("a").expect("its lines").text();
+    let book = Logbook::from_texts([("first", first.as_str()), ("second", second.as_str())]);
+    let text = book.timeline("a").expect("its lines").text();
     assert!(
         text.contains("clock of baltic-1: not known, taken as it is"),
         "{text}"
