--- a/src/record.rs
+++ b/src/record.rs
@@ -1,4 +1,4 @@
-//! A bounded record of what became of each request, for `kingcup explain` and `/v1/requests`.
+//! Bounded in-memory history of recent requests, served to `kingcup explain` and `/v1/requests`.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -9,141 +9,141 @@
 
 use crate::error::{RefusalKind, RunStatus};
 
-/// Requests remembered by one instance: at 15 requests a second (5,100 over 330 instances) about
-/// two minutes, at most 1 KiB each.
+/// Number of requests that one instance keeps. At 15 requests/s (5,100 requests/s over 330
+/// instances) that covers about two minutes; a record takes at most 1 KiB.
 const MAX_RECORDS: usize = 2048;
 
-/// Events remembered of one request; later ones are counted only.
-const MAX_EVENTS: usize = 24;
+/// Number of events kept per request; later ones are only counted.
+const MAX_EVENTS_PER_REQUEST: usize = 24;
 
-/// One step in the life of a request.
+/// A step in the processing of a request, with its details.
 #[derive(Debug, Clone, Serialize)]
 #[serde(rename_all = "snake_case", tag = "event", content = "detail")]
 pub enum Step {
-    /// It was authenticated and parsed.
+    /// The request was authenticated and parsed.
     Received,
-    /// It was reserved at the owner of a replica.
+    /// A reservation was placed with the instance that owns a replica.
     Reserved {
-        /// The replica.
+        /// Replica that the step concerns.
         upstream: UpstreamId,
     },
-    /// An owner will not grant it.
+    /// The owner of a replica rejected the reservation.
     Rejected {
-        /// The replica.
+        /// Replica that the step concerns.
         upstream: UpstreamId,
-        /// Why, in the owner's words.
+        /// Reason that the owner gave.
         why: String,
     },
-    /// It may be dispatched.
+    /// A slot was granted; the request may be dispatched.
     Granted {
-        /// The replica.
+        /// Replica that the step concerns.
         upstream: UpstreamId,
     },
-    /// The first byte goes out.
+    /// The first byte of the request is sent to the replica.
     Dispatched {
-        /// The replica.
+        /// Replica that the step concerns.
         upstream: UpstreamId,
     },
-    /// No connection could be made; nothing went out.
+    /// The connection to the replica failed; no byte was sent.
     NotSent {
-        /// The replica.
+        /// Replica that the step concerns.
         upstream: UpstreamId,
-        /// What happened.
+        /// Connection error.
         reason: String,
     },
-    /// The first token or the head of a plain answer came.
+    /// The first token of a stream or the head of a plain response arrived.
     FirstToken,
     /// The stream broke and was resumed at its offset.
     Resumed {
-        /// Next expected sequence number.
+        /// Sequence number of the next expected event.
         from: u64,
     },
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
-    /// The deadline passed while it ran.
+    /// The deadline passed while the request was running.
     DeadlinePassed,
-    /// It was refused.
+    /// The request was refused.
     Refused {
-        /// The kind.
+        /// Kind of refusal.
         kind: RefusalKind,
-        /// What the caller read.
+        /// Error message sent to the caller.
         message: String,
     },
-    /// The upstream broke after dispatch.
+    /// The upstream failed after dispatch.
     Broke {
-        /// What happened.
+        /// Description of the failure.
         reason: String,
     },
-    /// The whole answer went to the caller.
+    /// The complete response was sent to the caller.
     Answered,
 }
 
-/// A step with its time since receipt.
+/// A step and the time at which it happened.
 #[derive(Debug, Clone, Serialize)]
 pub struct Event {
-    /// Milliseconds since receipt.
+    /// Milliseconds from receipt of the request to the step.
     pub at_ms: u64,
-    /// What happened.
+    /// Step, flattened into `event` and `detail`.
     #[serde(flatten)]
     pub step: Step,
 }
 
-/// Where a request stands.
+/// Current or final state of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// It waits for a slot.
+    /// The request waits for a slot.
     Waiting,
-    /// It was dispatched and runs.
+    /// The request was dispatched and is running.
     Running,
-    /// The whole answer was sent.
+    /// The complete response was sent.
     Answered,
-    /// It was refused and did not run.
+    /// The request was refused and did not run.
     Refused,
-    /// It was dispatched and the answer is not whole.
+    /// The request was dispatched, but the response is incomplete.
     Broken,
-    /// The caller went away first.
+    /// The caller disconnected before the response was complete.
     Cancelled,
-    /// The deadline passed while it ran, and it was cancelled.
+    /// The deadline passed while the request was running, and it was cancelled.
     Late,
 }
 
-/// Everything remembered of one request.
+/// History of one request.
 #[derive(Debug, Clone, Serialize)]
 pub struct Record {
-    /// Its id.
+    /// Request id.
     pub request: RequestId,
-    /// Whose it is.
+    /// Organisation that sent the request.
     pub organisation: OrganisationId,
-    /// Its tier.
+    /// Tier of the request.
     pub tier: TierId,
-    /// Its service.
+    /// Service that the request calls.
     pub service: ServiceId,
-    /// Where it stands.
+    /// Current or final state.
     pub outcome: Outcome,
-    /// Whether the upstream ran it.
+    /// Whether an upstream ran the request.
     pub ran: RunStatus,
-    /// Its life.
+    /// Events in order, at most `MAX_EVENTS_PER_REQUEST`.
     pub events: Vec<Event>,
-    /// Events beyond the bound.
+    /// Number of events left out once that limit was reached.
     pub events_dropped: u32,
     #[serde(skip)]
-    received: Option<Instant>,
+    received_at: Option<Instant>,
 }
 
-/// The record of one instance; clones share it.
+/// Request histories of one instance, oldest first; clones share them.
 #[derive(Debug, Clone, Default)]
 pub struct Records {
     records: Arc<Mutex<VecDeque<Record>>>,
 }
 
 impl Records {
-    /// Makes an empty record.
+    /// Creates an empty history.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Starts the record of a request and forgets the oldest beyond the bound.
+    /// Starts the record of a request; at the limit, drops the oldest record.
     pub fn start(
         &self,
         request: RequestId,
@@ -165,7 +165,7 @@
             ran: RunStatus::No,
             events: vec![event],
             events_dropped: 0,
-            received: Some(now),
+            received_at: Some(now),
         };
         let mut records = self.lock();
         if records.len() == MAX_RECORDS {
@@ -174,12 +174,12 @@
         records.push_back(record);
     }
 
-    /// Adds a step.
+    /// Appends a step to the record of `request`; does nothing if it was already dropped.
     pub fn add_step(&self, request: &RequestId, step: Step) {
-        self.with(request, |r| r.push(step));
+        self.update(request, |r| r.push_step(step));
     }
 
-    /// Adds a step and sets where the request stands.
+    /// Appends a step and sets the request's outcome and run status.
     pub fn add_step_with_outcome(
         &self,
         request: &RequestId,
@@ -187,14 +187,14 @@
         outcome: Outcome,
         ran: RunStatus,
     ) {
-        self.with(request, |r| {
-            r.push(step);
+        self.update(request, |r| {
+            r.push_step(step);
             r.outcome = outcome;
             r.ran = ran;
         });
     }
 
-    /// The record of `request`, if it is still remembered.
+    /// Returns the record of `request`, if it is still kept.
     pub fn get(&self, request: &str) -> Option<Record> {
         self.lock()
             .iter()
@@ -203,38 +203,43 @@
             .cloned()
     }
 
-    /// Number of requests remembered.
+    /// Number of records kept.
     pub fn len(&self) -> usize {
         self.lock().len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no record is kept.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    fn with<F>(&self, request: &RequestId, change: F)
+    fn update<F>(&self, request: &RequestId, change: F)
     where
         F: FnOnce(&mut Record),
     {
-        // Ids of one instance are handed out in order, so the newest match is found from the back.
+        // An instance issues its ids in order, so the newest match is found by searching from the
+        // back.
         if let Some(record) = self.lock().iter_mut().rev().find(|r| r.request == *request) {
             change(record);
         }
     }
 
     fn lock(&self) -> MutexGuard<'_, VecDeque<Record>> {
-        self.records.lock().expect("no holder of the record panics")
+        self.records
+            .lock()
+            .expect("lock poisoned: no code panics while it holds the record lock")
     }
 }
 
 impl Record {
-    fn push(&mut self, step: Step) {
-        if self.events.len() == MAX_EVENTS {
+    fn push_step(&mut self, step: Step) {
+        if self.events.len() == MAX_EVENTS_PER_REQUEST {
             self.events_dropped += 1;
             return;
         }
-        let at_ms = self.received.map_or(0, |t| t.elapsed().as_millis() as u64);
+        let at_ms = self
+            .received_at
+            .map_or(0, |t| t.elapsed().as_millis() as u64);
         self.events.push(Event { at_ms, step });
     }
 }
