--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of an instance, served in the text format of Prometheus.
+//! Metrics of an instance, exposed in the Prometheus text format.
 
 use std::time::Duration;
 
@@ -7,103 +7,104 @@
     TextEncoder,
 };
 
-/// Buckets of first-token times in seconds: from a status check to the worst deadline.
-const SECONDS: [f64; 12] = [
+/// Upper bounds of the latency histogram buckets in seconds, from the time of a status check to the
+/// longest deadline.
+const LATENCY_BUCKETS_SECONDS: [f64; 12] = [
     0.002, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 10.0, 60.0,
 ];
 
-/// Counters, gauges and histograms; clones share them.
+/// Counters, gauges and histograms of one instance; clones share them.
 #[derive(Debug, Clone)]
 pub struct Metrics {
     registry: Registry,
-    /// Requests by tier and outcome.
+    /// Number of ended requests, by tier and outcome.
     pub requests: IntCounterVec,
-    /// Time from receipt to the first token or the head of a plain answer, by tier.
+    /// Seconds from receipt to the first token or the head of a plain response, by tier.
     pub time_to_first_token: HistogramVec,
-    /// Time from receipt to dispatch, by tier.
+    /// Seconds from receipt to dispatch, by tier.
     pub queue_time: HistogramVec,
-    /// Requests that hold a place in this instance.
+    /// Number of requests currently in progress on this instance.
     pub held_requests: IntGauge,
-    /// Prompt tokens whose prefill was wasted, by reason.
+    /// Number of prompt tokens whose prefill was wasted, by reason.
     pub wasted_prefill: IntCounterVec,
-    /// Chunks that were dropped, by what was wrong with them.
+    /// Number of invalid stream chunks dropped, by reason.
     pub dropped_chunks: IntCounterVec,
-    /// Streams resumed at their offset.
+    /// Number of streams resumed at their offset.
     pub resumed_streams: IntCounter,
-    /// Messages to other instances, by direction and kind.
+    /// Number of messages exchanged with other instances, by direction and kind.
     pub peer_messages: IntCounterVec,
-    /// Bytes of messages with other instances, by direction.
+    /// Number of message bytes exchanged with other instances, by direction.
     pub peer_bytes: IntCounterVec,
-    /// Calls to the platform, by result.
+    /// Number of calls to the platform, by result.
     pub platform_calls: IntCounterVec,
-    /// Published values refused, by name.
+    /// Number of published configuration values refused, by value name.
     pub refused_values: IntCounterVec,
 }
 
 impl Metrics {
-    /// Makes the metrics, all at zero.
+    /// Creates and registers the metrics, all at zero.
     pub fn new() -> Self {
         let registry = Registry::new();
         Self {
-            requests: counters(
+            requests: register_counter_vec(
                 &registry,
                 "kingcup_requests_total",
                 "Requests by tier and outcome.",
                 &["tier", "outcome"],
             ),
-            time_to_first_token: histograms(
+            time_to_first_token: register_histogram_vec(
                 &registry,
                 "kingcup_first_token_seconds",
                 "From receipt to the first token.",
                 &["tier"],
             ),
-            queue_time: histograms(
+            queue_time: register_histogram_vec(
                 &registry,
                 "kingcup_queue_seconds",
                 "From receipt to dispatch.",
                 &["tier"],
             ),
-            held_requests: gauge(
+            held_requests: register_gauge(
                 &registry,
                 "kingcup_held_requests",
                 "Requests held by this instance.",
             ),
-            wasted_prefill: counters(
+            wasted_prefill: register_counter_vec(
                 &registry,
                 "kingcup_wasted_prefill_tokens_total",
                 "Prompt tokens prefilled in vain.",
                 &["reason"],
             ),
-            dropped_chunks: counters(
+            dropped_chunks: register_counter_vec(
                 &registry,
                 "kingcup_bad_chunks_total",
                 "Chunks dropped.",
                 &["reason"],
             ),
-            resumed_streams: counter(
+            resumed_streams: register_counter(
                 &registry,
                 "kingcup_resumed_streams_total",
                 "Streams resumed at their offset.",
             ),
-            peer_messages: counters(
+            peer_messages: register_counter_vec(
                 &registry,
                 "kingcup_peer_messages_total",
                 "Messages with other instances.",
                 &["direction", "kind"],
             ),
-            peer_bytes: counters(
+            peer_bytes: register_counter_vec(
                 &registry,
                 "kingcup_peer_bytes_total",
                 "Bytes with other instances.",
                 &["direction"],
             ),
-            platform_calls: counters(
+            platform_calls: register_counter_vec(
                 &registry,
                 "kingcup_platform_calls_total",
                 "Calls to the platform.",
                 &["result"],
             ),
-            refused_values: counters(
+            refused_values: register_counter_vec(
                 &registry,
                 "kingcup_values_refused_total",
                 "Published values refused.",
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Text for a scrape.
+    /// Encodes all metrics for a scrape; on failure, returns the error as a comment line.
     pub fn encode(&self) -> String {
         let mut buf = Vec::new();
         let encoded = TextEncoder::new().encode(&self.registry.gather(), &mut buf);
@@ -123,11 +124,11 @@
         }
     }
 
-    /// Observes a time by tier.
-    pub fn observe(histogram: &HistogramVec, tier: &str, took: Duration) {
+    /// Records a duration in seconds for a tier.
+    pub fn observe(histogram: &HistogramVec, tier: &str, elapsed: Duration) {
         histogram
             .with_label_values(&[tier])
-            .observe(took.as_secs_f64());
+            .observe(elapsed.as_secs_f64());
     }
 }
 
@@ -137,35 +138,46 @@
     }
 }
 
-fn counters(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> IntCounterVec {
-    let metric = IntCounterVec::new(Opts::new(name, help), labels).expect("constant name");
+fn register_counter_vec(
+    registry: &Registry,
+    name: &str,
+    help: &str,
+    labels: &[&str],
+) -> IntCounterVec {
+    let metric =
+        IntCounterVec::new(Opts::new(name, help), labels).expect("valid metric name and labels");
     registry
         .register(Box::new(metric.clone()))
-        .expect("registered once");
+        .expect("metric registered only once");
     metric
 }
 
-fn counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
-    let metric = IntCounter::new(name, help).expect("constant name");
+fn register_counter(registry: &Registry, name: &str, help: &str) -> IntCounter {
+    let metric = IntCounter::new(name, help).expect("valid metric name and labels");
     registry
         .register(Box::new(metric.clone()))
-        .expect("registered once");
+        .expect("metric registered only once");
     metric
 }
 
-fn gauge(registry: &Registry, name: &str, help: &str) -> IntGauge {
-    let metric = IntGauge::new(name, help).expect("constant name");
+fn register_gauge(registry: &Registry, name: &str, help: &str) -> IntGauge {
+    let metric = IntGauge::new(name, help).expect("valid metric name and labels");
     registry
         .register(Box::new(metric.clone()))
-        .expect("registered once");
+        .expect("metric registered only once");
     metric
 }
 
-fn histograms(registry: &Registry, name: &str, help: &str, labels: &[&str]) -> HistogramVec {
-    let opts = HistogramOpts::new(name, help).buckets(SECONDS.to_vec());
-    let metric = HistogramVec::new(opts, labels).expect("constant name");
+fn register_histogram_vec(
+    registry: &Registry,
+    name: &str,
+    help: &str,
+    labels: &[&str],
+) -> HistogramVec {
+    let opts = HistogramOpts::new(name, help).buckets(LATENCY_BUCKETS_SECONDS.to_vec());
+    let metric = HistogramVec::new(opts, labels).expect("valid metric name and labels");
     registry
         .register(Box::new(metric.clone()))
-        .expect("registered once");
+        .expect("metric registered only once");
     metric
 }
