--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs: one line of key=value pairs for each event, on standard error.
+//! Logging to standard error, one line of key=value pairs per event.
 
 use log::LevelFilter;
 use log4rs::Config;
@@ -9,24 +9,25 @@
 use crate::error::{Error, Result};
 use crate::settings::{Level, LogSettings};
 
-/// Time in UTC, level, then the pairs of the event.
-const PATTERN: &str = "time={d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} level={l} {m}{n}";
+/// Line format: UTC time, level, then the key=value pairs of the event.
+const LINE_PATTERN: &str = "time={d(%Y-%m-%dT%H:%M:%S%.3fZ)(utc)} level={l} {m}{n}";
 
-/// Events of the library; what other libraries log is not in key=value form and left out.
-const LIBRARY: &str = "kingcupfield";
-/// Events of the daemon's program.
-const DAEMON: &str = "kingcupd";
+/// Log target of the library. Other libraries' targets are not logged: their lines are not
+/// key=value pairs.
+const LIBRARY_TARGET: &str = "kingcupfield";
+/// Log target of the daemon binary.
+const DAEMON_TARGET: &str = "kingcupd";
 
-/// Starts the logger of this process; a second start in one process is an error.
+/// Installs the process-wide logger; a second call in the same process returns an error.
 pub fn init(cfg: &LogSettings) -> Result<()> {
     let appender = ConsoleAppender::builder()
         .target(Target::Stderr)
-        .encoder(Box::new(PatternEncoder::new(PATTERN)))
+        .encoder(Box::new(PatternEncoder::new(LINE_PATTERN)))
         .build();
     let config = Config::builder()
         .appender(Appender::builder().build("stderr", Box::new(appender)))
-        .logger(Logger::builder().build(LIBRARY, filter(cfg.level)))
-        .logger(Logger::builder().build(DAEMON, filter(cfg.level)))
+        .logger(Logger::builder().build(LIBRARY_TARGET, level_filter(cfg.level)))
+        .logger(Logger::builder().build(DAEMON_TARGET, level_filter(cfg.level)))
         .build(Root::builder().appender("stderr").build(LevelFilter::Off))
         .map_err(|e| Error::Log(e.to_string()))?;
     log4rs::init_config(config)
@@ -34,7 +35,7 @@
         .map_err(|e| Error::Log(e.to_string()))
 }
 
-fn filter(level: Level) -> LevelFilter {
+fn level_filter(level: Level) -> LevelFilter {
     match level {
         Level::Error => LevelFilter::Error,
         Level::Warn => LevelFilter::Warn,
@@ -43,7 +44,10 @@
     }
 }
 
-/// Quotes a value that holds spaces, quotes or control characters, so that a line stays one line.
+/// Formats a log value; quotes and escapes it if it is empty or holds spaces, control or non-ASCII
+/// characters, double quotes or `=`.
+///
+/// This keeps an event on one line, also when the value holds line breaks.
 pub fn quote_value<V>(v: V) -> String
 where
     V: std::fmt::Display,
