--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,4 +1,4 @@
-//! The life of one request in words, from the record that its instance keeps.
+//! Explains how a request was processed, from the record that its instance keeps.
 
 use std::fmt::{self, Write};
 
@@ -8,68 +8,71 @@
 
 use crate::client::{Client, ClientError};
 
-/// One step in the life of a request.
+/// An event in the processing of a request.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Event {
-    /// Milliseconds since receipt.
+    /// Milliseconds from receipt of the request to the event.
     pub at_ms: u64,
-    /// What happened.
+    /// Name of the event.
     pub event: String,
-    /// More about it; the fields depend on the event and on the instance's version.
+    /// Details; the fields depend on the event and on the instance's version.
     #[serde(default)]
     pub detail: Map<String, Value>,
 }
 
-/// What an instance remembers of a request; fields of a newer instance are ignored.
+/// Record of a request as an instance returns it; unknown fields of a newer version are ignored.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Explanation {
-    /// Its id.
+    /// Request id.
     pub request: String,
-    /// Whose it is.
+    /// Organisation that sent the request.
     pub organisation: String,
-    /// Its tier.
+    /// Tier of the request.
     pub tier: String,
-    /// Its service.
+    /// Service that the request calls.
     pub service: String,
-    /// Where it stands.
+    /// Current or final state.
     pub outcome: String,
-    /// Whether the upstream ran it.
+    /// Whether an upstream ran the request: `yes`, `no` or `unknown`.
     pub ran: String,
-    /// Its life.
+    /// Events in order.
     pub events: Vec<Event>,
-    /// Events beyond the instance's bound.
+    /// Number of events left out because the instance's limit per request was reached.
     #[serde(default)]
     pub events_dropped: u32,
 }
 
-/// Asks one admin address; `None` when its instance does not remember the request.
+/// Fetches the record of a request from an admin address; `None` if its instance doesn't keep one.
 pub async fn fetch(
     client: &Client,
     address: &str,
     request: &str,
 ) -> Result<Option<Explanation>, ClientError> {
     let path = format!("/explain/{request}");
-    let answer = client.ask(Method::GET, address, &path).await?;
-    if answer.status == StatusCode::NOT_FOUND {
+    let response = client.ask(Method::GET, address, &path).await?;
+    if response.status == StatusCode::NOT_FOUND {
         return Ok(None);
     }
-    let explanation = serde_json::from_slice(&answer.body);
+    let explanation = serde_json::from_slice(&response.body);
     explanation.map(Some).map_err(|e| ClientError::Broken {
         address: address.to_owned(),
-        reason: format!("{} with a body that is no record: {e}", answer.status),
+        reason: format!(
+            "{} with a body that is not a valid record: {e}",
+            response.status
+        ),
     })
 }
 
 impl Explanation {
-    /// The life in words, one line a step, and what to do about it.
+    /// Formats the record as text: a line per event, the outcome and, after a failure, advice.
     pub fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string can't fail.
-        self.write(&mut text).ok();
+        self.write_text(&mut text).ok();
         text
     }
 
-    fn write(&self, f: &mut String) -> fmt::Result {
+    fn write_text(&self, f: &mut String) -> fmt::Result {
         let Self {
             request,
             organisation,
@@ -82,7 +85,7 @@
             "request {request} of {organisation}, tier {tier}, service {service}"
         )?;
         for event in &self.events {
-            writeln!(f, "{:>8} ms  {}", event.at_ms, event.sentence())?;
+            writeln!(f, "{:>8} ms  {}", event.at_ms, event.description())?;
         }
         if self.events_dropped > 0 {
             writeln!(
@@ -91,20 +94,25 @@
                 self.events_dropped
             )?;
         }
-        writeln!(f, "outcome: {}, {}", self.outcome, ran(&self.ran))?;
+        writeln!(
+            f,
+            "outcome: {}, {}",
+            self.outcome,
+            run_status_text(&self.ran)
+        )?;
         if let Some(advice) = self.advice() {
             writeln!(f, "next: {advice}")?;
         }
         Ok(())
     }
 
-    /// Kind of the refusal, if it was refused.
+    /// Kind of the last refusal, if the request was refused.
     pub fn refusal(&self) -> Option<&str> {
         let refused = self.events.iter().rev().find(|e| e.event == "refused")?;
         refused.detail.get("kind")?.as_str()
     }
 
-    /// What an operator may do about it.
+    /// Suggests what an operator can check next; `None` if there is no advice for the outcome.
     pub fn advice(&self) -> Option<&'static str> {
         if self.outcome == "broken" {
             return Some("look at the replica named above: kingcup status shows its state");
@@ -126,7 +134,7 @@
 }
 
 impl Event {
-    fn sentence(&self) -> String {
+    fn description(&self) -> String {
         let detail = |name: &str| match self.detail.get(name) {
             Some(Value::String(text)) => text.clone(),
             Some(other) => other.to_string(),
@@ -147,18 +155,18 @@
             "refused" => format!("refused as {}: {}", detail("kind"), detail("message")),
             "broke" => format!("the upstream broke: {}", detail("reason")),
             "answered" => "the whole answer was sent".to_owned(),
-            other => format!("{}{}", other.replace('_', " "), self.pairs()),
+            other => format!("{}{}", other.replace('_', " "), self.detail_pairs()),
         }
     }
 
-    // An event that only a newer instance knows is still told with all that it says.
-    fn pairs(&self) -> String {
+    // Events added by a newer version have no text here, so all their details are printed.
+    fn detail_pairs(&self) -> String {
         let pairs = self.detail.iter().map(|(k, v)| format!(" {k}={v}"));
         pairs.collect()
     }
 }
 
-fn ran(ran: &str) -> &'static str {
+fn run_status_text(ran: &str) -> &'static str {
     match ran {
         "yes" => "it ran",
         "no" => "it did not run and never will",
