--- a/src/status.rs
+++ b/src/status.rs
@@ -1,4 +1,4 @@
-//! The fleet at a glance, from the admin addresses of its instances.
+//! Fleet status, collected from the admin addresses of the instances.
 
 use futures::future::join_all;
 use http::Method;
@@ -13,125 +13,128 @@
 
 use sample::Sample;
 
-/// What `/readyz` says of an instance that takes new callers.
-const READY: &str = "ready";
-const REQUESTS: &str = "kingcup_requests_total";
-const HELD: &str = "kingcup_held_requests";
-const SHED_LEVEL: &str = "kingcup_shed_level";
-const LIMIT: &str = "kingcup_upstream_limit";
+/// Body of a `/readyz` response from an instance that accepts new callers.
+const READY_BODY: &str = "ready";
+const REQUESTS_METRIC: &str = "kingcup_requests_total";
+const HELD_REQUESTS_METRIC: &str = "kingcup_held_requests";
+const SHED_LEVEL_METRIC: &str = "kingcup_shed_level";
+const UPSTREAM_LIMIT_METRIC: &str = "kingcup_upstream_limit";
 
-/// Version of a published value that is in force.
+/// Version of a published configuration value that an instance applies.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct InForce {
-    /// Name of the value.
+pub struct AppliedVersion {
+    /// Name of the value, such as `table`.
     pub name: String,
-    /// Its version.
+    /// Applied version.
     pub version: u64,
 }
 
-/// Requests of one tier that ended in one way since the instance started.
+/// Number of requests of one tier with one outcome since the instance started.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Ended {
-    /// The tier.
+pub struct RequestCount {
+    /// Tier.
     pub tier: String,
-    /// How they ended.
+    /// Outcome of the requests.
     pub outcome: String,
-    /// How many.
+    /// Number of requests.
     pub count: u64,
 }
 
-/// A gauge of the instance with its labels, such as a shed level.
+/// A gauge of an instance with its labels, such as the shed level of a pool.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct Gauge {
-    /// Labels, joined by commas.
-    pub of: String,
-    /// Value.
+    /// Label values, joined by commas.
+    #[serde(rename = "of")]
+    pub labels: String,
+    /// Value of the gauge.
     pub value: f64,
 }
 
-/// An upstream that takes no new work, as the instance knows it.
+/// An upstream that an instance lists as leaving, so it gets no new requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct LeavingUpstream {
-    /// Name.
+    /// Name of the upstream's instance.
     pub instance: String,
-    /// Zone.
+    /// Availability zone.
     pub availability_zone: String,
 }
 
-/// One instance.
+/// Status of one instance.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 pub struct InstanceStatus {
-    /// Its admin address.
+    /// Admin address.
     pub address: String,
-    /// Its name.
+    /// Name.
     pub instance: String,
-    /// Its zone.
+    /// Availability zone.
     pub availability_zone: String,
-    /// `ready`, or why not.
+    /// `ready`, or the reason why the instance is not ready.
     pub state: String,
-    /// Versions in force.
-    pub versions: Vec<InForce>,
-    /// Requests that it holds now.
+    /// Applied versions of the published configuration values.
+    pub versions: Vec<AppliedVersion>,
+    /// Number of requests in progress.
     pub held: u64,
-    /// Requests ended since it started.
-    pub ended: Vec<Ended>,
-    /// Shed levels that it knows, by pool.
+    /// Numbers of requests that ended since the instance started, by tier and outcome.
+    #[serde(rename = "ended")]
+    pub request_counts: Vec<RequestCount>,
+    /// Shed levels known to the instance, by pool.
     pub shed_levels: Vec<Gauge>,
-    /// Concurrency limits of the replicas that it owns.
+    /// Concurrency limits of the replicas that the instance owns.
     pub limits: Vec<Gauge>,
-    /// Upstreams that leave.
+    /// Upstreams that are leaving.
     pub leaving: Vec<LeavingUpstream>,
 }
 
-/// An address that gave no status.
+/// An admin address from which no status could be fetched.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Unreachable {
-    /// The address.
+pub struct UnreachableInstance {
+    /// Admin address.
     pub address: String,
-    /// Why.
+    /// Error message.
     pub reason: String,
 }
 
-/// All instances asked.
+/// Status of all requested instances.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Status {
-    /// Those that answered, by name.
+    /// Instances whose status was fetched, ordered by availability zone and name.
     pub instances: Vec<InstanceStatus>,
-    /// Those that did not.
-    pub unreachable: Vec<Unreachable>,
+    /// Addresses from which no status could be fetched.
+    pub unreachable: Vec<UnreachableInstance>,
 }
 
+/// The part of a `/dump` response that the status needs.
 #[derive(Debug, Deserialize)]
 struct Dump {
-    instance: DumpedInstance,
-    fleet: DumpedFleet,
+    instance: DumpInstance,
+    fleet: DumpFleet,
 }
 
 #[derive(Debug, Deserialize)]
-struct DumpedInstance {
+struct DumpInstance {
     instance: String,
     availability_zone: String,
 }
 
 #[derive(Debug, Deserialize)]
-struct DumpedFleet {
-    versions: Vec<InForce>,
-    instances: DumpedInstances,
+struct DumpFleet {
+    versions: Vec<AppliedVersion>,
+    instances: DumpInstances,
 }
 
 #[derive(Debug, Deserialize)]
-struct DumpedInstances {
+struct DumpInstances {
     instances: Vec<Instance>,
 }
 
-/// Asks all `addresses` at once.
+/// Fetches the status of the instances at all admin `addresses` concurrently.
 pub async fn fetch(client: &Client, addresses: &[String]) -> Status {
-    let asked = addresses.iter().map(|a| fetch_one(client, a));
+    let fetches = addresses.iter().map(|a| fetch_one(client, a));
     let mut status = Status::default();
-    for (address, answer) in addresses.iter().zip(join_all(asked).await) {
-        match answer {
+    for (address, result) in addresses.iter().zip(join_all(fetches).await) {
+        match result {
             Ok(instance) => status.instances.push(instance),
-            Err(e) => status.unreachable.push(Unreachable {
+            Err(e) => status.unreachable.push(UnreachableInstance {
                 address: address.clone(),
                 reason: e.to_string(),
             }),
@@ -148,7 +151,7 @@
     let metrics = client.ask(Method::GET, address, "/metrics").await?;
     let dump: Dump = serde_json::from_slice(&dump.body).map_err(|e| ClientError::Broken {
         address: address.to_owned(),
-        reason: format!("the dump is not understood: {e}"),
+        reason: format!("invalid /dump response: {e}"),
     })?;
     let samples = sample::parse(&String::from_utf8_lossy(&metrics.body));
     Ok(InstanceStatus {
@@ -157,26 +160,28 @@
         availability_zone: dump.instance.availability_zone,
         state: String::from_utf8_lossy(&ready.body).trim().to_owned(),
         versions: dump.fleet.versions,
-        held: sample::named(&samples, HELD).map(|s| s.value as u64).sum(),
-        ended: ended(&samples),
-        shed_levels: gauges(&samples, SHED_LEVEL),
-        limits: gauges(&samples, LIMIT),
-        leaving: leaving(&dump.fleet.instances.instances),
+        held: sample::named(&samples, HELD_REQUESTS_METRIC)
+            .map(|s| s.value as u64)
+            .sum(),
+        request_counts: request_counts(&samples),
+        shed_levels: gauges(&samples, SHED_LEVEL_METRIC),
+        limits: gauges(&samples, UPSTREAM_LIMIT_METRIC),
+        leaving: leaving_upstreams(&dump.fleet.instances.instances),
     })
 }
 
-fn ended(samples: &[Sample]) -> Vec<Ended> {
-    let ended = sample::named(samples, REQUESTS).map(|s| Ended {
+fn request_counts(samples: &[Sample]) -> Vec<RequestCount> {
+    let counts = sample::named(samples, REQUESTS_METRIC).map(|s| RequestCount {
         tier: s.label("tier").to_owned(),
         outcome: s.label("outcome").to_owned(),
         count: s.value as u64,
     });
-    ended.collect()
+    counts.collect()
 }
 
 fn gauges(samples: &[Sample], name: &str) -> Vec<Gauge> {
     let gauge = |s: &Sample| Gauge {
-        of: s
+        labels: s
             .labels
             .iter()
             .map(|l| l.value.as_str())
@@ -187,19 +192,19 @@
     sample::named(samples, name).map(gauge).collect()
 }
 
-fn leaving(instances: &[Instance]) -> Vec<LeavingUpstream> {
+fn leaving_upstreams(instances: &[Instance]) -> Vec<LeavingUpstream> {
     let leaving = instances
         .iter()
         .filter(|i| i.role == Role::Upstream && i.state == State::Leaving);
-    let name = |i: &Instance| LeavingUpstream {
+    let to_upstream = |i: &Instance| LeavingUpstream {
         instance: i.instance.to_string(),
         availability_zone: i.availability_zone.to_string(),
     };
-    leaving.map(name).collect()
+    leaving.map(to_upstream).collect()
 }
 
 impl Status {
-    /// The fleet as aligned text.
+    /// Formats the fleet status as aligned tables, followed by notes and unreachable addresses.
     pub fn text(&self) -> String {
         let mut text = self.instance_table();
         text.push('\n');
@@ -207,7 +212,7 @@
         for instance in &self.instances {
             text.extend(notes(instance));
         }
-        for Unreachable { address, reason } in &self.unreachable {
+        for UnreachableInstance { address, reason } in &self.unreachable {
             text.push_str("no status from ");
             text.push_str(if reason.starts_with(address.as_str()) {
                 ""
@@ -251,14 +256,14 @@
     }
 
     fn tier_table(&self) -> String {
-        let mut rows: Vec<Ended> = Vec::new();
-        for ended in self.instances.iter().flat_map(|i| &i.ended) {
+        let mut rows: Vec<RequestCount> = Vec::new();
+        for count in self.instances.iter().flat_map(|i| &i.request_counts) {
             match rows
                 .iter_mut()
-                .find(|r| r.tier == ended.tier && r.outcome == ended.outcome)
+                .find(|r| r.tier == count.tier && r.outcome == count.outcome)
             {
-                Some(row) => row.count += ended.count,
-                None => rows.push(ended.clone()),
+                Some(row) => row.count += count.count,
+                None => rows.push(count.clone()),
             }
         }
         if rows.is_empty() {
@@ -268,7 +273,7 @@
         let mut builder = Builder::default();
         builder.push_record(["tier", "outcome", "requests", "of its tier"]);
         for row in &rows {
-            let of_tier: u64 = rows
+            let tier_total: u64 = rows
                 .iter()
                 .filter(|r| r.tier == row.tier)
                 .map(|r| r.count)
@@ -277,7 +282,10 @@
                 row.tier.clone(),
                 row.outcome.clone(),
                 row.count.to_string(),
-                format!("{:.1} %", row.count as f64 / of_tier.max(1) as f64 * 100.0),
+                format!(
+                    "{:.1} %",
+                    row.count as f64 / tier_total.max(1) as f64 * 100.0
+                ),
             ]);
         }
         let mut table = builder.build();
@@ -288,22 +296,23 @@
 }
 
 impl InstanceStatus {
-    /// Whether it takes new callers.
+    /// Whether the instance accepts new callers.
     pub fn is_ready(&self) -> bool {
-        self.state == READY
+        self.state == READY_BODY
     }
 
     fn version(&self, name: &str) -> String {
-        let in_force = self.versions.iter().find(|v| v.name == name);
-        in_force.map_or_else(|| "none".to_owned(), |v| v.version.to_string())
+        let applied = self.versions.iter().find(|v| v.name == name);
+        applied.map_or_else(|| "none".to_owned(), |v| v.version.to_string())
     }
 }
 
+/// Lists the raised shed levels and the leaving upstreams of an instance, a line each.
 fn notes(instance: &InstanceStatus) -> Vec<String> {
     let name = &instance.instance;
     let levels = instance.shed_levels.iter().filter(|l| l.value > 0.0);
     let mut notes: Vec<_> = levels
-        .map(|l| format!("{name}: shed level {} of {}\n", l.value, l.of))
+        .map(|l| format!("{name}: shed level {} of {}\n", l.value, l.labels))
         .collect();
     let leaving = &instance.leaving;
     notes.extend(
--- a/src/status/sample.rs
+++ b/src/status/sample.rs
@@ -1,48 +1,48 @@
-//! Samples in the text format of Prometheus, as an instance's `/metrics` prints them.
+//! Parses the Prometheus text format of an instance's `/metrics`.
 
 /// A label of a sample.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Label {
-    /// Name.
+    /// Label name.
     pub name: String,
-    /// Value.
+    /// Label value, unescaped.
     pub value: String,
 }
 
-/// One line of a scrape.
+/// A sample, which is one line of a scrape.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Sample {
-    /// Name of the metric.
+    /// Metric name.
     pub name: String,
-    /// Its labels in the order of the line.
+    /// Labels in the order of the line.
     pub labels: Vec<Label>,
-    /// Its value.
+    /// Sample value.
     pub value: f64,
 }
 
 impl Sample {
-    /// Value of a label, empty when the sample has none of that name.
+    /// Value of a label, or an empty string if the sample lacks it.
     pub fn label(&self, name: &str) -> &str {
         let label = self.labels.iter().find(|l| l.name == name);
         label.map_or("", |l| l.value.as_str())
     }
 }
 
-/// Parses a scrape; lines that are no samples are left out.
+/// Parses a scrape; comments and invalid lines are skipped.
 pub fn parse(text: &str) -> Vec<Sample> {
     let lines = text.lines().filter(|line| !line.starts_with('#'));
     lines.filter_map(parse_line).collect()
 }
 
-/// The samples of one metric.
+/// Iterates over the samples of one metric.
 pub fn named<'a>(samples: &'a [Sample], name: &'a str) -> impl Iterator<Item = &'a Sample> {
     samples.iter().filter(move |s| s.name == name)
 }
 
 fn parse_line(line: &str) -> Option<Sample> {
-    let (left, value) = line.trim().rsplit_once(' ')?;
-    let (name, labels) = match left.split_once('{') {
-        None => (left, Vec::new()),
+    let (series, value) = line.trim().rsplit_once(' ')?;
+    let (name, labels) = match series.split_once('{') {
+        None => (series, Vec::new()),
         Some((name, rest)) => (name, parse_labels(rest.strip_suffix('}')?)?),
     };
     Some(Sample {
@@ -56,7 +56,7 @@
     let mut labels = Vec::new();
     while !text.is_empty() {
         let (name, rest) = text.split_once("=\"")?;
-        let (value, rest) = quoted(rest)?;
+        let (value, rest) = parse_quoted(rest)?;
         labels.push(Label {
             name: name.trim_start_matches(',').to_owned(),
             value,
@@ -66,8 +66,9 @@
     Some(labels)
 }
 
-// Reads to the closing quote; organisations and tiers may have quotes in their names.
-fn quoted(text: &str) -> Option<(String, &str)> {
+// Reads an escaped label value up to its closing quote and returns it with the rest of the text.
+// Names of organisations and tiers can contain quotes.
+fn parse_quoted(text: &str) -> Option<(String, &str)> {
     let mut value = String::new();
     let mut chars = text.char_indices();
     while let Some((i, c)) = chars.next() {
