--- a/src/logbook.rs
+++ b/src/logbook.rs
@@ -1,8 +1,9 @@
-//! Saved logs of several instances, read together: the life of one request, and for which of many
-//! requests the logs name a cause.
+//! Merges saved logs of several instances to show the timeline of one request, or to count the
+//! failure causes of many requests.
 //!
-//! The clocks of instances differ. Each instance tells by how much the others are ahead of it; lines
-//! are put in order by the clock of the first log, and the differences that were used are told.
+//! The clocks of instances differ. Each instance logs by how much the clocks of the others are
+//! ahead of its own (`event=peer_clock`). Times are converted to the clock of the first log, and
+//! the clock offsets used are part of the output.
 
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
@@ -10,36 +11,37 @@
 
 use serde::Serialize;
 
-/// A log that can't be read.
+/// A log file could not be read.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {reason}", path.display())]
 pub struct LogError {
-    /// The file.
+    /// Path of the log file.
     pub path: PathBuf,
-    /// Why not.
+    /// I/O error.
     pub reason: std::io::Error,
 }
 
-/// One event of an instance.
+/// A log line that reports an event.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Line {
-    /// Time of day of its instance in milliseconds.
+    /// Time in milliseconds by the clock of the instance that logged the line.
     pub time_ms: i64,
-    /// Its pairs, in their order.
+    /// Key=value pairs in the order of the line.
     pub pairs: Vec<(String, String)>,
 }
 
 impl Line {
-    /// Reads `key=value` pairs; values with spaces stand in double quotes. `None` if the line is no event.
+    /// Parses `key=value` pairs; values with spaces are in double quotes. `None` if the line has no
+    /// valid `time_ms` or no `event`.
     ///
-    /// What stands before the time, for example the prefix of a collector, is passed over.
+    /// Text before `time_ms=`, for example the prefix of a log collector, is skipped.
     pub fn parse(text: &str) -> Option<Self> {
         let text = &text[text.find("time_ms=")?..];
         let mut pairs = Vec::new();
         let mut rest = text.trim();
         while !rest.is_empty() {
             let (key, after) = rest.split_once('=')?;
-            let (value, next) = value(after);
+            let (value, next) = split_value(after);
             pairs.push((key.to_owned(), value));
             rest = next.trim_start();
         }
@@ -49,7 +51,7 @@
         Some(Self { time_ms, ..line })
     }
 
-    /// The value of a key.
+    /// Value of the first pair with this key.
     pub fn get(&self, key: &str) -> Option<&str> {
         let found = self.pairs.iter().find(|(k, _)| k == key);
         found.map(|(_, v)| v.as_str())
@@ -60,17 +62,18 @@
     }
 }
 
-/// Splits off one value, with or without quotes.
-fn value(text: &str) -> (String, &str) {
+/// Splits the first value, quoted or not, from the rest of the line; a missing closing quote is
+/// accepted.
+fn split_value(text: &str) -> (String, &str) {
     let Some(quoted) = text.strip_prefix('"') else {
         let end = text.find(' ').unwrap_or(text.len());
         return (text[..end].to_owned(), &text[end..]);
     };
     let mut value = String::new();
     let mut chars = quoted.char_indices();
-    while let Some((at, c)) = chars.next() {
+    while let Some((i, c)) = chars.next() {
         match c {
-            '"' => return (value, &quoted[at + 1..]),
+            '"' => return (value, &quoted[i + 1..]),
             '\\' => value.extend(chars.next().map(|(_, c)| c)),
             c => value.push(c),
         }
@@ -80,130 +83,145 @@
 
 /// The log of one instance.
 #[derive(Debug)]
-struct Book {
+struct InstanceLog {
     instance: String,
-    /// Its address, by which the others name it.
+    /// IP address, which other instances log as `peer`.
     address: String,
     lines: Vec<Line>,
-    /// By how many milliseconds its clock is ahead of the first log's; `None` if nobody tells.
-    ahead_ms: Option<i64>,
+    /// Milliseconds by which its clock is ahead of the clock of the first log; `None` if neither
+    /// log reports it.
+    clock_offset_ms: Option<i64>,
 }
 
-/// Logs of several instances.
+/// Logs of several instances; the clock of the first is the reference.
 #[derive(Debug)]
 pub struct Logbook {
-    books: Vec<Book>,
+    logs: Vec<InstanceLog>,
 }
 
-/// One event in the life of a request.
+/// An event in the timeline of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Step {
-    /// Milliseconds since the first event.
+pub struct TimelineEvent {
+    /// Milliseconds since the first event of the request, by the clock of the first log.
     pub at_ms: i64,
-    /// The instance that tells it.
+    /// Instance that logged the event.
     pub instance: String,
-    /// What it tells.
+    /// Key=value pairs without `time_ms` and `id`.
     pub pairs: Vec<(String, String)>,
 }
 
-/// The life of one request as the logs tell it.
+/// Events of one request, merged from all logs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct RequestTimeline {
-    /// The request.
+    /// Request id.
     pub request: String,
-    /// Its events in order.
-    pub steps: Vec<Step>,
-    /// By how many milliseconds each instance's clock was taken to be ahead of the first log's.
-    pub clocks: Vec<(String, Option<i64>)>,
-    /// Why it was not served, in words; `None` if it was or no line tells.
+    /// Events ordered by time.
+    #[serde(rename = "steps")]
+    pub events: Vec<TimelineEvent>,
+    /// Instances and the milliseconds by which their clocks are ahead of the first log's; `None` if
+    /// unknown, in which case no correction was made.
+    #[serde(rename = "clocks")]
+    pub clock_offsets_ms: Vec<(String, Option<i64>)>,
+    /// Description of the failure; `None` if the request was served or no line reports a failure.
     pub cause: Option<String>,
 }
 
-/// For how many requests the logs name a cause.
+/// Number of requests for which the logs report a failure cause, a success or nothing.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Coverage {
-    /// Requests that were asked for.
+    /// Number of requests looked up.
     pub asked: usize,
-    /// Those for which a cause is named, by cause.
+    /// Number of failed requests by kind of failure.
     pub causes: BTreeMap<String, usize>,
-    /// Those that were answered whole, as far as the logs tell.
+    /// Number of requests with an `answered` event and no failure.
     pub served: usize,
-    /// Those of which no line tells.
+    /// Ids of requests for which no line reports a failure or an answer.
     pub unknown: Vec<String>,
 }
 
 impl Logbook {
-    /// Takes the texts of logs, an instance's each, with a name for those that lack a `start` line.
+    /// Parses `(name, text)` pairs, one log per instance; the name is used if a log has no `start`
+    /// line.
     pub fn from_texts<'a, I>(texts: I) -> Self
     where
         I: IntoIterator<Item = (&'a str, &'a str)>,
     {
-        let books = texts
+        let logs = texts
             .into_iter()
-            .map(|(name, text)| Book::parse(name, text));
-        Self::new(books.collect())
+            .map(|(name, text)| InstanceLog::parse(name, text));
+        Self::new(logs.collect())
     }
 
-    /// Reads the logs, a file for each instance.
+    /// Reads log files, one per instance; a file's name without extension is used if it has no
+    /// `start` line.
     pub fn read(paths: &[PathBuf]) -> Result<Self, LogError> {
-        let mut books = Vec::new();
+        let mut logs = Vec::new();
         for path in paths {
             let text = std::fs::read_to_string(path).map_err(|reason| LogError {
                 path: path.clone(),
                 reason,
             })?;
             let name = path.file_stem().unwrap_or_default().to_string_lossy();
-            books.push(Book::parse(&name, &text));
+            logs.push(InstanceLog::parse(&name, &text));
         }
-        Ok(Self::new(books))
+        Ok(Self::new(logs))
     }
 
-    fn new(mut books: Vec<Book>) -> Self {
-        let offsets: Vec<Option<i64>> = (0..books.len())
-            .map(|at| if at == 0 { Some(0) } else { ahead(&books, at) })
+    fn new(mut logs: Vec<InstanceLog>) -> Self {
+        let offsets: Vec<Option<i64>> = (0..logs.len())
+            .map(|i| {
+                if i == 0 {
+                    Some(0)
+                } else {
+                    clock_offset_ms(&logs, i)
+                }
+            })
             .collect();
-        for (book, ahead_ms) in books.iter_mut().zip(offsets) {
-            book.ahead_ms = ahead_ms;
+        for (log, offset_ms) in logs.iter_mut().zip(offsets) {
+            log.clock_offset_ms = offset_ms;
         }
-        Self { books }
+        Self { logs }
     }
 
-    /// The life of a request; `None` if no line names it.
+    /// Timeline of a request; `None` if no line has its id.
     pub fn timeline(&self, request: &str) -> Option<RequestTimeline> {
-        let mut found: Vec<(i64, &Book, &Line)> = Vec::new();
-        for book in &self.books {
-            let lines = book.lines.iter().filter(|l| l.get("id") == Some(request));
-            found.extend(lines.map(|l| (l.time_ms - book.ahead_ms.unwrap_or(0), book, l)));
+        let mut found: Vec<(i64, &InstanceLog, &Line)> = Vec::new();
+        for log in &self.logs {
+            let lines = log.lines.iter().filter(|l| l.get("id") == Some(request));
+            found.extend(lines.map(|l| (l.time_ms - log.clock_offset_ms.unwrap_or(0), log, l)));
         }
-        found.sort_by_key(|(at, _, _)| *at);
-        let first = found.first()?.0;
-        let mut clocks: Vec<(String, Option<i64>)> = Vec::new();
-        for (_, book, _) in &found {
-            if !clocks
+        found.sort_by_key(|(time_ms, _, _)| *time_ms);
+        let first_ms = found.first()?.0;
+        let mut clock_offsets_ms: Vec<(String, Option<i64>)> = Vec::new();
+        for (_, log, _) in &found {
+            if !clock_offsets_ms
                 .iter()
-                .any(|(instance, _)| *instance == book.instance)
+                .any(|(instance, _)| *instance == log.instance)
             {
-                clocks.push((book.instance.clone(), book.ahead_ms));
+                clock_offsets_ms.push((log.instance.clone(), log.clock_offset_ms));
             }
         }
-        let cause = found.iter().rev().find_map(|(_, _, line)| cause(line));
+        let cause = found
+            .iter()
+            .rev()
+            .find_map(|(_, _, line)| failure_description(line));
         Some(RequestTimeline {
             request: request.to_owned(),
-            steps: found.iter().map(|f| step(first, f)).collect(),
-            clocks,
+            events: found.iter().map(|f| timeline_event(first_ms, f)).collect(),
+            clock_offsets_ms,
             cause,
         })
     }
 
-    /// For which of the requests the logs name a cause.
+    /// Counts the requests for which the logs report a failure cause, a success or nothing.
     pub fn coverage<'a, I>(&self, requests: I) -> Coverage
     where
         I: IntoIterator<Item = &'a str>,
     {
-        let mut lives: BTreeMap<&str, Vec<&Line>> = BTreeMap::new();
-        for line in self.books.iter().flat_map(|b| &b.lines) {
+        let mut lines_by_id: BTreeMap<&str, Vec<&Line>> = BTreeMap::new();
+        for line in self.logs.iter().flat_map(|log| &log.lines) {
             if let Some(id) = line.get("id") {
-                lives.entry(id).or_default().push(line);
+                lines_by_id.entry(id).or_default().push(line);
             }
         }
         let mut coverage = Coverage {
@@ -214,10 +232,10 @@
         };
         for request in requests {
             coverage.asked += 1;
-            let told = lives.get(request).map_or(&[][..], Vec::as_slice);
-            if let Some(kind) = told.iter().rev().find_map(|l| cause_kind(l)) {
+            let lines = lines_by_id.get(request).map_or(&[][..], Vec::as_slice);
+            if let Some(kind) = lines.iter().rev().find_map(|l| failure_kind(l)) {
                 *coverage.causes.entry(kind).or_default() += 1;
-            } else if told.iter().any(|l| l.event() == "answered") {
+            } else if lines.iter().any(|l| l.event() == "answered") {
                 coverage.served += 1;
             } else {
                 coverage.unknown.push(request.to_owned());
@@ -227,7 +245,7 @@
     }
 }
 
-impl Book {
+impl InstanceLog {
     fn parse(name: &str, text: &str) -> Self {
         let lines: Vec<Line> = text.lines().filter_map(Line::parse).collect();
         let start = lines.iter().find(|l| l.event() == "start");
@@ -238,45 +256,53 @@
             instance: from_start("instance").unwrap_or_else(|| name.to_owned()),
             address,
             lines,
-            ahead_ms: None,
+            clock_offset_ms: None,
         }
     }
 
-    /// By how much it last saw another instance's clock ahead of its own.
-    fn sees(&self, address: &str) -> Option<i64> {
-        let told = self
+    /// Last logged offset of the clock of the instance at `address` from this one's, in
+    /// milliseconds; positive if the other clock is ahead.
+    fn peer_offset_ms(&self, address: &str) -> Option<i64> {
+        let line = self
             .lines
             .iter()
             .rev()
             .find(|l| l.event() == "peer_clock" && l.get("peer") == Some(address))?;
-        told.get("ahead_ms")?.parse().ok()
+        line.get("ahead_ms")?.parse().ok()
     }
 }
 
-/// By how much the clock of one log is ahead of the first one's.
+/// Milliseconds by which the clock of log `index` is ahead of the clock of the first log.
 ///
-/// Each side's word holds the time that its message took; with both words that cancels out.
-fn ahead(books: &[Book], at: usize) -> Option<i64> {
-    let (first, book) = (&books[0], &books[at]);
-    match (first.sees(&book.address), book.sees(&first.address)) {
-        (Some(there), Some(here)) => Some((there - here) / 2),
-        (Some(there), None) => Some(there),
-        (None, Some(here)) => Some(-here),
+/// Each logged offset includes the transit time of the message it was measured with. Averaging the
+/// offsets of both directions cancels the transit times out.
+fn clock_offset_ms(logs: &[InstanceLog], index: usize) -> Option<i64> {
+    let (first, other) = (&logs[0], &logs[index]);
+    match (
+        first.peer_offset_ms(&other.address),
+        other.peer_offset_ms(&first.address),
+    ) {
+        (Some(forward), Some(reverse)) => Some((forward - reverse) / 2),
+        (Some(forward), None) => Some(forward),
+        (None, Some(reverse)) => Some(-reverse),
         (None, None) => None,
     }
 }
 
-fn step(first: i64, (at, book, line): &(i64, &Book, &Line)) -> Step {
-    let shown = |(key, _): &&(String, String)| !matches!(key.as_str(), "time_ms" | "id");
-    Step {
-        at_ms: at - first,
-        instance: book.instance.clone(),
-        pairs: line.pairs.iter().filter(shown).cloned().collect(),
+fn timeline_event(
+    first_ms: i64,
+    (time_ms, log, line): &(i64, &InstanceLog, &Line),
+) -> TimelineEvent {
+    let is_shown = |(key, _): &&(String, String)| !matches!(key.as_str(), "time_ms" | "id");
+    TimelineEvent {
+        at_ms: time_ms - first_ms,
+        instance: log.instance.clone(),
+        pairs: line.pairs.iter().filter(is_shown).cloned().collect(),
     }
 }
 
-/// The kind of failure that a line tells of, if it tells of one that its caller notices.
-fn cause_kind(line: &Line) -> Option<String> {
+/// Kind of failure that a line reports; `None` unless the failure is visible to the caller.
+fn failure_kind(line: &Line) -> Option<String> {
     let detail = |key: &str| line.get(key).unwrap_or("?").to_owned();
     match line.event() {
         "refused" => Some(detail("kind")),
@@ -290,8 +316,9 @@
     }
 }
 
-fn cause(line: &Line) -> Option<String> {
-    let kind = cause_kind(line)?;
+/// Describes the failure that a line reports.
+fn failure_description(line: &Line) -> Option<String> {
+    let kind = failure_kind(line)?;
     let detail = |key: &str| line.get(key).unwrap_or("?");
     Some(match line.event() {
         "refused" => format!("{kind}: {}; ran: {}", detail("reason"), detail("ran")),
@@ -316,28 +343,32 @@
 }
 
 impl RequestTimeline {
-    /// The life in words, one line a step.
+    /// Formats the clock offsets, the events, one per line, and the cause as text.
     pub fn text(&self) -> String {
         let mut text = format!("request {}\n", self.request);
         // Writing to a string can't fail.
-        for (instance, ahead) in &self.clocks {
-            match ahead {
+        for (instance, offset_ms) in &self.clock_offsets_ms {
+            match offset_ms {
                 Some(0) => {}
-                Some(ahead) => {
-                    let _ = writeln!(text, "clock of {instance}: {ahead} ms ahead, taken off");
+                Some(offset_ms) => {
+                    let _ = writeln!(text, "clock of {instance}: {offset_ms} ms ahead, taken off");
                 }
                 None => {
                     let _ = writeln!(text, "clock of {instance}: not known, taken as it is");
                 }
             }
         }
-        for step in &self.steps {
-            let pairs: Vec<String> = step.pairs.iter().map(|(k, v)| format!("{k}={v}")).collect();
+        for event in &self.events {
+            let pairs: Vec<String> = event
+                .pairs
+                .iter()
+                .map(|(k, v)| format!("{k}={v}"))
+                .collect();
             let _ = writeln!(
                 text,
                 "{:>8} ms  {}  {}",
-                step.at_ms,
-                step.instance,
+                event.at_ms,
+                event.instance,
                 pairs.join(" ")
             );
         }
@@ -352,11 +383,11 @@
 }
 
 impl Coverage {
-    /// The counts in words.
+    /// Formats the counts and the ids of unknown requests as text.
     pub fn text(&self) -> String {
-        let named: usize = self.causes.values().sum();
+        let failed: usize = self.causes.values().sum();
         let mut text = format!(
-            "{} requests: a cause is named for {named}, {} were served, of {} no line tells\n",
+            "{} requests: a cause is named for {failed}, {} were served, of {} no line tells\n",
             self.asked,
             self.served,
             self.unknown.len()
