--- a/src/status.rs
+++ b/src/status.rs
@@ -73,7 +73,8 @@
     /// Applied versions of the published configuration values.
     pub versions: Vec<AppliedVersion>,
     /// Number of requests in progress.
-    pub held: u64,
+    #[serde(rename = "held")]
+    pub held_requests: u64,
     /// Numbers of requests that ended since the instance started, by tier and outcome.
     #[serde(rename = "ended")]
     pub request_counts: Vec<RequestCount>,
@@ -160,7 +161,7 @@
         availability_zone: dump.instance.availability_zone,
         state: String::from_utf8_lossy(&ready.body).trim().to_owned(),
         versions: dump.fleet.versions,
-        held: sample::named(&samples, HELD_REQUESTS_METRIC)
+        held_requests: sample::named(&samples, HELD_REQUESTS_METRIC)
             .map(|s| s.value as u64)
             .sum(),
         request_counts: request_counts(&samples),
@@ -243,10 +244,10 @@
                 instance.availability_zone.clone(),
                 instance.address.clone(),
                 instance.state.clone(),
-                instance.version("table"),
-                instance.version("services"),
-                instance.version("instances"),
-                instance.held.to_string(),
+                instance.applied_version("table"),
+                instance.applied_version("services"),
+                instance.applied_version("instances"),
+                instance.held_requests.to_string(),
             ]);
         }
         let mut table = builder.build();
@@ -301,7 +302,7 @@
         self.state == READY_BODY
     }
 
-    fn version(&self, name: &str) -> String {
+    fn applied_version(&self, name: &str) -> String {
         let applied = self.versions.iter().find(|v| v.name == name);
         applied.map_or_else(|| "none".to_owned(), |v| v.version.to_string())
     }
